--- a/core/btgate/strain_test.go
+++ b/core/btgate/latency_test.go
@@ -11,8 +11,8 @@
 
 // A stream is late by its worst pause: of two loads with the same mean pause, the
 // one whose pauses differ is nearer to what callers are promised.
-func TestStrainCountsTheSpread(t *testing.T) {
-	var even, uneven btgate.Strain
+func TestLatencyRatioIncludesDeviation(t *testing.T) {
+	var even, uneven btgate.LatencyRatio
 	for i := range 400 {
 		even.Add(60*time.Millisecond, 100*time.Millisecond)
 		uneven.Add(time.Duration(30+60*(i%2))*time.Millisecond, 100*time.Millisecond)
@@ -21,16 +21,16 @@
 	assert.Assert(t, uneven.Value() > 1, "%v", uneven.Value())
 }
 
-func TestStrainOfNothingPromised(t *testing.T) {
-	var s btgate.Strain
+func TestLatencyRatioWithoutAPromise(t *testing.T) {
+	var s btgate.LatencyRatio
 	s.Add(time.Second, 0)
 	assert.Equal(t, s.Value(), 0.0)
 }
 
 // One pause of seconds, as when a group waits for a lost member, is forgotten
 // within a hundred others.
-func TestStrainForgetsAnOutage(t *testing.T) {
-	var s btgate.Strain
+func TestLatencyRatioForgetsAnOutage(t *testing.T) {
+	var s btgate.LatencyRatio
 	s.Add(50*time.Millisecond, 100*time.Millisecond)
 	s.Add(time.Minute, 100*time.Millisecond)
 	for range 100 {
--- a/core/btgate/settle_test.go
+++ b/core/btgate/settle_test.go
@@ -12,19 +12,19 @@
 // An entry that has just started meets a group that has just formed: steps of 250 ms,
 // of which 150 are allowed, until the first map is in force, then steps of 80 ms. The
 // limit must not follow the first ones, as they are over before it could help.
-func TestTheFirstStepsOfAGroupDoNotShrinkTheLimit(t *testing.T) {
+func TestFirstStepsOfAGroupDoNotDecreaseTheLimit(t *testing.T) {
 	const allowed = 150 * time.Millisecond
-	g := btgate.New[int](btgate.Config{Least: 180, Most: 720, Start: 720, Entries: 15})
+	g := btgate.New[int](btgate.Config{MinLimit: 180, MaxLimit: 720, InitialLimit: 720, Entries: 15})
 	now := start
 	steps := func(step, lasting time.Duration) {
 		for end := now.Add(lasting); now.Before(end); now = now.Add(step) {
 			for range g.Running() {
-				g.Pause(now, step, allowed)
+				g.ObservePause(now, step, allowed)
 			}
 		}
 	}
 	for range 10 {
-		g.Enter(now)
+		g.TryAcquire(now)
 	}
 	for range 3 {
 		steps(250*time.Millisecond, 750*time.Millisecond)
@@ -34,7 +34,7 @@
 		// The group breaks, and forms anew.
 		now = now.Add(4 * time.Second)
 	}
-	for g.Enter(now) {
+	for g.TryAcquire(now) {
 	}
 	steps(160*time.Millisecond, 4*time.Second)
 	assert.Assert(t, g.Limit() < 720, "steps that stay long still count")
--- a/io/btdirect/admission.go
+++ b/io/btdirect/admission.go
@@ -35,18 +35,18 @@
 	refused time.Time
 	gates   map[btid.Service]*serviceGate
 	// usual is the deadline of callers' first tries by route.
-	usual map[string]*btgate.Usual
+	usual map[string]*btgate.DeadlineEstimator
 }
 
 // serviceGate is a gate with what callers of its service see.
 type serviceGate struct {
 	gate *btgate.Gate[chan struct{}]
 	// pauses and firsts measure the pauses and the first events of streams.
-	pauses, firsts btgate.Strain
+	pauses, firsts btgate.LatencyRatio
 }
 
 func newAdmission(o Options, f *fleet, entries func() int) *admission {
-	return &admission{refused: o.Clock(), clock: o.Clock, fleet: f, entries: entries, gates: make(map[btid.Service]*serviceGate), usual: make(map[string]*btgate.Usual)}
+	return &admission{refused: o.Clock(), clock: o.Clock, fleet: f, entries: entries, gates: make(map[btid.Service]*serviceGate), usual: make(map[string]*btgate.DeadlineEstimator)}
 }
 
 // of returns the service's gate with its bounds brought up to date. The lock is
@@ -54,12 +54,12 @@
 func (a *admission) of(s *btcatalog.Service) *serviceGate {
 	slots, targets := a.fleet.slots(s.Name)
 	most := max(float64(slots), 1)
-	config := btgate.Config{Least: max(most*leastShare, 1), Most: most, Start: most, Entries: a.entries()}
+	config := btgate.Config{MinLimit: max(most*leastShare, 1), MaxLimit: most, InitialLimit: most, Entries: a.entries()}
 	if s.Engine == nil || s.Engine.Group == nil {
 		// Plain targets bound themselves: the gate only keeps a burst from
 		// filling their queues beyond what they answer in time.
 		most = float64(slots) * (1 + queuePerSlot)
-		config = btgate.Config{Least: most, Most: most, Start: most, Entries: 1}
+		config = btgate.Config{MinLimit: most, MaxLimit: most, InitialLimit: most, Entries: 1}
 	}
 	g, found := a.gates[s.Name]
 	if !found {
@@ -79,12 +79,12 @@
 	now := a.clock()
 	usual := a.usualOf(x.route.Name)
 	caller := btgate.Caller{
-		Left:      x.call.Deadline,
-		Usual:     usual.Add(now, x.call.Deadline, a.refused),
-		Objective: x.route.Objective,
-		Timeout:   x.route.Timeout,
+		Remaining:    x.call.Deadline,
+		FirstAttempt: usual.Add(now, x.call.Deadline, a.refused),
+		Objective:    x.route.Objective,
+		Timeout:      x.route.Timeout,
 	}
-	return caller.Request(now, x.priority, a.of(x.service).gate.Begin())
+	return caller.Request(now, x.priority, a.of(x.service).gate.StartLatency())
 }
 
 // turnedAway notes that a caller was refused or cut off.
@@ -96,7 +96,7 @@
 
 // usualOf returns what is known of the deadlines of a route's callers. The lock is
 // held.
-func (a *admission) usualOf(route string) *btgate.Usual {
+func (a *admission) usualOf(route string) *btgate.DeadlineEstimator {
 	usual, found := a.usual[route]
 	if found {
 		return usual
@@ -104,7 +104,7 @@
 	if len(a.usual) >= maxRoutes {
 		clear(a.usual)
 	}
-	usual = &btgate.Usual{}
+	usual = &btgate.DeadlineEstimator{}
 	a.usual[route] = usual
 	return usual
 }
@@ -115,17 +115,17 @@
 	a.mu.Lock()
 	g := a.of(s)
 	now := a.clock()
-	if g.gate.Enter(now) {
+	if g.gate.TryAcquire(now) {
 		a.mu.Unlock()
 		return true
 	}
 	admitted := make(chan struct{})
-	ticket := g.gate.Wait(now, r, admitted)
+	ticket := g.gate.Enqueue(now, r, admitted)
 	a.mu.Unlock()
 	if ticket == nil {
 		return false
 	}
-	timer := time.NewTimer(r.Until.Sub(now))
+	timer := time.NewTimer(r.WaitUntil.Sub(now))
 	defer timer.Stop()
 	select {
 	case <-admitted:
@@ -135,7 +135,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !g.gate.Abandon(ticket)
+	return !g.gate.Cancel(ticket)
 }
 
 // comeBack is when a caller should come back that finds no place, at the most the
@@ -143,7 +143,7 @@
 func (a *admission) comeBack(s *btcatalog.Service, most time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.of(s).gate.ComeBack(a.clock(), most)
+	return a.of(s).gate.RetryAfter(a.clock(), most)
 }
 
 // leave gives back a request's place.
@@ -155,7 +155,7 @@
 	if x.whole {
 		held = now.Sub(x.admitted)
 	}
-	wake(a.of(x.service).gate.Leave(now, held))
+	wake(a.of(x.service).gate.Release(now, held))
 }
 
 // hear takes in how many requests of all entries the service's targets have.
@@ -163,14 +163,14 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if g, found := a.gates[name]; found {
-		wake(g.gate.Hear(a.clock(), total))
+		wake(g.gate.ObserveTotal(a.clock(), total))
 	}
 }
 
 // wake lets admitted requests go on.
-func wake(admitted []*btgate.Ticket[chan struct{}]) {
+func wake(admitted []*btgate.Waiter[chan struct{}]) {
 	for _, t := range admitted {
-		close(t.Waiter)
+		close(t.Value)
 	}
 }
 
@@ -179,7 +179,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if g, found := a.gates[s.Name]; found {
-		g.gate.Pause(a.clock(), pause, allowed)
+		g.gate.ObservePause(a.clock(), pause, allowed)
 		g.pauses.Add(pause, allowed)
 	}
 }
@@ -191,7 +191,7 @@
 	defer a.mu.Unlock()
 	if g, found := a.gates[s.Name]; found {
 		g.firsts.Add(took, objective)
-		g.gate.Began(took)
+		g.gate.ObserveStartLatency(took)
 	}
 }
 
@@ -226,8 +226,8 @@
 	return gateLoad{
 		running: g.gate.Running(),
 		waiting: g.gate.Waiting(),
-		places:  g.gate.Places(a.clock()),
+		places:  g.gate.EntryLimit(a.clock()),
 		limit:   g.gate.Limit(),
-		pause:   g.gate.Load(),
+		pause:   g.gate.PauseRatio(),
 	}
 }
--- a/io/btdirect/exchange.go
+++ b/io/btdirect/exchange.go
@@ -212,7 +212,7 @@
 		if x.overdue() {
 			return false
 		}
-		c := e.fleet.pick(x.service.Name, x.call.PromptTokens, x.tried, x.wait.Until.Sub(e.options.Clock()))
+		c := e.fleet.pick(x.service.Name, x.call.PromptTokens, x.tried, x.wait.WaitUntil.Sub(e.options.Clock()))
 		if c.limited > 0 {
 			e.meter.Counter(metricRatesPassedOver).Inc(int64(c.limited))
 		}
--- a/io/btdirect/wait.go
+++ b/io/btdirect/wait.go
@@ -21,7 +21,7 @@
 		return index
 	}
 	x.entry.meter.Counter(metricCatalogWaits).Inc(1)
-	timer := time.NewTimer(btgate.Patience(x.patience()))
+	timer := time.NewTimer(btgate.MaxWait(x.patience()))
 	defer timer.Stop()
 	select {
 	case <-k.first:
@@ -88,7 +88,7 @@
 	}
 	defer x.waited(&x.stages.group, metricGroupWait, e.options.Clock())
 	e.meter.Counter(metricGroupWaits).Inc(1)
-	timer := time.NewTimer(x.wait.ForGroup().Sub(e.options.Clock()))
+	timer := time.NewTimer(x.wait.WaitForGroupUntil().Sub(e.options.Clock()))
 	defer timer.Stop()
 	select {
 	case <-opened:
@@ -103,7 +103,7 @@
 // found the only one broken. That it is sent once more draws on the retry budget.
 func (x *exchange) waitsAnew(result attemptResult) bool {
 	now := x.entry.options.Clock()
-	if !result.groupBroken || !result.notRun || x.gone() || x.otherGroup() || !now.Before(x.wait.ForGroup()) {
+	if !result.groupBroken || !result.notRun || x.gone() || x.otherGroup() || !now.Before(x.wait.WaitForGroupUntil()) {
 		return false
 	}
 	return x.entry.budget(x.service.Name).take(now)
