--- a/core/btgate/btgate.go
+++ b/core/btgate/btgate.go
@@ -1,90 +1,99 @@
-// Package btgate decides which requests of one service an entry sends on, which
-// wait, in what order, and when those that are turned away had better come back.
+// Package btgate limits how many requests of one service an entry has at work. It
+// decides which requests are admitted, which wait and in what order, and what retry
+// delay a refused caller is given.
 //
-// Engines in a lock-step group finish each pass together, so one request too
-// many makes all of them late. The gate admits up to a limit for the whole group,
-// of which it takes a part that follows what its callers ask and what it hears of
-// the others; it lets requests wait while that promises more than a refusal, and
-// refuses the rest at once. The limit follows the measured pauses between events:
-// it shrinks when they come near what the operator allows and grows when there is
-// room.
+// The members of a lock-step group finish each step together, so one request too many
+// delays all the others. The limit applies to the whole group; each entry uses a
+// fraction of it that follows its own demand and the last report of the group's load. A
+// request is queued only if it is likely to be admitted before it gives up, otherwise
+// it is refused at once. The limit adapts to the pauses between the events of streams:
+// it decreases when they approach the longest pause that the operator allows and
+// increases when they are well below it.
 package btgate
 
 import (
 	"time"
 )
 
-// Config bounds a gate.
+// Config holds the bounds of a gate's limit.
 type Config struct {
 	// MinLimit and MaxLimit bound the limit, in requests of all entries.
 	MinLimit, MaxLimit float64
-	// InitialLimit is the limit before anything was measured.
+	// InitialLimit is the limit before any pause is measured.
 	InitialLimit float64
-	// Entries is how many entries share the limit.
+	// Entries is the number of entries that share the limit.
 	Entries int
 }
 
 const (
-	// adjustInterval is the time between two changes of the limit: a few passes of
-	// a group, so that a change shows before the next one.
+	// adjustInterval is the shortest time between two changes of the limit. It covers a
+	// few steps of a group, so that the effect of a change is measured before the next
+	// one.
 	adjustInterval = 250 * time.Millisecond
-	// decreaseAbove and growBelow are shares of the allowed pause. Between them
-	// the limit stays.
+	// decreaseAbove and increaseBelow are thresholds of the mean pause, as fractions of
+	// the allowed pause. Between them the limit is unchanged.
 	decreaseAbove = 0.92
 	increaseBelow = 0.75
-	// decreaseFactor and growStep are the usual multiplicative decrease and
-	// additive increase; the step is a share of the largest limit.
+	// decreaseFactor and increaseStep are the multiplicative decrease and the additive
+	// increase of the limit; increaseStep is a fraction of MaxLimit.
 	decreaseFactor = 0.92
 	increaseStep   = 0.03
-	// recoveryRate is the part of itself by which the limit grows where pauses are
-	// near none, so that it is back within two seconds of a slow spell's end.
+	// recoveryRate is the fraction of the current limit by which it increases when
+	// pauses are close to zero. With it the limit recovers within two seconds of the
+	// end of a slow period.
 	recoveryRate = 0.5
 	// pauseWeight is the weight of one pause in the moving average.
 	pauseWeight = 0.05
-	// interruptionThreshold is for how long no stream has gone on where a group was away, or the
-	// entry itself: a step takes a tenth of it at most.
+	// interruptionThreshold is the time without a measured pause after which the group
+	// or this entry is taken to have been interrupted. A step takes a tenth of it at
+	// most.
 	interruptionThreshold = time.Second
-	// settleTime is for how long after that pauses tell nothing of the limit: a group
-	// has its first map after 0.3 to 0.8 s and steps of two to three times the length
-	// until then.
+	// settleTime is how long pauses are ignored after an interruption. A new group has
+	// its first expert map after 0.3 to 0.8 s, and its steps take two to three times as
+	// long until then.
 	settleTime = time.Second
-	// minUtilisation is how much of the limit must be in use for it to grow.
+	// minUtilisation is the fraction of the limit that must be in use before it
+	// increases.
 	minUtilisation = 0.8
-	// durationWeight is the weight of one request in the mean times: those of a second
-	// or so count.
+	// durationWeight is the weight of one request in the mean durations. They cover
+	// about the last second of requests.
 	durationWeight = 0.05
 )
 
-// Gate admits requests of one service. W is what the caller keeps for a waiting
-// request. It is not safe for concurrent use.
-type Gate[W any] struct {
+// Gate limits the concurrent requests of one service at one entry. V is the caller's
+// value for a waiting request. A Gate is not safe for concurrent use.
+type Gate[V any] struct {
 	config     Config
 	limit      float64
 	running    int
-	queue      []*Waiter[W]
+	queue      []*Waiter[V]
 	reported   loadReport
 	pauseRatio float64
 	adjustedAt time.Time
-	// lastPause is when the last pause was measured, settleUntil until when none counts.
+	// lastPause is when the last pause was measured. Pauses before settleUntil are
+	// ignored.
 	lastPause, settleUntil time.Time
-	// serviceTime is the mean time for which requests hold their places.
+	// serviceTime is the mean time that a request holds its slot.
 	serviceTime time.Duration
-	// startLatency is the mean time from admission until an answer begins, where answers
-	// come in pieces.
+	// startLatency is the mean time from admission to the first event of a streamed
+	// response.
 	startLatency time.Duration
-	// retryCredit counts the admissions by their part that goes to callers who come back.
+	// retryCredit accumulates retryFraction per admission. One credit admits one
+	// waiting request that is its caller's last attempt.
 	retryCredit float64
-	// bookedUntil is the time up to which refused requests were told to come back.
+	// bookedUntil is the end of the time already given to refused callers as retry
+	// delays.
 	bookedUntil time.Time
 }
 
-// New returns an open gate.
-func New[W any](c Config) *Gate[W] {
-	return &Gate[W]{config: c, limit: c.InitialLimit}
+// New returns a gate whose limit is InitialLimit.
+func New[V any](c Config) *Gate[V] {
+	return &Gate[V]{config: c, limit: c.InitialLimit}
 }
 
-// Configure changes the bounds; the limit stays within them.
-func (g *Gate[W]) Configure(c Config) {
+// Configure replaces the bounds. The limit is scaled with MaxLimit and clamped to the
+// new bounds.
+func (g *Gate[V]) Configure(c Config) {
 	if g.config == c {
 		return
 	}
@@ -95,17 +104,18 @@
 	g.limit = min(max(g.limit, c.MinLimit), c.MaxLimit)
 }
 
-// Limit returns how many requests of all entries may be at work.
-func (g *Gate[W]) Limit() int { return int(g.limit) }
+// Limit returns the number of requests that all entries together may have at work.
+func (g *Gate[V]) Limit() int { return int(g.limit) }
 
-// Running returns how many of this entry's requests are at work.
-func (g *Gate[W]) Running() int { return g.running }
+// Running returns the number of this entry's requests at work.
+func (g *Gate[V]) Running() int { return g.running }
 
-// Waiting returns how many requests wait.
-func (g *Gate[W]) Waiting() int { return len(g.queue) }
+// Waiting returns the number of queued requests.
+func (g *Gate[V]) Waiting() int { return len(g.queue) }
 
-// TryAcquire admits a request and returns true, or else false.
-func (g *Gate[W]) TryAcquire(now time.Time) bool {
+// TryAcquire takes a slot for a request and reports whether one was free. It never
+// overtakes queued requests.
+func (g *Gate[V]) TryAcquire(now time.Time) bool {
 	if len(g.queue) > 0 || g.running >= g.EntryLimit(now) {
 		return false
 	}
@@ -113,10 +123,10 @@
 	return true
 }
 
-// Release gives a place back and returns the waiting requests that are admitted. Held
-// is for how long a request had it that was answered, zero for one that was not:
-// those that fail at once tell nothing of how long answers take.
-func (g *Gate[W]) Release(now time.Time, held time.Duration) []*Waiter[W] {
+// Release returns a slot and returns the queued requests that are admitted. Held is how
+// long an answered request held the slot. It is zero for a request that was not
+// answered, as requests that fail at once say nothing about the service time.
+func (g *Gate[V]) Release(now time.Time, held time.Duration) []*Waiter[V] {
 	g.running--
 	if held > 0 {
 		g.serviceTime = updateMean(g.serviceTime, held)
@@ -124,21 +134,23 @@
 	return g.admit(now)
 }
 
-// ObserveStartLatency takes in how long after its admission an answer in pieces began.
-func (g *Gate[W]) ObserveStartLatency(after time.Duration) {
+// ObserveStartLatency records the time from admission to the first event of a streamed
+// response.
+func (g *Gate[V]) ObserveStartLatency(after time.Duration) {
 	g.startLatency = updateMean(g.startLatency, after)
 }
 
-// StartLatency returns how long after its admission an answer begins; whole answers begin
-// as they end.
-func (g *Gate[W]) StartLatency() time.Duration {
+// StartLatency returns the mean time from admission to the start of a response. A
+// response that is not streamed starts when it ends.
+func (g *Gate[V]) StartLatency() time.Duration {
 	if g.startLatency > 0 {
 		return g.startLatency
 	}
 	return g.serviceTime
 }
 
-// updateMean moves a updateMean by one measured time; the first one is the updateMean.
+// updateMean returns the moving average m after the sample d. The first sample is the
+// average.
 func updateMean(m, d time.Duration) time.Duration {
 	if m == 0 {
 		return d
@@ -146,20 +158,21 @@
 	return m + time.Duration(durationWeight*float64(d-m))
 }
 
-// departureInterval returns the mean time departureInterval two requests that leave, zero before any
-// has been answered.
-func (g *Gate[W]) departureInterval() time.Duration {
+// departureInterval returns the mean time between two released slots, or zero before
+// any request has been answered.
+func (g *Gate[V]) departureInterval() time.Duration {
 	return g.serviceTime / time.Duration(max(g.running, 1))
 }
 
-// ObservePause takes in a pause between two events of one stream, and the longest that
-// is allowed. It returns true where the limit changed.
-func (g *Gate[W]) ObservePause(now time.Time, pause, allowed time.Duration) bool {
+// ObservePause records a pause between two events of one stream, and the longest
+// allowed pause. It reports whether the limit changed. Without an allowed pause it does
+// nothing.
+func (g *Gate[V]) ObservePause(now time.Time, pause, allowed time.Duration) bool {
 	if allowed <= 0 || g.settling(now) {
 		return false
 	}
 	ratio := float64(pause) / float64(allowed)
-	// One long pause, as when a group waits for a member, says nothing of the
+	// A single long pause, such as a group waiting for a member, says nothing about the
 	// load.
 	ratio = min(ratio, 2)
 	if g.pauseRatio == 0 {
@@ -173,11 +186,12 @@
 	return g.adjustLimit(g.estimatedTotal(now))
 }
 
-// settling tells whether streams go on again after a standstill. The pauses of the first
-// steps are those of a map that is replaced at once. Where they counted, an entry that
-// had only just started took its limit from 720 to 137 places within a second, and was
-// at half of it three seconds later, with pauses at half of what is allowed.
-func (g *Gate[W]) settling(now time.Time) bool {
+// settling reports whether streams have only just resumed after an interruption. The
+// first steps of a group use a map that is replaced shortly. When their pauses counted,
+// an entry that had just started cut its limit from 720 to 137 slots within a second
+// and was still at half of it three seconds later, with pauses at half of the allowed
+// one.
+func (g *Gate[V]) settling(now time.Time) bool {
 	if now.Sub(g.lastPause) > interruptionThreshold {
 		g.settleUntil = now.Add(settleTime)
 	}
@@ -185,13 +199,14 @@
 	return now.Before(g.settleUntil)
 }
 
-// adjustLimit changes the limit by the smoothed pause and the requests of all entries
-// that are at work.
-func (g *Gate[W]) adjustLimit(total float64) bool {
+// adjustLimit changes the limit by the mean pause and the number of requests of all
+// entries at work.
+func (g *Gate[V]) adjustLimit(total float64) bool {
 	before := g.limit
 	switch {
 	case g.pauseRatio > decreaseAbove:
-		// Only what is in use can be at fault.
+		// The pauses are caused by the slots in use, so the decrease starts from their
+		// number.
 		g.limit = min(g.limit, max(total, g.config.MinLimit)) * decreaseFactor
 	case g.pauseRatio < increaseBelow && total >= minUtilisation*g.limit:
 		room := (increaseBelow - g.pauseRatio) / increaseBelow
@@ -201,5 +216,5 @@
 	return g.limit != before
 }
 
-// PauseRatio returns the smoothed pause as a share of the allowed one.
-func (g *Gate[W]) PauseRatio() float64 { return g.pauseRatio }
+// PauseRatio returns the mean pause as a fraction of the allowed one.
+func (g *Gate[V]) PauseRatio() float64 { return g.pauseRatio }
--- a/core/btgate/btgate_test.go
+++ b/core/btgate/btgate_test.go
@@ -42,8 +42,8 @@
 	assert.DeepEqual(t, order, []int{3, 1, 2})
 }
 
-// A place that is given to a request which has given up meanwhile is lost for
-// good, until nothing is admitted any more.
+// Guards against leaked slots: a slot assigned to a request that has given up is never
+// returned, until nothing is admitted any more.
 func TestCancelledRequestsDoNotLeakSlots(t *testing.T) {
 	g := newGate(1)
 	g.TryAcquire(start)
@@ -53,12 +53,13 @@
 	admitted := g.Release(start, time.Millisecond)
 	assert.Equal(t, len(admitted), 1)
 	assert.Equal(t, admitted[0], second)
-	assert.Assert(t, !g.Cancel(second), "admitted meanwhile: its place must be given back")
+	assert.Assert(t, !g.Cancel(second), "admitted in the meantime: its slot must be released")
 	g.Release(start, time.Millisecond)
 	assert.Equal(t, g.Running(), 0)
 }
 
-// busyGate has one place, which requests hold for the time.
+// busyGate returns a gate whose only slot is taken and whose mean service time is the
+// given one.
 func busyGate(serviceTime time.Duration) *btgate.Gate[int] {
 	g := newGate(1)
 	g.TryAcquire(start)
@@ -72,10 +73,10 @@
 	until := start.Add(100 * time.Millisecond)
 	assert.Assert(t, g.Enqueue(start, btgate.Request{WaitUntil: until}, 1) != nil)
 	assert.Assert(t, g.Enqueue(start, btgate.Request{WaitUntil: until}, 2) == nil)
-	assert.Equal(t, len(g.Release(until.Add(1), time.Millisecond)), 0, "its time is over")
+	assert.Equal(t, len(g.Release(until.Add(1), time.Millisecond)), 0, "its wait has ended")
 }
 
-// How long an urgent request would wait goes by those before it only.
+// The expected wait of a request counts only the queued requests that precede it.
 func TestEnqueueCountsOnlyRequestsAhead(t *testing.T) {
 	g := busyGate(60 * time.Millisecond)
 	until := start.Add(100 * time.Millisecond)
@@ -103,7 +104,7 @@
 		g.Release(now, time.Millisecond)
 	}
 	feed(85 * time.Millisecond)
-	assert.Assert(t, g.Limit() <= low+1, "limit %d: nothing is changed between the marks", g.Limit())
+	assert.Assert(t, g.Limit() <= low+1, "limit %d: it must not change between the thresholds", g.Limit())
 	for range 40 {
 		feed(40 * time.Millisecond)
 		for g.TryAcquire(start) {
@@ -127,8 +128,9 @@
 	assert.Equal(t, g.Limit(), 1)
 }
 
-// Once a slow spell is over the whole limit is in use again within two seconds:
-// until then callers are refused though there is room.
+// Guards against a slow recovery: after a slow period the whole limit must be in use
+// again within two seconds, as callers are refused until then although there is
+// capacity.
 func TestLimitRecoversAfterASlowPeriod(t *testing.T) {
 	g := btgate.New[int](btgate.Config{MinLimit: 10, MaxLimit: 40, InitialLimit: 40, Entries: 1})
 	now := start
--- a/core/btgate/caller.go
+++ b/core/btgate/caller.go
@@ -3,41 +3,42 @@
 import "time"
 
 const (
-	// waitFraction is the part of the time left for which a request waits, and
-	// waitMost the most: callers leave a stream that is silent for two seconds.
+	// waitFraction is the fraction of its remaining time that a request waits in the
+	// queue, up to waitCap. Callers give up on a stream that is silent for two seconds.
 	waitFraction = 0.25
 	waitCap      = 1500 * time.Millisecond
-	// lastAttemptWindow is how long before it gives up a request whose caller hardly comes back
-	// gets a promised place: half of the longest wait, so that it gets one that others
-	// leave before.
+	// lastAttemptWindow is how long before it gives up a last attempt can use a
+	// reserved slot. It is half of the longest wait, so that the request can take a
+	// slot that is released before then.
 	lastAttemptWindow = waitCap / 2
-	// maxStartLatencyFraction bounds the time that work takes to begin as a part of the objective.
-	// Under a crowd it grows until no request could be in time any more, and then none
-	// goes before those that are late.
+	// maxStartLatencyFraction caps the start latency that is subtracted from the
+	// objective. Under overload the latency grows until no request could be in time,
+	// and then none would take precedence over late ones.
 	maxStartLatencyFraction = 0.5
 )
 
-// Caller is what is known of the caller of a request that has just come.
+// Caller describes the caller of a new request.
 type Caller struct {
-	// Remaining is how long the caller waits from now on; zero means that it didn't say.
+	// Remaining is how long the caller still waits; zero means that it set no deadline.
 	Remaining time.Duration
-	// FirstAttempt is how long callers wait who come for the first time.
+	// FirstAttempt is the range of the deadlines of first attempts.
 	FirstAttempt DeadlineRange
-	// Objective is the time from the first try in which an answer is in time; zero
-	// where there is none.
+	// Objective is the time from the first attempt within which a response counts as in
+	// time; zero means that there is no objective.
 	Objective time.Duration
-	// Timeout is the longest that the route allows.
+	// Timeout is the longest time that the route allows.
 	Timeout time.Duration
 }
 
-// isRetry tells whether the caller has tried before. It hardly comes back after another
-// refusal, as a rule not at all.
+// isRetry reports whether the caller has tried before. Such a caller rarely retries
+// after another refusal.
 func (c Caller) isRetry() bool {
 	margin := time.Duration(retryMargin * float64(c.FirstAttempt.Longest))
 	return c.Remaining > 0 && c.Remaining < c.FirstAttempt.Shortest-margin
 }
 
-// elapsed is how long ago the caller tried first, by the mean deadline of first tries.
+// elapsed returns the estimated time since the caller's first attempt, from the middle
+// of the range of first-attempt deadlines.
 func (c Caller) elapsed() time.Duration {
 	if !c.isRetry() {
 		return 0
@@ -45,8 +46,8 @@
 	return (c.FirstAttempt.Shortest+c.FirstAttempt.Longest)/2 - c.Remaining
 }
 
-// Request returns what the gate knows of the caller's request. Begin is how long
-// work takes until an answer begins.
+// Request returns the queueing parameters of the caller's request. StartLatency is the
+// expected time from admission to the start of the response.
 func (c Caller) Request(now time.Time, priority int, startLatency time.Duration) Request {
 	remaining := c.Timeout
 	if c.Remaining > 0 {
@@ -64,8 +65,8 @@
 	return r
 }
 
-// MaxWait returns for how long a request waits at the most whose caller waits for
-// the given time.
+// MaxWait returns the longest time in the queue for a request whose caller waits for
+// the remaining time.
 func MaxWait(remaining time.Duration) time.Duration {
 	return min(time.Duration(float64(remaining)*waitFraction), waitCap)
 }
--- a/core/btgate/deadline.go
+++ b/core/btgate/deadline.go
@@ -6,50 +6,52 @@
 )
 
 const (
-	// deadlineSamples is how many deadlines of first tries are remembered: enough for
-	// the tail of one in sixteen to be four of them.
+	// deadlineSamples is the number of first-attempt deadlines that are kept, so that
+	// the excluded tail of one in sixteen is four of them.
 	deadlineSamples = 64
-	// minDeadlineSamples is how many of them tell the range.
+	// minDeadlineSamples is the number of samples needed to derive the range.
 	minDeadlineSamples = 16
-	// excludedTail is the part of the deadlines that is left out at the short end: among
-	// first tries come some second ones, after an error or a host that was lost.
+	// excludedTail is the fraction of the shortest samples that is ignored, as some of
+	// them come from retries after an error or after the loss of a host.
 	excludedTail = 1.0 / 16
-	// defaultShortestFraction is the shortest deadline of a first try as a part of the longest,
-	// before it is learned: who comes back has spent a fifth of its time at least,
-	// since it is told to stay away for up to a third, and a silent stream is waited for
-	// for 1.2 s of 8.
+	// defaultShortestFraction is the assumed ratio of the shortest to the longest
+	// first-attempt deadline before there are enough samples. A caller that retries has
+	// used at least a fifth of its deadline: its retry delay is up to a third of it,
+	// and a silent stream is cut off after 1.2 s of 8.
 	defaultShortestFraction = 0.8
-	// retryMargin is the part of the longest deadline by which a caller's must be
-	// below the shortest: what a request takes on its way is far less.
+	// retryMargin is the fraction of the longest deadline by which a deadline must be
+	// below the shortest one to count as a retry. Network delay is far below it.
 	retryMargin = 0.02
-	// longestTTL is for how long the longest deadline counts after it was last seen:
-	// callers who come for the first time come far more often.
+	// longestTTL is how long the longest deadline is kept after it was last seen. First
+	// attempts arrive far more often than that.
 	longestTTL = 10 * time.Second
 )
 
-// DeadlineRange are those with which callers come for the first time. One who has been
-// refused or cut off comes back with what is left.
+// DeadlineRange is the range of the deadlines of first attempts. A caller that retries
+// after a refusal or a broken response has only the rest of its deadline left.
 type DeadlineRange struct {
 	Shortest, Longest time.Duration
 }
 
-// DeadlineEstimator learns the deadlines of first tries. Callers of one route may differ: with
-// deadlines spread by 15 in 100, two of three first tries were taken for second ones
-// where only the longest was known, and requests that could be in time waited behind
-// those that could not. It is not safe for concurrent use.
+// DeadlineEstimator estimates the range of first-attempt deadlines, which differ
+// between the callers of one route. With deadlines spread by 15 % and only the longest
+// one known, two of three first attempts were taken for retries, and requests that
+// could still be in time waited behind those that could not. A DeadlineEstimator is not
+// safe for concurrent use.
 type DeadlineEstimator struct {
 	longest   time.Duration
 	longestAt time.Time
-	// samples are the last deadlines of first tries, next is where the next one goes.
+	// samples is a ring buffer of first-attempt deadlines; next is the next position to
+	// write.
 	samples []time.Duration
 	next    int
-	// shortest is learned from them.
+	// shortest is derived from samples.
 	shortest time.Duration
 }
 
-// Add takes a caller's deadline in and returns the usual ones. Refused is when a
-// caller was last turned away: for as long as callers wait, who comes may have come
-// before and teaches nothing.
+// Add records a caller's remaining time and returns the current range. LastRefusal is
+// when a caller was last refused or cut off. Until the longest deadline has passed
+// since then, a request may be a retry and is not sampled.
 func (e *DeadlineEstimator) Add(now time.Time, remaining time.Duration, lastRefusal time.Time) DeadlineRange {
 	if now.Sub(e.longestAt) > longestTTL {
 		e.longest = 0
@@ -69,7 +71,7 @@
 	return DeadlineRange{Shortest: e.shortest, Longest: e.longest}
 }
 
-// addSample takes in the deadline of a first try.
+// addSample records the deadline of a first attempt.
 func (e *DeadlineEstimator) addSample(remaining time.Duration) {
 	if len(e.samples) < deadlineSamples {
 		e.samples = append(e.samples, remaining)
--- a/core/btgate/deadline_test.go
+++ b/core/btgate/deadline_test.go
@@ -12,48 +12,48 @@
 )
 
 func ExampleDeadlineEstimator() {
-	var u btgate.DeadlineEstimator
+	var estimator btgate.DeadlineEstimator
 	now := time.Unix(1000, 0)
 	longAgo := now.Add(-time.Minute)
 	for i := range 32 {
-		u.Add(now, 7*time.Second+time.Duration(i)*time.Second/32, longAgo)
+		estimator.Add(now, 7*time.Second+time.Duration(i)*time.Second/32, longAgo)
 	}
-	deadlines := u.Add(now, 7900*time.Millisecond, longAgo)
+	deadlines := estimator.Add(now, 7900*time.Millisecond, longAgo)
 	first := btgate.Caller{Remaining: 7100 * time.Millisecond, FirstAttempt: deadlines, Timeout: 8 * time.Second}
 	second := btgate.Caller{Remaining: 5 * time.Second, FirstAttempt: deadlines, Timeout: 8 * time.Second}
 	fmt.Println(first.Request(now, 0, 0).LastAttempt, second.Request(now, 0, 0).LastAttempt)
 	// Output: false true
 }
 
-// A caller that was cut off after a second and came back is known by its deadline,
-// also where callers allow less than the route, and before any range was learned.
+// A caller that retries after one second is recognised by its shorter deadline, also if
+// callers set less than the route's timeout and before the range has been estimated.
 func TestRetriesAreRecognisedByTheirDeadline(t *testing.T) {
-	var u btgate.DeadlineEstimator
+	var estimator btgate.DeadlineEstimator
 	for remaining, retry := range map[time.Duration]bool{3 * time.Second: false, 2990 * time.Millisecond: false, 2 * time.Second: true} {
-		u.Add(start, 3*time.Second, start)
-		c := btgate.Caller{Remaining: remaining, FirstAttempt: u.Add(start, remaining, start), Timeout: 8 * time.Second}
+		estimator.Add(start, 3*time.Second, start)
+		c := btgate.Caller{Remaining: remaining, FirstAttempt: estimator.Add(start, remaining, start), Timeout: 8 * time.Second}
 		assert.Equal(t, c.Request(start, 0, 0).LastAttempt, retry, "%s", remaining)
 	}
-	deadlines := u.Add(start.Add(time.Minute), time.Second, start)
-	assert.Equal(t, deadlines.Longest, time.Second, "callers have changed")
+	deadlines := estimator.Add(start.Add(time.Minute), time.Second, start)
+	assert.Equal(t, deadlines.Longest, time.Second, "the old range has expired")
 }
 
-// Where callers' deadlines are spread, none who comes first is taken for one who comes
-// again. By the longest deadline alone two of three were.
+// Guards against first attempts that are taken for retries when callers' deadlines
+// differ. With only the longest deadline known, two of three were.
 func TestDeadlineRangeIsEstimated(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	spread := func() time.Duration {
 		return 8*time.Second - time.Duration(random.Int64N(int64(2500*time.Millisecond)))
 	}
-	var u btgate.DeadlineEstimator
+	var estimator btgate.DeadlineEstimator
 	now := start.Add(time.Minute)
 	for range 200 {
-		u.Add(now, spread(), start)
+		estimator.Add(now, spread(), start)
 	}
 	wrong := 0
 	for range 1000 {
 		remaining := spread()
-		c := btgate.Caller{Remaining: remaining, FirstAttempt: u.Add(now, remaining, start), Timeout: 8 * time.Second}
+		c := btgate.Caller{Remaining: remaining, FirstAttempt: estimator.Add(now, remaining, start), Timeout: 8 * time.Second}
 		if c.Request(now, 0, 0).LastAttempt {
 			wrong++
 		}
@@ -61,27 +61,28 @@
 	assert.Assert(t, wrong <= 60, "%d of 1000", wrong)
 }
 
-// Who comes while others have just been turned away teaches nothing.
+// Requests that arrive shortly after a refusal may be retries and must not be sampled
+// as first attempts.
 func TestDeadlinesAfterARefusalAreNotSampled(t *testing.T) {
-	var u btgate.DeadlineEstimator
+	var estimator btgate.DeadlineEstimator
 	lastRefusal := start
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-		u.Add(now, 8*time.Second, lastRefusal)
-		u.Add(now, 4*time.Second, lastRefusal)
+		estimator.Add(now, 8*time.Second, lastRefusal)
+		estimator.Add(now, 4*time.Second, lastRefusal)
 	}
-	deadlines := u.Add(start.Add(2*time.Second), 8*time.Second, lastRefusal)
+	deadlines := estimator.Add(start.Add(2*time.Second), 8*time.Second, lastRefusal)
 	assert.Equal(t, deadlines.Shortest, 6400*time.Millisecond)
 }
 
-// overload is callers who ask a group for a multiple of what it carries, and come back
-// once when they are refused.
+// overload simulates callers that send a multiple of a group's capacity and retry once
+// after a refusal.
 type overload struct {
 	random      *rand.Rand
 	gate        *btgate.Gate[*overloadCall]
 	deadlines   btgate.DeadlineEstimator
 	lastRefusal time.Time
-	// longestOnly takes the longest deadline for every caller's.
+	// longestOnly makes the range consist of the longest deadline alone.
 	longestOnly bool
 	calls       []*overloadCall
 	ends        []time.Time
@@ -102,8 +103,8 @@
 	overloadServiceTime  = 1600 * time.Millisecond
 	overloadStartLatency = 220 * time.Millisecond
 	overloadObjective    = 500 * time.Millisecond
-	// normalPeriod is for how long callers come at a rate that is carried, crowdRush for
-	// how long at three times the rate.
+	// normalPeriod is how long callers arrive at a rate within capacity, overloadPeriod
+	// how long at three times the capacity.
 	normalPeriod   = 12 * time.Second
 	overloadPeriod = 12 * time.Second
 )
@@ -144,8 +145,8 @@
 	}
 	c.ends = kept
 	for range ended {
-		for _, t := range c.gate.Release(now, overloadServiceTime) {
-			c.startCall(now, t.Value)
+		for _, w := range c.gate.Release(now, overloadServiceTime) {
+			c.startCall(now, w.Value)
 		}
 	}
 	var waiting []*overloadCall
@@ -157,7 +158,7 @@
 	c.calls = waiting
 }
 
-// process tells whether the call is over or at work.
+// process handles a queued or due call and reports whether it is finished or at work.
 func (c *overload) process(now time.Time, call *overloadCall) bool {
 	switch {
 	case call.waiter != nil && call.waiter.Admitted():
@@ -208,9 +209,9 @@
 	}
 }
 
-// Three times as many callers come as the group carries. Those who are known to be able
-// to be in time are served in time; where only the longest deadline is known most of
-// them wait behind those who can't be.
+// Arrivals are three times the group's capacity. Requests that can be in time are
+// served in time; with only the longest deadline known, most of them wait behind
+// requests that can't be.
 func TestOverloadIsServedInTimeUpToCapacity(t *testing.T) {
 	var estimated, longestOnly, lost, lostLongestOnly, all int
 	for seed := range uint64(5) {
@@ -221,13 +222,13 @@
 		lostLongestOnly += b.lost
 		all += a.all
 	}
-	t.Logf("of %d in time %d, by the longest deadline %d; lost %d and %d", all, estimated, longestOnly, lost, lostLongestOnly)
+	t.Logf("of %d in time %d, with the longest deadline only %d; lost %d and %d", all, estimated, longestOnly, lost, lostLongestOnly)
 	assert.Assert(t, float64(estimated) >= 1.3*float64(longestOnly), "%d and %d in time", estimated, longestOnly)
 	assert.Assert(t, float64(lost) <= 1.1*float64(lostLongestOnly), "%d and %d lost", lost, lostLongestOnly)
 }
 
-// Callers who were refused find a third of the places that become free, also while
-// others come who could be in time.
+// A third of the released slots goes to last attempts, also while other queued requests
+// could be in time.
 func TestReservedSlotsGoToLastAttempts(t *testing.T) {
 	g := newGate(1)
 	g.TryAcquire(start)
--- a/core/btgate/entry_limit.go
+++ b/core/btgate/entry_limit.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// reportTTL is how old a word on the group's load may be: its lead sends one five
-// times a second, and after a few that are missed others may have filled the
-// group.
+// reportTTL is how long a report of the group's load is used. The group's lead sends
+// five a second; after several missed ones other entries may have filled the group.
 const reportTTL = time.Second
 
-// freeFraction is the part of its share of the free places that an entry takes at
-// once: the shares of all may add up to twice the free places, and the words that
-// they go by are older than what the others have done since.
+// freeFraction is the fraction of its share of the free slots that an entry uses at
+// once. The shares of all entries may add up to twice the free slots, and the reports
+// behind them are older than the latest admissions of the others.
 const freeFraction = 0.5
 
-// loadReport is what an entry heard last of the requests of all entries.
+// loadReport is the last report of the requests of all entries.
 type loadReport struct {
 	at time.Time
-	// total is how many there were, ownReported how many of them were this entry's, as of
-	// the word before: a word is about as old as the time between two.
+	// total is the number of requests at work, ownReported how many of them were this
+	// entry's. A report is about one interval old, so ownReported is this entry's
+	// number at the report before.
 	total, ownReported float64
-	// ownRunning is how many this entry had when the word came.
+	// ownRunning is the number of this entry's requests when the report arrived.
 	ownRunning float64
 }
 
-// ObserveTotal takes in how many requests of all entries the targets have, and returns the
-// waiting requests that are admitted.
-func (g *Gate[W]) ObserveTotal(now time.Time, total int) []*Waiter[W] {
+// ObserveTotal records the number of requests of all entries at the targets, and
+// returns the queued requests that are admitted.
+func (g *Gate[V]) ObserveTotal(now time.Time, total int) []*Waiter[V] {
 	running := float64(g.running)
 	ownReported := running
 	if g.reportFresh(now) {
@@ -34,30 +34,30 @@
 	return g.admit(now)
 }
 
-// reportFresh tells whether the last word still counts.
-func (g *Gate[W]) reportFresh(now time.Time) bool {
+// reportFresh reports whether the last report is still used.
+func (g *Gate[V]) reportFresh(now time.Time) bool {
 	return !g.reported.at.IsZero() && now.Sub(g.reported.at) <= reportTTL
 }
 
-// estimatedTotal returns how many requests of all entries are believed to be at work.
-func (g *Gate[W]) estimatedTotal(now time.Time) float64 {
+// estimatedTotal returns the estimated number of requests of all entries at work.
+func (g *Gate[V]) estimatedTotal(now time.Time) float64 {
 	if !g.reportFresh(now) {
 		return float64(g.running) * float64(max(g.config.Entries, 1))
 	}
 	return g.reported.total - g.reported.ownReported + float64(g.running)
 }
 
-// EntryLimit returns how many requests this entry may have at work. Each entry has an
-// even part of the limit. What is free beyond that, by the last word, goes to the
-// entries by what they have at work already, so that one with many callers grows
-// into what others leave; no entry asks another. Together the entries may exceed the
-// limit until the next words: in a model with five times the load that a group
-// carries by 53 of 192 places, for 2.4 s.
+// EntryLimit returns the number of requests that this entry may have at work. Each
+// entry has an equal fraction of the limit. By the last report, free slots beyond that
+// are divided in proportion to the entries' running requests, so that an entry with
+// many callers can use slots that others leave, without a request between entries.
+// Until the next reports the entries together may exceed the limit: in a simulation
+// with five times the load of a group they exceeded 192 slots by 53 for 2.4 s.
 //
-// With even parts alone an entry with 36 of 100 callers, one of four, turned some
-// away on a calm day, and half of the entries did so while the others restarted: mean
-// worth of five simulated days 0.747 against 0.774 to 0.782.
-func (g *Gate[W]) EntryLimit(now time.Time) int {
+// With equal fractions alone, one of four entries with 36 of 100 callers refused some
+// of them at normal load, and half of the entries did so while the others restarted:
+// the mean worth of five simulated days was 0.747 against 0.774 to 0.782.
+func (g *Gate[V]) EntryLimit(now time.Time) int {
 	even := max(g.limit/float64(max(g.config.Entries, 1)), 1)
 	if !g.reportFresh(now) {
 		return int(even)
--- a/core/btgate/entry_limit_test.go
+++ b/core/btgate/entry_limit_test.go
@@ -10,42 +10,42 @@
 	"bilberrytide/core/btgate"
 )
 
-// entryLoad is callers of unequal entries before one group: each entry's part of
-// the arrivals, and how many arrive a second in all.
+// entryLoad is the load of a group whose entries have unequal demand: each entry's
+// share of the arrivals, and the total arrivals per second.
 type entryLoad struct {
 	shares    []float64
 	perSecond float64
-	// stopInterval takes one entry after the other out for the time, zero for none.
+	// stopInterval is how long each entry in turn is stopped; zero for never.
 	stopInterval time.Duration
 }
 
 const (
 	groupSlots      = 192
 	meanServiceTime = 1200 * time.Millisecond
-	// reportInterval is how often a lead tells of the group's load, wordLag how old it
-	// is then.
+	// reportInterval is the time between two reports of the group's load, reportLag
+	// their age on arrival.
 	reportInterval = 200 * time.Millisecond
 	reportLag      = 200 * time.Millisecond
 	tick           = 5 * time.Millisecond
 )
 
-// entryResult is what became of a load.
+// entryResult counts the outcomes of a load.
 type entryResult struct {
 	arrived, refused int
-	// over is the most requests beyond the group's places, overFor the longest time
-	// for which there were any.
-	over       int
+	// excess is the largest number of requests above the group's slots, excessTime the
+	// longest time above them.
+	excess     int
 	excessTime time.Duration
 }
 
-// entrySimulation plays a load through gates.
+// entrySimulation runs a load through the gates of several entries.
 type entrySimulation struct {
 	load    entryLoad
 	reports bool
 	random  *rand.Rand
 	gates   []*btgate.Gate[int]
 	ends    [][]time.Time
-	// totals are the requests at work by tick.
+	// totals are the requests at work of each tick.
 	totals     []int
 	excessTime time.Duration
 	// next is when the next request arrives.
@@ -53,8 +53,7 @@
 	result entryResult
 }
 
-// run returns what becomes of a load where entries hear words on the group's load,
-// or hear none.
+// run returns the outcome of a load, with or without reports of the group's load.
 func (l entryLoad) run(seed uint64, reports bool) entryResult {
 	r := &entrySimulation{load: l, reports: reports, random: rand.New(rand.NewPCG(seed, 1)), ends: make([][]time.Time, len(l.shares)), next: start}
 	for range l.shares {
@@ -101,11 +100,11 @@
 		return
 	}
 	r.excessTime += tick
-	r.result.over = max(r.result.over, total-groupSlots)
+	r.result.excess = max(r.result.excess, total-groupSlots)
 	r.result.excessTime = max(r.result.excessTime, r.excessTime)
 }
 
-// arrive sends a request to an entry that is there.
+// arrive sends a request to a running entry.
 func (r *entrySimulation) arrive(now time.Time) {
 	stopped := -1
 	if r.load.stopInterval > 0 {
@@ -135,7 +134,8 @@
 	return len(r.load.shares) - 1
 }
 
-// unevenShares gives one entry half of the callers and the rest to the others.
+// unevenShares gives one entry half of the arrivals and divides the rest among the
+// others.
 func unevenShares(entries int) []float64 {
 	list := make([]float64, entries)
 	for i := range list {
@@ -145,45 +145,45 @@
 	return list
 }
 
-// An entry with more callers than others takes the places that those leave, at any
-// number of entries. With even parts it turns callers away while half of the group
-// is idle.
+// An entry with more callers than the others uses the slots that they leave, at any
+// number of entries. With equal fractions it refuses callers while half of the group's
+// capacity is idle.
 func TestEntryLimitFollowsDemand(t *testing.T) {
 	for _, entries := range []int{4, 11, 16} {
 		l := entryLoad{shares: unevenShares(entries), perSecond: 90}
 		equal := l.run(1, false)
 		adaptive := l.run(1, true)
-		t.Logf("%d entries: of %d refused %d with even parts, %d that follow; over by %d for %s", entries, adaptive.arrived, equal.refused, adaptive.refused, adaptive.over, adaptive.excessTime)
+		t.Logf("%d entries: of %d refused %d with equal fractions, %d adaptive; excess %d for %s", entries, adaptive.arrived, equal.refused, adaptive.refused, adaptive.excess, adaptive.excessTime)
 		assert.Assert(t, equal.refused*20 > equal.arrived)
 		assert.Assert(t, adaptive.refused*200 < adaptive.arrived)
 	}
 }
 
-// While entries are replaced one after the other, those that are left take the
-// callers of the one that is away.
+// While entries are replaced one by one, the remaining ones serve the callers of the
+// stopped one.
 func TestEntryLimitFollowsDemandDuringReplacement(t *testing.T) {
 	l := entryLoad{shares: []float64{0.15, 0.15, 0.36, 0.34}, perSecond: 90, stopInterval: 4 * time.Second}
 	equal := l.run(2, false)
 	adaptive := l.run(2, true)
-	t.Logf("of %d refused %d with even parts, %d that follow; over by %d for %s", adaptive.arrived, equal.refused, adaptive.refused, adaptive.over, adaptive.excessTime)
+	t.Logf("of %d refused %d with equal fractions, %d adaptive; excess %d for %s", adaptive.arrived, equal.refused, adaptive.refused, adaptive.excess, adaptive.excessTime)
 	assert.Assert(t, equal.refused*20 > equal.arrived)
 	assert.Assert(t, adaptive.refused*100 < adaptive.arrived)
 }
 
-// With more callers than the group can serve the entries together don't go beyond
-// its places for longer than a few words take, and never by a third.
+// Under overload the entries together don't exceed the group's slots for longer than a
+// few reports take, and never by a third.
 func TestEntryLimitsStayNearCapacityInOverload(t *testing.T) {
 	for _, entries := range []int{4, 11, 16} {
 		l := entryLoad{shares: unevenShares(entries), perSecond: 400}
 		r := l.run(3, true)
-		t.Logf("%d entries: of %d refused %d; over by %d, for %s", entries, r.arrived, r.refused, r.over, r.excessTime)
-		assert.Assert(t, r.over < groupSlots/3)
+		t.Logf("%d entries: of %d refused %d; excess %d, for %s", entries, r.arrived, r.refused, r.excess, r.excessTime)
+		assert.Assert(t, r.excess < groupSlots/3)
 		assert.Assert(t, r.excessTime < 3*time.Second)
 	}
 }
 
-// An entry that hears nothing of the group keeps to its even part, and so does one
-// that has only just come where others fill the group.
+// An entry without a report keeps to its equal fraction of the limit, and so does a new
+// entry when the others use the whole group.
 func TestEntryLimitWithoutReports(t *testing.T) {
 	g := btgate.New[int](btgate.Config{MinLimit: 10, MaxLimit: 40, InitialLimit: 40, Entries: 4})
 	assert.Equal(t, g.EntryLimit(start), 10)
--- a/core/btgate/latency.go
+++ b/core/btgate/latency.go
@@ -5,44 +5,43 @@
 	"time"
 )
 
-// LatencyRatio measures how near the answers of a service come to what its callers are
-// promised. The mean tells little of that, as a stream is late by its worst
-// pause: so the spread counts too, in the way in which a retransmission timer
-// (RFC 6298) takes it in.
+// LatencyRatio estimates how close a service's latencies come to the promised ones. The
+// mean alone says little, as the worst pause of a stream makes it late, so the mean
+// deviation is added as in the retransmission timer of RFC 6298.
 type LatencyRatio struct {
 	mean, deviation float64
 	measured        bool
 }
 
 const (
-	// latencyWeight is the weight of one measured time in the moving averages: that
-	// of RFC 6298 halved, as a group's streams pause together and so bring dozens
-	// of times a pass.
+	// latencyWeight is the weight of one sample in the moving averages. It is half of
+	// the weight in RFC 6298, as the streams of a group pause together and give dozens
+	// of samples per step.
 	latencyWeight = 1.0 / 16
-	// deviationFactor is how many mean deviations are added to the mean: about what
-	// one in twenty of normally spread times exceeds.
+	// deviationFactor is the number of mean deviations added to the mean. About one in
+	// twenty normally distributed samples is above the sum.
 	deviationFactor = 2.0
-	// maxLatencyRatio bounds one measured time, in multiples of the promised one: a
-	// group that waits for a lost member says nothing of its load.
+	// maxLatencyRatio caps one sample, as a multiple of the promised time. A group that
+	// waits for a lost member says nothing about its load.
 	maxLatencyRatio = 2.0
 )
 
-// Add takes in how long an event took and how long it may take by what callers
-// are promised; nothing is promised where that is zero.
-func (s *LatencyRatio) Add(took, promised time.Duration) {
+// Add records how long an event took and the promised time. It does nothing if the
+// promised time is zero.
+func (r *LatencyRatio) Add(took, promised time.Duration) {
 	if promised <= 0 {
 		return
 	}
 	ratio := min(float64(took)/float64(promised), maxLatencyRatio)
-	if !s.measured {
-		s.measured = true
-		s.mean = ratio
+	if !r.measured {
+		r.measured = true
+		r.mean = ratio
 		return
 	}
-	s.deviation += latencyWeight * (math.Abs(ratio-s.mean) - s.deviation)
-	s.mean += latencyWeight * (ratio - s.mean)
+	r.deviation += latencyWeight * (math.Abs(ratio-r.mean) - r.deviation)
+	r.mean += latencyWeight * (ratio - r.mean)
 }
 
-// Value returns what nearly all events stay below, as a share of the promised
-// time: above 1 many are late. It is 0 before anything was measured.
-func (s *LatencyRatio) Value() float64 { return s.mean + deviationFactor*s.deviation }
+// Value returns the level below which nearly all events stay, as a fraction of the
+// promised time. Above 1 many events are late. It is 0 before the first sample.
+func (r *LatencyRatio) Value() float64 { return r.mean + deviationFactor*r.deviation }
--- a/core/btgate/latency_test.go
+++ b/core/btgate/latency_test.go
@@ -9,8 +9,8 @@
 	"bilberrytide/core/btgate"
 )
 
-// A stream is late by its worst pause: of two loads with the same mean pause, the
-// one whose pauses differ is nearer to what callers are promised.
+// The worst pause makes a stream late: of two loads with the same mean pause, the one
+// with the larger deviation is closer to the promised time.
 func TestLatencyRatioIncludesDeviation(t *testing.T) {
 	var even, uneven btgate.LatencyRatio
 	for i := range 400 {
@@ -27,8 +27,8 @@
 	assert.Equal(t, s.Value(), 0.0)
 }
 
-// One pause of seconds, as when a group waits for a lost member, is forgotten
-// within a hundred others.
+// A single pause of seconds, such as a group waiting for a lost member, is forgotten
+// within a hundred samples.
 func TestLatencyRatioForgetsAnOutage(t *testing.T) {
 	var s btgate.LatencyRatio
 	s.Add(50*time.Millisecond, 100*time.Millisecond)
--- a/core/btgate/queue.go
+++ b/core/btgate/queue.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Request is what the gate knows of a request that waits.
+// Request holds the queueing parameters of a request.
 type Request struct {
-	// Priority orders requests; lower goes first.
+	// Priority orders requests; lower values are admitted first.
 	Priority int
-	// StartBy is until when its work must begin for the answer to be in time.
+	// StartBy is when its work must start for the response to be in time.
 	StartBy time.Time
-	// WaitUntil is how long it waits at the most.
+	// WaitUntil is when the request gives up waiting.
 	WaitUntil time.Time
-	// LastAttempt tells that its caller hardly comes back after a refusal.
+	// LastAttempt reports that the caller is unlikely to retry after a refusal.
 	LastAttempt bool
 }
 
-// WaitForGroupUntil returns until when the request waits for a broken group to open. One that
-// can come back waits while it can be in time: those who come back later, each when a
-// third of its time has passed, come spread over as long as they came in, and don't
-// keep those waiting who come when the group opens.
+// WaitForGroupUntil returns how long the request waits for a group that is not serving.
+// A request whose caller can retry waits only while it can be in time. Retries come
+// after a third of the remaining time, so they are spread like the original requests
+// and don't delay those that arrive when the group serves again.
 func (r Request) WaitForGroupUntil() time.Time {
 	if r.LastAttempt || r.WaitUntil.Before(r.StartBy) {
 		return r.WaitUntil
@@ -28,32 +28,30 @@
 	return r.StartBy
 }
 
-// Waiter is a waiting request.
-type Waiter[W any] struct {
+// Waiter is a queued request.
+type Waiter[V any] struct {
 	Request
-	Value    W
+	Value    V
 	admitted bool
 }
 
-// Admitted tells whether the request was admitted.
-func (w *Waiter[W]) Admitted() bool { return w.admitted }
+// Admitted reports whether the request was admitted.
+func (w *Waiter[V]) Admitted() bool { return w.admitted }
 
-// waitClass orders waiting requests of one priority.
+// waitClass orders queued requests of one priority.
 type waitClass int
 
 const (
 	// onTime is for requests that can still be answered in time.
 	onTime waitClass = iota
-	// lateLastAttempt is for those that are late already and whose caller hardly comes
-	// back.
+	// lateLastAttempt is for late requests whose caller is unlikely to retry.
 	lateLastAttempt
-	// late is for the others.
+	// late is for all other late requests.
 	late
 )
 
-// class tells in which order the request goes. What is late already is no worse
-// off for some more waiting, and what is not yet would be: so requests go first
-// while they can be in time, and then wait for what those leave.
+// class returns the request's class. Further waiting costs a late request nothing,
+// while it may make an on-time one late, so on-time requests are admitted first.
 func (r Request) class(now time.Time) waitClass {
 	switch {
 	case !now.After(r.StartBy):
@@ -64,11 +62,12 @@
 	return late
 }
 
-// precedes tells whether one request goes precedes another that came later. Of those that
-// can be in time the one with the most time goes first: where not all can be served in
-// time, the first come would each begin just as their time is over. In a group that is
-// asked for three times what it carries 0.36 of the worth was served with the first
-// come first and deadlines learned by the longest, 0.47 with this (one simulated day).
+// precedes reports whether r, which arrived first, is admitted before o. Among on-time
+// requests the one with the most time left is first: when not all can be served in
+// time, first-in-first-out order would start each one just as its time runs out. In one
+// simulated day at three times a group's capacity, 0.36 of the worth was served in
+// first-in-first-out order with only the longest deadline known, and 0.47 with this
+// order.
 func (r Request) precedes(o Request, now time.Time) bool {
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
@@ -80,9 +79,9 @@
 	return a <= b
 }
 
-// Enqueue queues a request. It returns nil where more wait before it than can be
-// admitted while it waits, at the rate at which requests leave.
-func (g *Gate[W]) Enqueue(now time.Time, r Request, value W) *Waiter[W] {
+// Enqueue queues a request. It returns nil if, at the current departure interval, the
+// requests ahead of it would not be admitted before it gives up.
+func (g *Gate[V]) Enqueue(now time.Time, r Request, value V) *Waiter[V] {
 	ahead := 0
 	for _, w := range g.queue {
 		if w.precedes(r, now) {
@@ -93,14 +92,14 @@
 	if now.Add(expectedWait).After(r.WaitUntil) {
 		return nil
 	}
-	w := &Waiter[W]{Request: r, Value: value}
+	w := &Waiter[V]{Request: r, Value: value}
 	g.queue = append(g.queue, w)
 	return w
 }
 
-// Cancel takes a waiting request out. It returns false where the request was
-// admitted meanwhile, so that its place must be given back with Leave.
-func (g *Gate[W]) Cancel(w *Waiter[W]) bool {
+// Cancel removes a queued request. It returns false if the request was admitted in the
+// meantime, so that its slot must be returned with Release.
+func (g *Gate[V]) Cancel(w *Waiter[V]) bool {
 	if w.admitted {
 		return false
 	}
@@ -110,10 +109,10 @@
 	return true
 }
 
-// admit gives free places to waiting requests.
-func (g *Gate[W]) admit(now time.Time) []*Waiter[W] {
-	var admitted []*Waiter[W]
-	g.queue = slices.DeleteFunc(g.queue, func(t *Waiter[W]) bool { return now.After(t.WaitUntil) })
+// admit assigns free slots to queued requests.
+func (g *Gate[V]) admit(now time.Time) []*Waiter[V] {
+	var admitted []*Waiter[V]
+	g.queue = slices.DeleteFunc(g.queue, func(w *Waiter[V]) bool { return now.After(w.WaitUntil) })
 	slots := g.EntryLimit(now)
 	for len(g.queue) > 0 && g.running < slots {
 		i := g.nextIndex(now)
@@ -126,11 +125,12 @@
 	return admitted
 }
 
-// nextIndex returns the index of the request that is admitted nextIndex; there must be one.
-// Places that were promised to callers who come back go to them, though others could
-// be in time: they don't come a third time. Without this 1.7 in 100 requests were
-// refused for good on a simulated day with two outages, with it 1.2 to 1.6.
-func (g *Gate[W]) nextIndex(now time.Time) int {
+// nextIndex returns the index of the request to admit next; the queue must not be
+// empty. A retryFraction of the slots is reserved for last attempts, even if others
+// could be in time, as their callers don't try a third time. On a simulated day with
+// two outages 1.7 % of the requests were refused for good without this rule, and 1.2 to
+// 1.6 % with it.
+func (g *Gate[V]) nextIndex(now time.Time) int {
 	last := g.expiringLastAttempt(now)
 	if last < 0 {
 		return g.firstIndex(now)
@@ -143,9 +143,9 @@
 	return last
 }
 
-// expiringLastAttempt returns the index of the request that gives up first among those that give
-// up soon and whose callers hardly come back; -1 without one.
-func (g *Gate[W]) expiringLastAttempt(now time.Time) int {
+// expiringLastAttempt returns the index of the last attempt that gives up first within
+// lastAttemptWindow, or -1 if there is none.
+func (g *Gate[V]) expiringLastAttempt(now time.Time) int {
 	last := -1
 	for i, w := range g.queue {
 		if !w.LastAttempt || w.WaitUntil.Sub(now) > lastAttemptWindow {
@@ -158,11 +158,12 @@
 	return last
 }
 
-// firstIndex returns the index of the request that goes firstIndex; there must be one.
-func (g *Gate[W]) firstIndex(now time.Time) int {
+// firstIndex returns the index of the request that precedes all others; the queue must
+// not be empty.
+func (g *Gate[V]) firstIndex(now time.Time) int {
 	best := 0
-	for i, t := range g.queue {
-		if !g.queue[best].precedes(t.Request, now) {
+	for i, w := range g.queue {
+		if !g.queue[best].precedes(w.Request, now) {
 			best = i
 		}
 	}
--- a/core/btgate/queue_test.go
+++ b/core/btgate/queue_test.go
@@ -10,8 +10,8 @@
 	"bilberrytide/core/btgate"
 )
 
-// Those that can still be in time go first, then those whose callers hardly come
-// back, then the others; within each the first come.
+// On-time requests are admitted first, then late last attempts, then other late
+// requests, each class in order of arrival.
 func TestOnTimeRequestsAreAdmittedFirst(t *testing.T) {
 	g := newGate(1)
 	g.TryAcquire(start)
@@ -29,7 +29,7 @@
 	assert.DeepEqual(t, drain(g, start), []int{2, 4, 1, 0, 3})
 }
 
-// A request that waited until it was late goes behind those that are not.
+// A request that becomes late in the queue is admitted after on-time requests.
 func TestLateRequestsLosePrecedence(t *testing.T) {
 	g := newGate(1)
 	g.TryAcquire(start)
@@ -39,12 +39,13 @@
 	assert.DeepEqual(t, drain(g, start.Add(2*time.Second)), []int{2, 1})
 }
 
-// drain empties a gate of one place and returns the order in which requests went.
+// drain releases the only slot until the queue is empty and returns the order of
+// admission.
 func drain(g *btgate.Gate[int], now time.Time) []int {
 	var order []int
 	for g.Running() > 0 {
-		for _, t := range g.Release(now, time.Millisecond) {
-			order = append(order, t.Value)
+		for _, w := range g.Release(now, time.Millisecond) {
+			order = append(order, w.Value)
 		}
 	}
 	return order
@@ -54,18 +55,18 @@
 	c := btgate.Caller{Remaining: 8 * time.Second, FirstAttempt: btgate.DeadlineRange{Shortest: 8 * time.Second, Longest: 8 * time.Second}, Timeout: 8 * time.Second, Objective: 400 * time.Millisecond}
 	r := c.Request(start, 3, 150*time.Millisecond)
 	assert.DeepEqual(t, r, btgate.Request{Priority: 3, StartBy: start.Add(250 * time.Millisecond), WaitUntil: start.Add(1500 * time.Millisecond)})
-	assert.Equal(t, r.WaitForGroupUntil(), r.StartBy, "it can come back")
+	assert.Equal(t, r.WaitForGroupUntil(), r.StartBy, "its caller can retry")
 	c.Remaining = 5 * time.Second
 	r = c.Request(start, 3, 150*time.Millisecond)
-	assert.Assert(t, r.LastAttempt && r.StartBy.Before(start), "it came first three seconds ago")
+	assert.Assert(t, r.LastAttempt && r.StartBy.Before(start), "its first attempt was three seconds ago")
 	assert.Equal(t, r.WaitUntil, start.Add(1250*time.Millisecond))
 	assert.Equal(t, r.WaitForGroupUntil(), r.WaitUntil)
 	c = btgate.Caller{Timeout: time.Second}
 	assert.DeepEqual(t, c.Request(start, 0, 0), btgate.Request{WaitUntil: start.Add(250 * time.Millisecond)})
 }
 
-// outage is a group that is away while callers go on coming, and then serves a
-// bounded number at once.
+// outage is a group that does not serve while callers keep arriving, and then serves a
+// bounded number at a time.
 type outage struct {
 	slots       int
 	perSecond   float64
@@ -80,15 +81,15 @@
 	outageDeadline  = 8 * time.Second
 )
 
-// outageCall is a request of an outage's callers.
+// outageCall is a request sent during or after an outage.
 type outageCall struct {
 	created, nextTry time.Time
 	retried          bool
 	waiter           *btgate.Waiter[*outageCall]
 }
 
-// outageRun plays an outage, in which a request waits for the group until the time
-// that the policy says.
+// outageRun simulates an outage. Until is the policy for how long a request waits for
+// the group.
 type outageRun struct {
 	outage
 	until   func(r btgate.Request) time.Time
@@ -99,8 +100,8 @@
 	next    time.Time
 	arrived int
 	served  int
-	// recovery and recoveryInTime are those who come in the two seconds recovery the group is open,
-	// and those of them who are served in time.
+	// recovery counts the requests that arrive within two seconds after the group
+	// serves again, recoveryInTime those of them that are served in time.
 	recovery, recoveryInTime int
 }
 
@@ -135,8 +136,8 @@
 			r.ends = append(r.ends, end)
 			continue
 		}
-		for _, t := range r.gate.Release(now, r.serviceTime) {
-			r.serve(now, t.Value)
+		for _, w := range r.gate.Release(now, r.serviceTime) {
+			r.serve(now, w.Value)
 		}
 	}
 	calls := r.calls
@@ -148,7 +149,8 @@
 	}
 }
 
-// justRecovered tells whether the time is in the two seconds after the group is open.
+// justRecovered reports whether the time is within two seconds after the group serves
+// again.
 func (r *outageRun) justRecovered(at time.Time) bool {
 	recovered := start.Add(r.downtime)
 	return !at.Before(recovered) && at.Before(recovered.Add(2*time.Second))
@@ -162,7 +164,7 @@
 	r.ends = append(r.ends, now.Add(r.serviceTime/2+time.Duration(r.random.Float64()*float64(r.serviceTime))))
 }
 
-// pending tells whether a call is to be looked at again.
+// pending handles a call and reports whether it is still undecided.
 func (r *outageRun) pending(now time.Time, c *outageCall) bool {
 	remaining := outageDeadline - c.nextTry.Sub(c.created)
 	caller := btgate.Caller{Remaining: remaining, FirstAttempt: btgate.DeadlineRange{Shortest: outageDeadline, Longest: outageDeadline}, Timeout: outageDeadline, Objective: outageObjective}
@@ -191,7 +193,7 @@
 	return r.scheduleRetry(c, remaining/3, now)
 }
 
-// scheduleRetry has a call come again, if it hasn't yet.
+// scheduleRetry schedules the call's only retry and reports whether there is one left.
 func (r *outageRun) scheduleRetry(c *outageCall, after time.Duration, now time.Time) bool {
 	if c.retried {
 		return false
@@ -201,14 +203,15 @@
 	return true
 }
 
-// The policies: all wait for a group as long as they can, or those who can come back
-// wait while they can be in time.
+// The policies compared: every request waits for the group until it gives up, or
+// requests whose caller can retry wait only while they can be in time.
 func waitUntilGivingUp(r btgate.Request) time.Time { return r.WaitUntil }
 func waitWhileOnTime(r btgate.Request) time.Time   { return r.WaitForGroupUntil() }
 
-// Where all who came while a group was away wait for it, they take its places as it
-// opens, and those are late too who come then; what is late already has time. It
-// costs a few of them their last try, as they come back into the day's full load.
+// Guards against a backlog after an outage: if every request that arrived during the
+// outage waits for the group, these requests take its slots when it serves again and
+// make later ones late, although they are late already. Waiting only while in time
+// costs a few of them their last attempt, as they retry at full load.
 func TestRequestsAfterAnOutageAreInTime(t *testing.T) {
 	o := outage{slots: 48, perSecond: 28, downtime: 1500 * time.Millisecond, serviceTime: 1200 * time.Millisecond}
 	var patient, onTime outageRun
@@ -216,14 +219,14 @@
 		patient.add(o.run(seed, waitUntilGivingUp))
 		onTime.add(o.run(seed, waitWhileOnTime))
 	}
-	t.Logf("all wait: %d in time of %d after the outage, %d lost of %d; kept: %d of %d, %d of %d",
+	t.Logf("wait until giving up: %d in time of %d after the outage, %d lost of %d; wait while on time: %d of %d, %d of %d",
 		patient.recoveryInTime, patient.recovery, patient.arrived-patient.served, patient.arrived, onTime.recoveryInTime, onTime.recovery, onTime.arrived-onTime.served, onTime.arrived)
 	assert.Assert(t, onTime.recoveryInTime*100 >= onTime.recovery*98)
 	assert.Assert(t, patient.recoveryInTime*100 < patient.recovery*90)
 	assert.Assert(t, (onTime.arrived-onTime.served)*50 <= onTime.arrived)
 }
 
-// add adds another run's counts.
+// add adds the counts of another run.
 func (r *outageRun) add(o *outageRun) {
 	r.arrived += o.arrived
 	r.served += o.served
--- a/core/btgate/retry.go
+++ b/core/btgate/retry.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// initialDepartureInterval is the time between two requests that leave as it is told to callers
-// before any has been answered: some fifty at work that take a second each.
+// initialDepartureInterval is the departure interval assumed before any request has
+// been answered. It corresponds to fifty requests at work that take a second each.
 const initialDepartureInterval = 20 * time.Millisecond
 
-// retryFraction is the part of the requests that leave whose places are promised to
-// callers who were refused; the others are for new callers.
+// retryFraction is the fraction of released slots that is reserved for refused callers
+// who retry; the others are for new callers.
 const retryFraction = 1.0 / 3
 
-// RetryAfter returns after how long a refused caller is likely to find a place:
-// after those that wait now, and those that were told to come back before. Each
-// caller is told a time of its own, so that they don't all come at once.
-func (g *Gate[W]) RetryAfter(now time.Time, longest time.Duration) time.Duration {
+// RetryAfter returns the delay after which a refused caller is likely to get a slot:
+// after the requests that are queued now and after the callers that were refused
+// earlier. Each caller gets a different delay, so that they don't all retry at once.
+// Longest bounds the delay.
+func (g *Gate[V]) RetryAfter(now time.Time, longest time.Duration) time.Duration {
 	interval := g.departureInterval()
 	if interval == 0 {
 		interval = initialDepartureInterval
--- a/core/btgate/retry_test.go
+++ b/core/btgate/retry_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Each refused caller is told a later time than the one before, so that they don't
-// all come at once, and none a later one than it can follow.
+// Guards against simultaneous retries: each refused caller gets a longer delay than the
+// one before, and none a longer one than its deadline allows.
 func TestRetryDelaysIncrease(t *testing.T) {
 	g := busyGate(60 * time.Millisecond)
 	const longest = 2 * time.Second
@@ -26,8 +26,7 @@
 	assert.Assert(t, refused >= 8 && refused <= 12, "%d", refused)
 }
 
-// Once those who were told to come back have had their time, the next is told a
-// short one again.
+// Once the booked time has passed, the next refused caller gets a short delay again.
 func TestBookedTimeExpires(t *testing.T) {
 	g := busyGate(60 * time.Millisecond)
 	for range 5 {
--- a/core/btgate/settle_test.go
+++ b/core/btgate/settle_test.go
@@ -9,9 +9,10 @@
 	"bilberrytide/core/btgate"
 )
 
-// An entry that has just started meets a group that has just formed: steps of 250 ms,
-// of which 150 are allowed, until the first map is in force, then steps of 80 ms. The
-// limit must not follow the first ones, as they are over before it could help.
+// Guards against a limit cut by a group's first steps. An entry that has just started
+// meets a new group: steps of 250 ms, of which 150 are allowed, until the first map is
+// in force, then steps of 80 ms. The limit must not follow the first steps, as they end
+// before a lower limit could help.
 func TestFirstStepsOfAGroupDoNotDecreaseTheLimit(t *testing.T) {
 	const allowed = 150 * time.Millisecond
 	g := btgate.New[int](btgate.Config{MinLimit: 180, MaxLimit: 720, InitialLimit: 720, Entries: 15})
@@ -31,11 +32,11 @@
 		assert.Equal(t, g.Limit(), 720)
 		steps(80*time.Millisecond, 3*time.Second)
 		assert.Equal(t, g.Limit(), 720)
-		// The group breaks, and forms anew.
+		// The group fails and forms again.
 		now = now.Add(4 * time.Second)
 	}
 	for g.TryAcquire(now) {
 	}
 	steps(160*time.Millisecond, 4*time.Second)
-	assert.Assert(t, g.Limit() < 720, "steps that stay long still count")
+	assert.Assert(t, g.Limit() < 720, "persistently long steps must decrease the limit")
 }
