--- a/core/btpick/btpick_test.go
+++ b/core/btpick/btpick_test.go
@@ -10,96 +10,96 @@
 	"bilberrytide/core/btpick"
 )
 
-func draw(seed uint64) func(int) int { return rand.New(rand.NewPCG(seed, 1)).IntN }
+func newIntN(seed uint64) func(int) int { return rand.New(rand.NewPCG(seed, 1)).IntN }
 
-func TestNoCandidates(t *testing.T) {
-	assert.Equal(t, btpick.Best(nil, draw(1)), -1)
+func TestPickWithoutCandidates(t *testing.T) {
+	assert.Equal(t, btpick.Pick(nil, newIntN(1)), -1)
 }
 
-func TestTheLeastLoadedOfAFewIsTaken(t *testing.T) {
-	idle := btpick.Candidate{Near: true}
+func TestPickChoosesTheLeastLoaded(t *testing.T) {
+	idle := btpick.Candidate{Local: true}
 	for name, busy := range map[string]btpick.Candidate{
-		"running":        {Near: true, Requests: 3},
-		"prompts unread": {Near: true, Tokens: 900},
-		"others":         {Near: true, Others: 2},
+		"running":        {Local: true, Requests: 3},
+		"prompts unread": {Local: true, PendingTokens: 900},
+		"others":         {Local: true, OtherRequests: 2},
 		"far":            {},
-		"slow":           {Near: true, Pace: 4},
+		"slow":           {Local: true, Slowdown: 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := draw(2)
+			intN := newIntN(2)
 			for range 100 {
-				assert.Equal(t, btpick.Best([]btpick.Candidate{busy, idle, busy}, d), 1)
+				assert.Equal(t, btpick.Pick([]btpick.Candidate{busy, idle, busy}, intN), 1)
 			}
 		})
 	}
 }
 
-func TestAFarTargetOnlyWinsWithLess(t *testing.T) {
-	d := draw(3)
-	assert.Equal(t, btpick.Best([]btpick.Candidate{{Near: true, Requests: 1}, {}}, d), 1)
-	assert.Equal(t, btpick.Best([]btpick.Candidate{{Near: true}, {}}, d), 0)
+func TestRemoteTargetWinsOnlyIfLessLoaded(t *testing.T) {
+	intN := newIntN(3)
+	assert.Equal(t, btpick.Pick([]btpick.Candidate{{Local: true, Requests: 1}, {}}, intN), 1)
+	assert.Equal(t, btpick.Pick([]btpick.Candidate{{Local: true}, {}}, intN), 0)
 }
 
-func TestAScarceTargetIsAlwaysCompared(t *testing.T) {
+func TestPickAlwaysComparesMarkedTargets(t *testing.T) {
 	candidates := make([]btpick.Candidate, 50)
 	for i := range candidates {
-		candidates[i] = btpick.Candidate{Near: true, Requests: 2}
+		candidates[i] = btpick.Candidate{Local: true, Requests: 2}
 	}
-	candidates[20] = btpick.Candidate{Scarce: true, Near: true}
-	d := draw(5)
+	candidates[20] = btpick.Candidate{AlwaysCompare: true, Local: true}
+	intN := newIntN(5)
 	for range 100 {
-		assert.Equal(t, btpick.Best(candidates, d), 20)
+		assert.Equal(t, btpick.Pick(candidates, intN), 20)
 	}
 	candidates[20].Requests = 9
 	for range 100 {
-		assert.Assert(t, btpick.Best(candidates, d) != 20, "it has more than others")
+		assert.Assert(t, btpick.Pick(candidates, intN) != 20, "it has more than others")
 	}
 }
 
 // Sixteen entries hear of the load now and then; each sends by what it heard and
 // by its own requests. Taking the best of all piles requests up.
-func TestEntriesWithOldKnowledgeSpread(t *testing.T) {
-	chosen := mostAtOneTarget(btpick.Best)
-	all := mostAtOneTarget(bestOfAll)
-	t.Logf("most new requests at one target: %d by a few chosen by chance, %d by all", chosen, all)
-	assert.Assert(t, chosen*3 < all*2)
+func TestStaleLoadDoesNotConcentrateRequests(t *testing.T) {
+	sampled := maxPerTarget(btpick.Pick)
+	greedy := maxPerTarget(pickLeastOfAll)
+	t.Logf("most new requests at one target: %d by a few chosen by chance, %d by all", sampled, greedy)
+	assert.Assert(t, sampled*3 < greedy*2)
 }
 
-// bestOfAll is the naive choice.
-func bestOfAll(candidates []btpick.Candidate, _ func(int) int) int {
+// pickLeastOfAll is the naive choice.
+func pickLeastOfAll(candidates []btpick.Candidate, _ func(int) int) int {
 	best := 0
 	for i, c := range candidates {
-		if c.Others+float64(c.Requests) < candidates[best].Others+float64(candidates[best].Requests) {
+		if c.OtherRequests+float64(c.Requests) < candidates[best].OtherRequests+float64(candidates[best].Requests) {
 			best = i
 		}
 	}
 	return best
 }
 
-func mostAtOneTarget(best func([]btpick.Candidate, func(int) int) int) int {
+func maxPerTarget(pick func([]btpick.Candidate, func(int) int) int) int {
 	const (
-		targets = 72
-		entries = 16
-		sends   = 6
+		targets  = 72
+		entries  = 16
+		requests = 6
 	)
-	d := draw(4)
+	intN := newIntN(4)
 	worst := 0
 	for range 20 {
 		reported := make([]float64, targets)
 		for i := range reported {
-			reported[i] = float64(d(8))
+			reported[i] = float64(intN(8))
 		}
 		total := make([]int, targets)
 		for range entries {
 			own := make([]int, targets)
-			for range sends {
+			for range requests {
 				candidates := make([]btpick.Candidate, targets)
 				for i := range candidates {
-					candidates[i] = btpick.Candidate{Requests: own[i], Others: reported[i], Near: true}
+					candidates[i] = btpick.Candidate{Requests: own[i], OtherRequests: reported[i], Local: true}
 				}
-				at := best(candidates, d)
-				own[at]++
-				total[at]++
+				target := pick(candidates, intN)
+				own[target]++
+				total[target]++
 			}
 		}
 		worst = max(worst, slices.Max(total))
--- a/io/btdirect/choose.go
+++ b/io/btdirect/choose.go
@@ -59,15 +59,15 @@
 	compared := make([]btpick.Candidate, len(list))
 	for i, t := range list {
 		compared[i] = btpick.Candidate{
-			Requests: t.requests,
-			Tokens:   t.tokens,
-			Others:   t.others(now),
-			Near:     t.info.DataCentre == f.near,
-			Pace:     t.pace,
-			Scarce:   all.scarce[t],
+			Requests:      t.requests,
+			PendingTokens: t.tokens,
+			OtherRequests: t.others(now),
+			Local:         t.info.DataCentre == f.near,
+			Slowdown:      t.pace,
+			AlwaysCompare: all.scarce[t],
 		}
 	}
-	t := list[btpick.Best(compared, rand.IntN)]
+	t := list[btpick.Pick(compared, rand.IntN)]
 	f.placed(s, t, tokens, now)
 	return choice{target: t, limited: len(all.limited)}
 }
