--- a/core/btpick/btpick.go
+++ b/core/btpick/btpick.go
@@ -1,30 +1,33 @@
-// Package btpick chooses the target of a request among those that may take it.
+// Package btpick chooses the target of a request by comparing the costs of a few random
+// candidates.
 package btpick
 
 // Candidate is a target as one entry sees it.
 type Candidate struct {
-	// Requests is how many requests of this entry are at the target.
+	// Requests is the number of this entry's requests at the target.
 	Requests int
-	// PendingTokens is how many prompt tokens of them are still to be read.
+	// PendingTokens is the number of prompt tokens of these requests that the target
+	// has not read yet.
 	PendingTokens int
-	// OtherRequests is how many requests of other entries are believed to be there.
+	// OtherRequests is the estimated number of requests of other entries at the target.
 	OtherRequests float64
-	// Local tells that the target is in the entry's data centre.
+	// Local reports that the target is in the entry's data centre.
 	Local bool
-	// Slowdown is how slow the target is; 1 is as usual.
+	// Slowdown is the target's latency as a multiple of the usual one; 1 is normal.
 	Slowdown float64
-	// AlwaysCompare targets take few requests, and this entry may send one now: they are always
-	// among those compared, as the place would lie idle until chance falls on them.
+	// AlwaysCompare adds the candidate to every comparison. It marks a target that
+	// takes few requests and to which this entry may send one now; otherwise its
+	// capacity would lie idle until it is sampled.
 	AlwaysCompare bool
 }
 
 const (
-	// tokensPerRequest is how many prompt tokens weigh as much as a running
-	// request: an engine reads them in the time that the request adds to the
-	// passes of its answer.
+	// tokensPerRequest is the number of unread prompt tokens that weigh as much as a
+	// running request: an engine reads them in the time that the request adds to the
+	// steps of its response.
 	tokensPerRequest = 250
-	// remoteCost is what a target of another data centre costs, in requests:
-	// less than one, so that it breaks ties and never piles requests up.
+	// remoteCost is the cost of a target in another data centre, in requests. It is
+	// less than one, so that it breaks ties but never makes requests pile up.
 	remoteCost = 0.9
 )
 
@@ -39,19 +42,19 @@
 	return load
 }
 
-// choices is how many candidates are compared: what is known of others' requests
-// is some 300 ms old, and if each entry took the best of all, all would send to
-// the same few targets until the next word. With a few chosen by chance the load
-// stays nearly as even as with fresh knowledge of all. Most are of the entry's
-// own data centre, as bytes between data centres are paid for, and some are not,
-// so that a data centre with more callers than targets gets help.
+// localChoices and remoteChoices are the numbers of candidates that are sampled. The
+// known load of other entries is some 300 ms old; if each entry took the least loaded
+// of all targets, all would send to the same few until the next report. Sampling a few
+// keeps the load nearly as even as with current knowledge of all. Most are from the
+// entry's own data centre, as traffic between data centres is paid for; some are
+// remote, so that a data centre with more callers than targets gets help.
 const (
 	localChoices  = 3
 	remoteChoices = 2
 )
 
-// Pick returns the index of the candidate that costs least among a few that are
-// chosen by chance, or -1 without any. Draw returns uniform numbers in [0, n).
+// Pick returns the index of the cheapest candidate among a random sample, or -1 if
+// there are none. IntN returns uniform random numbers in [0, n).
 func Pick(candidates []Candidate, intN func(n int) int) int {
 	var local, remote, compared []int
 	for i, c := range candidates {
@@ -78,7 +81,7 @@
 	return best
 }
 
-// sample moves some of the list, chosen by chance, to its front and returns them.
+// sample moves random elements to the front of the list and returns them.
 func sample(list []int, count int, intN func(n int) int) []int {
 	count = min(count, len(list))
 	for i := range count {
--- a/core/btpick/btpick_test.go
+++ b/core/btpick/btpick_test.go
@@ -52,20 +52,21 @@
 	}
 	candidates[20].Requests = 9
 	for range 100 {
-		assert.Assert(t, btpick.Pick(candidates, intN) != 20, "it has more than others")
+		assert.Assert(t, btpick.Pick(candidates, intN) != 20, "its load is above the others'")
 	}
 }
 
-// Sixteen entries hear of the load now and then; each sends by what it heard and
-// by its own requests. Taking the best of all piles requests up.
+// Guards against herding: sixteen entries know the load from occasional reports and
+// their own requests. If each takes the least loaded of all targets, requests pile up
+// at a few of them.
 func TestStaleLoadDoesNotConcentrateRequests(t *testing.T) {
 	sampled := maxPerTarget(btpick.Pick)
 	greedy := maxPerTarget(pickLeastOfAll)
-	t.Logf("most new requests at one target: %d by a few chosen by chance, %d by all", sampled, greedy)
+	t.Logf("most new requests at one target: %d with a random sample, %d with all compared", sampled, greedy)
 	assert.Assert(t, sampled*3 < greedy*2)
 }
 
-// pickLeastOfAll is the naive choice.
+// pickLeastOfAll compares all candidates.
 func pickLeastOfAll(candidates []btpick.Candidate, _ func(int) int) int {
 	best := 0
 	for i, c := range candidates {
