--- a/cmd/bilberrytide/overload_test.go
+++ b/cmd/bilberrytide/overload_test.go
@@ -304,7 +304,7 @@
 	}
 	of("  done", btrequest.Done, "")
 	of("  not run", btrequest.NotRun, "")
-	of("    of them, wait past the goal or deadline", btrequest.NotRun, btqueue.ReasonWait)
+	of("    of them, wait past the goal or deadline", btrequest.NotRun, btqueue.ReasonWaitTooLong)
 	of("    of them, queue full", btrequest.NotRun, btqueue.ReasonFull)
 	of("  unknown", btrequest.Unknown, "")
 	return c
--- a/core/btqueue/btqueue.go
+++ b/core/btqueue/btqueue.go
@@ -43,23 +43,23 @@
 type Settings struct {
 	// Slots is how many requests run at a time.
 	Slots int
-	// Queue is how many more may wait.
-	Queue int
-	// FirstEstimate is the time that a request of cost 1 is thought to hold a
+	// QueueLimit is how many more may wait.
+	QueueLimit int
+	// InitialServiceTime is the time that a request of cost 1 is thought to hold a
 	// slot before any has finished.
-	FirstEstimate time.Duration
-	// RetryAfterMax bounds the time that refused requests are told to wait,
+	InitialServiceTime time.Duration
+	// MaxRetryAfter bounds the time that refused requests are told to wait,
 	// jitter of a tenth apart. A longer backlog than it can't be told truly.
-	RetryAfterMax time.Duration
+	MaxRetryAfter time.Duration
 }
 
 // DefaultSettings returns the settings for a target of the given sizes.
-func DefaultSettings(slots, queue int) Settings {
+func DefaultSettings(slots, queueLimit int) Settings {
 	return Settings{
-		Slots:         slots,
-		Queue:         queue,
-		FirstEstimate: time.Second,
-		RetryAfterMax: time.Minute,
+		Slots:              slots,
+		QueueLimit:         queueLimit,
+		InitialServiceTime: time.Second,
+		MaxRetryAfter:      time.Minute,
 	}
 }
 
@@ -69,21 +69,21 @@
 	random   *rand.Rand
 	asserter *btassert.Asserter
 
-	now         time.Time
-	slots       int
-	room        int
-	draining    bool
-	idle        bool
-	serial      uint64
-	queue       *fair
-	waiting     map[btid.Request]*item
-	running     map[btid.Request]*item
-	runningCost float64
-	deadline    time.Time
-	refused     refusals
-	estimate    estimate
-	limiter     limiter
-	effects     []Effect
+	now          time.Time
+	slots        int
+	queueLimit   int
+	draining     bool
+	drained      bool
+	serial       uint64
+	queue        *fairQueue
+	waiting      map[btid.Request]*item
+	running      map[btid.Request]*item
+	runningCost  float64
+	nextDeadline time.Time
+	refused      refusalHistory
+	estimate     serviceEstimate
+	limiter      rateLimiter
+	effects      []Effect
 }
 
 var _ btcore.Machine[Event, Effect] = (*Queue)(nil)
@@ -91,16 +91,16 @@
 // New returns an empty queue. Jitter is drawn from random.
 func New(settings Settings, random *rand.Rand, asserter *btassert.Asserter) *Queue {
 	return &Queue{
-		settings: settings,
-		random:   random,
-		asserter: asserter,
-		slots:    max(settings.Slots, 0),
-		room:     max(settings.Queue, 0),
-		queue:    newFair(),
-		waiting:  map[btid.Request]*item{},
-		running:  map[btid.Request]*item{},
-		refused:  newRefusals(),
-		estimate: newEstimate(max(settings.FirstEstimate, time.Microsecond)),
+		settings:   settings,
+		random:     random,
+		asserter:   asserter,
+		slots:      max(settings.Slots, 0),
+		queueLimit: max(settings.QueueLimit, 0),
+		queue:      newFairQueue(),
+		waiting:    map[btid.Request]*item{},
+		running:    map[btid.Request]*item{},
+		refused:    newRefusalHistory(),
+		estimate:   newServiceEstimate(max(settings.InitialServiceTime, time.Microsecond)),
 	}
 }
 
@@ -113,22 +113,22 @@
 	q.expire(q.now)
 	switch e := event.(type) {
 	case Arrived:
-		q.arrived(q.now, e.normal())
+		q.arrived(q.now, e.normalised())
 	case Finished:
 		q.finished(q.now, e)
 	case Cancelled:
 		q.cancelled(e)
 	case Drain:
 		q.drain()
-	case Policy:
+	case Resize:
 		q.resize(q.now, e)
-	case Rate:
-		q.limiter.named(q.now, e, q.random.Float64())
+	case RateLimit:
+		q.limiter.set(q.now, e, q.random.Float64())
 	case Tick:
-		q.queue.forget()
+		q.queue.pruneIdleTags()
 	}
 	q.dispatch(q.now)
-	q.settle()
+	q.endBusyPeriod()
 	return q.effects
 }
 
@@ -137,18 +137,18 @@
 		return
 	}
 	if reason, ok := q.refused.reason(a.ID); ok {
-		q.refuse(a.ID, reason, q.after(now, reason, a.Cost))
+		q.refuse(a.ID, reason, q.retryDelay(now, reason, a.Cost))
 		return
 	}
 	if reason, ok := q.admit(now, a); !ok {
-		q.refuse(a.ID, reason, q.after(now, reason, a.Cost))
+		q.refuse(a.ID, reason, q.retryDelay(now, reason, a.Cost))
 		return
 	}
 	q.serial++
 	i := &item{Arrived: a, serial: q.serial}
 	q.waiting[a.ID] = i
 	q.queue.push(i)
-	q.noteDeadline(a.Deadline)
+	q.trackDeadline(a.Deadline)
 }
 
 // admit tells whether the request may wait or start, and makes room for it.
@@ -161,39 +161,39 @@
 	}
 	if q.limiter.wait(now) > 0 {
 		// It would wait here while other targets have room.
-		return ReasonLimited, false
+		return ReasonRateLimited, false
 	}
 	if len(q.running) < q.slots && q.queue.count == 0 {
 		// A free slot runs it whatever the estimate says; its run mends a wrong
 		// estimate, which refusals alone never would.
 		return "", true
 	}
-	run := seconds(a.Cost * q.unit(now))
-	wait := q.wait(now, q.queue.ahead(a))
-	if now.Add(wait+run).After(a.Deadline) || !a.inGoal(now, wait) {
-		return ReasonWait, false
+	service := fromSeconds(a.Cost * q.unitTime(now))
+	wait := q.expectedWait(now, q.queue.costAhead(a))
+	if now.Add(wait+service).After(a.Deadline) || !a.withinGoal(now, wait) {
+		return ReasonWaitTooLong, false
 	}
-	if q.queue.count < q.room {
+	if q.queue.count < q.queueLimit {
 		return "", true
 	}
-	return q.makeRoom(now, a)
+	return q.displace(now, a)
 }
 
-// makeRoom gives up the place of a request that a full queue owes less than
+// displace gives up the place of a request that a full queue owes less than
 // the one that arrived.
-func (q *Queue) makeRoom(now time.Time, a Arrived) (btrequest.Reason, bool) {
-	if q.room == 0 {
+func (q *Queue) displace(now time.Time, a Arrived) (btrequest.Reason, bool) {
+	if q.queueLimit == 0 {
 		return ReasonFull, false
 	}
-	w := q.queue.byName[q.queue.heaviest(a)]
-	if w == nil {
+	f := q.queue.byAccount[q.queue.largestBacklog(a)]
+	if f == nil {
 		return ReasonFull, false
 	}
-	last := w.last()
-	if w.account == a.Account && last.Priority >= a.Priority {
+	last := f.victim()
+	if f.account == a.Account && last.Priority >= a.Priority {
 		return ReasonFull, false
 	}
-	q.drop(last, ReasonDisplaced, q.retryAfter(now, last.Cost))
+	q.drop(last, ReasonDisplaced, q.bookRetry(now, last.Cost))
 	return "", true
 }
 
@@ -207,8 +207,8 @@
 	if len(q.running) == 0 {
 		q.runningCost = 0
 	}
-	q.estimate.finished(e.Took, i.Cost)
-	q.estimate.progress = now
+	q.estimate.add(e.Took, i.Cost)
+	q.estimate.lastChange = now
 }
 
 func (q *Queue) cancelled(e Cancelled) {
@@ -219,45 +219,45 @@
 
 func (q *Queue) drain() {
 	q.draining = true
-	for _, i := range q.inOrder() {
+	for _, i := range q.byArrival() {
 		q.drop(i, ReasonDraining, 0)
 	}
 }
 
-func (q *Queue) resize(now time.Time, e Policy) {
+func (q *Queue) resize(now time.Time, e Resize) {
 	q.slots = max(e.Slots, 0)
-	q.room = max(e.Queue, 0)
-	waiting := q.inOrder()
-	for len(waiting) > q.room {
+	q.queueLimit = max(e.QueueLimit, 0)
+	waiting := q.byArrival()
+	for len(waiting) > q.queueLimit {
 		last := waiting[len(waiting)-1]
 		waiting = waiting[:len(waiting)-1]
-		q.drop(last, ReasonFull, q.retryAfter(now, last.Cost))
+		q.drop(last, ReasonFull, q.bookRetry(now, last.Cost))
 	}
 }
 
 // expire refuses what waited past its deadline.
 func (q *Queue) expire(now time.Time) {
-	if q.deadline.IsZero() || q.deadline.After(now) {
+	if q.nextDeadline.IsZero() || q.nextDeadline.After(now) {
 		return
 	}
-	q.deadline = time.Time{}
-	for _, i := range q.inOrder() {
+	q.nextDeadline = time.Time{}
+	for _, i := range q.byArrival() {
 		if !i.Deadline.After(now) {
-			q.drop(i, ReasonDeadline, q.retryAfter(now, i.Cost))
+			q.drop(i, ReasonDeadline, q.bookRetry(now, i.Cost))
 			continue
 		}
-		q.noteDeadline(i.Deadline)
+		q.trackDeadline(i.Deadline)
 	}
 }
 
-func (q *Queue) noteDeadline(deadline time.Time) {
-	if q.deadline.IsZero() || deadline.Before(q.deadline) {
-		q.deadline = deadline
+func (q *Queue) trackDeadline(deadline time.Time) {
+	if q.nextDeadline.IsZero() || deadline.Before(q.nextDeadline) {
+		q.nextDeadline = deadline
 	}
 }
 
-// inOrder returns what waits by order of arrival.
-func (q *Queue) inOrder() []*item {
+// byArrival returns what waits by order of arrival.
+func (q *Queue) byArrival() []*item {
 	items := make([]*item, 0, len(q.waiting))
 	for _, i := range q.waiting {
 		items = append(items, i)
@@ -284,48 +284,48 @@
 	ok = q.asserter.That(!refused, NoStartAfterRefuse, "%s", i.ID) && ok
 	ok = q.asserter.That(!q.draining, DrainNoNewWork, "%s", i.ID) && ok
 	if !ok {
-		q.refuse(i.ID, ReasonFull, q.retryAfter(now, i.Cost))
+		q.refuse(i.ID, ReasonFull, q.bookRetry(now, i.Cost))
 		return
 	}
 	q.limiter.take()
 	i.started = now
 	q.running[i.ID] = i
 	q.runningCost += i.Cost
-	q.estimate.progress = now
+	q.estimate.lastChange = now
 	q.effects = append(q.effects, Start{ID: i.ID})
 }
 
 // drop refuses a request that waits.
-func (q *Queue) drop(i *item, reason btrequest.Reason, after time.Duration) {
+func (q *Queue) drop(i *item, reason btrequest.Reason, retryAfter time.Duration) {
 	delete(q.waiting, i.ID)
 	q.queue.remove(i)
-	q.refuse(i.ID, reason, after)
+	q.refuse(i.ID, reason, retryAfter)
 }
 
-func (q *Queue) refuse(id btid.Request, reason btrequest.Reason, after time.Duration) {
+func (q *Queue) refuse(id btid.Request, reason btrequest.Reason, retryAfter time.Duration) {
 	q.refused.add(id, reason)
-	q.effects = append(q.effects, Refuse{ID: id, Reason: reason, RetryAfter: after})
+	q.effects = append(q.effects, Refuse{ID: id, Reason: reason, RetryAfter: retryAfter})
 }
 
-// after is the time to come back after a refusal for the reason.
-func (q *Queue) after(now time.Time, reason btrequest.Reason, cost float64) time.Duration {
+// retryDelay is the time to come back retryDelay a refusal for the reason.
+func (q *Queue) retryDelay(now time.Time, reason btrequest.Reason, cost float64) time.Duration {
 	switch reason {
 	case ReasonDraining, ReasonCancelled:
 		return 0
-	case ReasonLimited:
-		return q.limiter.next(now, q.settings.RetryAfterMax)
+	case ReasonRateLimited:
+		return q.limiter.bookRetry(now, q.settings.MaxRetryAfter)
 	}
-	return q.retryAfter(now, cost)
+	return q.bookRetry(now, cost)
 }
 
-// settle notes the end of a busy period and of a drain.
-func (q *Queue) settle() {
+// endBusyPeriod notes the end of a busy period and of a drain.
+func (q *Queue) endBusyPeriod() {
 	if len(q.running) > 0 || q.queue.count > 0 {
 		return
 	}
 	q.queue.reset()
-	if q.draining && !q.idle {
-		q.idle = true
-		q.effects = append(q.effects, Idle{})
+	if q.draining && !q.drained {
+		q.drained = true
+		q.effects = append(q.effects, Drained{})
 	}
 }
--- a/core/btqueue/btqueue_test.go
+++ b/core/btqueue/btqueue_test.go
@@ -22,7 +22,7 @@
 type oracle struct {
 	slots    int
 	draining bool
-	idle     int
+	drained  int
 	arrived  map[btid.Request]btqueue.Arrived
 	waiting  map[btid.Request]btqueue.Arrived
 	started  map[btid.Request]bool
@@ -30,7 +30,7 @@
 	running  map[btid.Request]bool
 }
 
-func (o *oracle) see(t *testing.T, now time.Time, effects []btqueue.Effect) {
+func (o *oracle) check(t *testing.T, now time.Time, effects []btqueue.Effect) {
 	t.Helper()
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -44,9 +44,9 @@
 			assert.Assert(t, !o.started[e.ID], "%s refused after its start", e.ID)
 			assert.Assert(t, e.RetryAfter >= 0 && e.RetryAfter <= 66*time.Second)
 			o.refused[e.ID] = true
-		case btqueue.Idle:
+		case btqueue.Drained:
 			assert.Assert(t, o.draining && len(o.running) == 0)
-			o.idle++
+			o.drained++
 		}
 	}
 	for id, a := range o.waiting {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (o *oracle) event(random *rand.Rand, now time.Time, number *uint64) btqueue.Event {
+func (o *oracle) nextEvent(random *rand.Rand, now time.Time, number *uint64) btqueue.Event {
 	switch p := random.IntN(100); {
 	case p < 50:
 		*number++
@@ -88,7 +88,7 @@
 		return btqueue.Cancelled{ID: request(1 + random.Uint64N(*number+1))}
 	case p < 94:
 		o.slots = random.IntN(5)
-		return btqueue.Policy{Slots: o.slots, Queue: random.IntN(12)}
+		return btqueue.Resize{Slots: o.slots, QueueLimit: random.IntN(12)}
 	}
 	return btqueue.Tick{}
 }
@@ -110,10 +110,10 @@
 		for range 400 {
 			now = now.Add(time.Duration(random.IntN(200)) * time.Millisecond)
 			before := o.slots
-			event := o.event(random, now, &number)
+			event := o.nextEvent(random, now, &number)
 			o.slots = max(o.slots, before, len(o.running))
-			o.see(t, now, q.Step(now, event))
-			if p, ok := event.(btqueue.Policy); ok {
+			o.check(t, now, q.Step(now, event))
+			if p, ok := event.(btqueue.Resize); ok {
 				o.slots = max(p.Slots, len(o.running))
 			}
 		}
@@ -125,16 +125,16 @@
 func (o *oracle) drain(t *testing.T, q *btqueue.Queue, now time.Time) {
 	t.Helper()
 	o.draining = true
-	o.see(t, now, q.Step(now, btqueue.Drain{}))
-	o.see(t, now, q.Step(now, btqueue.Drain{}))
+	o.check(t, now, q.Step(now, btqueue.Drain{}))
+	o.check(t, now, q.Step(now, btqueue.Drain{}))
 	for id := range o.arrived {
 		assert.Assert(t, o.started[id] || o.refused[id], "%s has no answer", id)
 	}
 	for id := range o.running {
 		delete(o.running, id)
-		o.see(t, now, q.Step(now, btqueue.Finished{ID: id, Took: time.Second}))
+		o.check(t, now, q.Step(now, btqueue.Finished{ID: id, Took: time.Second}))
 	}
-	assert.Equal(t, o.idle, 1)
+	assert.Equal(t, o.drained, 1)
 }
 
 func arrival(number uint64, account btid.Account, priority btrequest.Priority) btqueue.Arrived {
@@ -163,10 +163,10 @@
 	now := start.Add(30 * time.Second)
 	a.Deadline = now.Add(10 * time.Second)
 	effects := q.Step(now, a)
-	assert.Equal(t, effects[0].(btqueue.Refuse).Reason, btqueue.ReasonWait)
+	assert.Equal(t, effects[0].(btqueue.Refuse).Reason, btqueue.ReasonWaitTooLong)
 }
 
-func TestRefusalIsNotTakenBack(t *testing.T) {
+func TestRefusalIsFinal(t *testing.T) {
 	q := newQueue(1, 0, 1)
 	q.Step(start, arrival(1, "a", btrequest.Normal))
 	q.Step(start, arrival(2, "a", btrequest.Normal))
@@ -193,7 +193,7 @@
 func BenchmarkArrived(b *testing.B) {
 	for _, accounts := range []int{1, 10, 690} {
 		b.Run(fmt.Sprintf("accounts_%d", accounts), func(b *testing.B) {
-			before := heap()
+			before := heapAlloc()
 			q := newQueue(64, accounts, 1)
 			names := make([]btid.Account, accounts)
 			for i := range names {
@@ -208,7 +208,7 @@
 			for ; first <= 64; first++ {
 				running = append(running, request(first))
 			}
-			memory := float64(heap()-before) / float64(accounts)
+			memory := float64(heapAlloc()-before) / float64(accounts)
 			b.ReportAllocs()
 			for b.Loop() {
 				effects := q.Step(start, btqueue.Finished{ID: running[0], Took: time.Millisecond})
@@ -221,7 +221,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapAlloc() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/core/btqueue/event.go
+++ b/core/btqueue/event.go
@@ -51,27 +51,27 @@
 // Tick is the passing of time, by which waiting requests reach their deadlines.
 type Tick struct{}
 
-// Policy replaces the sizes. Fewer slots cut off nothing that runs; a shorter
+// Resize replaces the sizes. Fewer slots cut off nothing that runs; a shorter
 // queue refuses what no longer fits.
-type Policy struct {
-	Slots int
-	Queue int
+type Resize struct {
+	Slots      int
+	QueueLimit int
 }
 
-// Rate is what the target says of how many requests a second it takes; it names none where
+// RateLimit is what the target says of how many requests a second it takes; it names none where
 // there is no limit, or none any more.
-type Rate struct {
+type RateLimit struct {
 	PerSecond float64
-	Named     bool
+	Active    bool
 }
 
-func (Rate) queueEvent()      {}
+func (RateLimit) queueEvent() {}
 func (Arrived) queueEvent()   {}
 func (Finished) queueEvent()  {}
 func (Cancelled) queueEvent() {}
 func (Drain) queueEvent()     {}
 func (Tick) queueEvent()      {}
-func (Policy) queueEvent()    {}
+func (Resize) queueEvent()    {}
 
 // Effect is what the agent has to do: one of Start, Refuse and Idle. Each
 // request that arrived ends in exactly one Start or one first Refuse.
@@ -93,13 +93,13 @@
 	RetryAfter time.Duration
 }
 
-// Idle says that a draining target has nothing left in flight. It is given
+// Drained says that a draining target has nothing left in flight. It is given
 // once.
-type Idle struct{}
+type Drained struct{}
 
-func (Start) queueEffect()  {}
-func (Refuse) queueEffect() {}
-func (Idle) queueEffect()   {}
+func (Start) queueEffect()   {}
+func (Refuse) queueEffect()  {}
+func (Drained) queueEffect() {}
 
 // The reasons for which a request is refused.
 const (
@@ -108,36 +108,36 @@
 	// ReasonDisplaced: the account held more than its share of a full queue,
 	// and a request of another account or of higher priority took the place.
 	ReasonDisplaced btrequest.Reason = "queue_displaced"
-	// ReasonWait: the expected wait and run would pass the deadline.
-	ReasonWait btrequest.Reason = "queue_wait_past_deadline"
+	// ReasonWaitTooLong: the expected wait and run would pass the deadline.
+	ReasonWaitTooLong btrequest.Reason = "queue_wait_past_deadline"
 	// ReasonDeadline: the deadline passed before the request started.
 	ReasonDeadline btrequest.Reason = "deadline_passed"
 	// ReasonDraining: the target is leaving.
 	ReasonDraining btrequest.Reason = "draining"
-	// ReasonLimited: the target names a rate of requests, which is used up. Others may
+	// ReasonRateLimited: the target names a rate of requests, which is used up. Others may
 	// take the request at once.
-	ReasonLimited btrequest.Reason = "queue_target_limited"
+	ReasonRateLimited btrequest.Reason = "queue_target_limited"
 	// ReasonCancelled: the caller gave the request up before it started.
 	ReasonCancelled btrequest.Reason = "cancelled_in_queue"
 )
 
 const (
-	largestCost    = 1e9
-	smallestWeight = 1e-6
-	largestWeight  = 1e6
+	maxCost   = 1e9
+	minWeight = 1e-6
+	maxWeight = 1e6
 )
 
-// normal returns the event with every number in its range, so that no message
+// normalised returns the event with every number in its range, so that no message
 // can upset the order of others.
-func (a Arrived) normal() Arrived {
+func (a Arrived) normalised() Arrived {
 	if !(a.Cost > 0) {
 		a.Cost = 1
 	}
-	a.Cost = math.Min(a.Cost, largestCost)
+	a.Cost = math.Min(a.Cost, maxCost)
 	if !(a.Weight > 0) {
 		a.Weight = 1
 	}
-	a.Weight = math.Max(smallestWeight, math.Min(a.Weight, largestWeight))
+	a.Weight = math.Max(minWeight, math.Min(a.Weight, maxWeight))
 	a.Priority = max(btrequest.Low, min(a.Priority, btrequest.High))
 	return a
 }
--- a/core/btqueue/fair.go
+++ b/core/btqueue/fair.go
@@ -29,15 +29,15 @@
 type flow struct {
 	account btid.Account
 	weight  float64
-	// tag is the virtual time at which the flow's next request may start.
-	tag    float64
-	levels [priorities][]*item
-	count  int
-	cost   float64
+	// startTag is the virtual time at which the flow's next request may start.
+	startTag float64
+	levels   [priorities][]*item
+	count    int
+	cost     float64
 }
 
-// load is the flow's backlog in the measure by which accounts are equal.
-func (f *flow) load() float64 { return f.cost / f.weight }
+// weightedCost is the flow's backlog in the measure by which accounts are equal.
+func (f *flow) weightedCost() float64 { return f.cost / f.weight }
 
 // head returns the first to go: the oldest of the highest priority.
 func (f *flow) head() *item {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// last returns the first to be given up: the newest of the lowest priority.
-func (f *flow) last() *item {
+// victim returns the first to be given up: the newest of the lowest priority.
+func (f *flow) victim() *item {
 	for _, level := range slices.Backward(f.levels[:]) {
 		if len(level) > 0 {
 			return level[len(level)-1]
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// costTo returns the cost of what waits at the level or goes before it.
-func (f *flow) costTo(level int) float64 {
+// costUpTo returns the cost of what waits at the level or goes before it.
+func (f *flow) costUpTo(level int) float64 {
 	var cost float64
 	for _, items := range f.levels[:level+1] {
 		for _, i := range items {
@@ -70,40 +70,40 @@
 	return cost
 }
 
-// fair is a start-time fair queue (Goyal, Vin and Cheng 1996): each account's
+// fairQueue is a start-time fairQueue queue (Goyal, Vin and Cheng 1996): each account's
 // requests follow each other in virtual time by cost over weight, and the
 // account with the lowest time goes first.
-type fair struct {
-	virtual float64
-	flows   []*flow
-	byName  map[btid.Account]*flow
-	// idle holds the next start time of accounts with nothing waiting, as long
+type fairQueue struct {
+	virtualTime float64
+	flows       []*flow
+	byAccount   map[btid.Account]*flow
+	// idleTags holds the next start time of accounts with nothing waiting, as long
 	// as it lies ahead of the virtual time.
-	idle  map[btid.Account]float64
-	count int
-	cost  float64
+	idleTags map[btid.Account]float64
+	count    int
+	cost     float64
 }
 
-func newFair() *fair {
-	return &fair{byName: map[btid.Account]*flow{}, idle: map[btid.Account]float64{}}
+func newFairQueue() *fairQueue {
+	return &fairQueue{byAccount: map[btid.Account]*flow{}, idleTags: map[btid.Account]float64{}}
 }
 
-// nextTag is when the account's next request would start if nothing of its own
+// nextStartTag is when the account's next request would start if nothing of its own
 // waited.
-func (f *fair) nextTag(account btid.Account) float64 {
-	if w := f.byName[account]; w != nil {
-		return w.tag
+func (f *fairQueue) nextStartTag(account btid.Account) float64 {
+	if w := f.byAccount[account]; w != nil {
+		return w.startTag
 	}
-	return math.Max(f.virtual, f.idle[account])
+	return math.Max(f.virtualTime, f.idleTags[account])
 }
 
-func (f *fair) push(i *item) {
-	w := f.byName[i.Account]
+func (f *fairQueue) push(i *item) {
+	w := f.byAccount[i.Account]
 	if w == nil {
-		w = &flow{account: i.Account, tag: f.nextTag(i.Account)}
-		f.byName[i.Account] = w
+		w = &flow{account: i.Account, startTag: f.nextStartTag(i.Account)}
+		f.byAccount[i.Account] = w
 		f.flows = append(f.flows, w)
-		delete(f.idle, i.Account)
+		delete(f.idleTags, i.Account)
 	}
 	w.weight = i.Weight
 	w.levels[i.level()] = append(w.levels[i.level()], i)
@@ -115,10 +115,10 @@
 }
 
 // pop takes out the next to start and charges its account for it.
-func (f *fair) pop() *item {
+func (f *fairQueue) pop() *item {
 	var next *flow
 	for _, w := range f.flows {
-		if next == nil || w.tag < next.tag || w.tag == next.tag && w.account < next.account {
+		if next == nil || w.startTag < next.startTag || w.startTag == next.startTag && w.account < next.account {
 			next = w
 		}
 	}
@@ -126,14 +126,14 @@
 		return nil
 	}
 	i := next.head()
-	f.virtual = math.Max(f.virtual, next.tag)
-	next.tag += i.Cost / next.weight
+	f.virtualTime = math.Max(f.virtualTime, next.startTag)
+	next.startTag += i.Cost / next.weight
 	f.remove(i)
 	return i
 }
 
 // remove takes the item out without a charge.
-func (f *fair) remove(i *item) {
+func (f *fairQueue) remove(i *item) {
 	w := i.flow
 	level := w.levels[i.level()]
 	at := slices.Index(level, i)
@@ -144,71 +144,71 @@
 	f.count--
 	f.cost -= i.Cost
 	if w.count == 0 {
-		f.retire(w)
+		f.removeFlow(w)
 	}
 }
 
-func (f *fair) retire(w *flow) {
+func (f *fairQueue) removeFlow(w *flow) {
 	at := slices.Index(f.flows, w)
 	f.flows[at] = f.flows[len(f.flows)-1]
 	f.flows[len(f.flows)-1] = nil
 	f.flows = f.flows[:len(f.flows)-1]
-	delete(f.byName, w.account)
-	if w.tag > f.virtual {
-		f.idle[w.account] = w.tag
+	delete(f.byAccount, w.account)
+	if w.startTag > f.virtualTime {
+		f.idleTags[w.account] = w.startTag
 	}
 	if f.count == 0 {
 		f.cost = 0
 	}
 }
 
-// forget drops what no longer matters of accounts with nothing waiting.
-func (f *fair) forget() {
-	for account, tag := range f.idle {
-		if tag <= f.virtual {
-			delete(f.idle, account)
+// pruneIdleTags drops what no longer matters of accounts with nothing waiting.
+func (f *fairQueue) pruneIdleTags() {
+	for account, tag := range f.idleTags {
+		if tag <= f.virtualTime {
+			delete(f.idleTags, account)
 		}
 	}
 }
 
 // reset ends a busy period: all accounts are equal again.
-func (f *fair) reset() {
-	f.virtual = 0
-	clear(f.idle)
+func (f *fairQueue) reset() {
+	f.virtualTime = 0
+	clear(f.idleTags)
 }
 
-// ahead returns the cost of what would start before the request if nothing
+// costAhead returns the cost of what would start before the request if nothing
 // more arrived.
-func (f *fair) ahead(a Arrived) float64 {
+func (f *fairQueue) costAhead(a Arrived) float64 {
 	var own float64
-	if w := f.byName[a.Account]; w != nil {
-		own = w.costTo((&item{Arrived: a}).level())
+	if w := f.byAccount[a.Account]; w != nil {
+		own = w.costUpTo((&item{Arrived: a}).level())
 	}
-	start := f.nextTag(a.Account) + own/a.Weight
+	start := f.nextStartTag(a.Account) + own/a.Weight
 	total := own
 	for _, w := range f.flows {
-		if w.account == a.Account || w.tag > start {
+		if w.account == a.Account || w.startTag > start {
 			continue
 		}
-		total += math.Min(w.cost, (start-w.tag)*w.weight+w.head().Cost)
+		total += math.Min(w.cost, (start-w.startTag)*w.weight+w.head().Cost)
 	}
 	return total
 }
 
-// heaviest returns the account with the largest backlog for its weight when the
+// largestBacklog returns the account with the largest backlog for its weight when the
 // request is counted in.
-func (f *fair) heaviest(a Arrived) btid.Account {
+func (f *fairQueue) largestBacklog(a Arrived) btid.Account {
 	account := a.Account
-	most := a.Cost / a.Weight
-	if w := f.byName[a.Account]; w != nil {
-		most += w.load()
+	largest := a.Cost / a.Weight
+	if w := f.byAccount[a.Account]; w != nil {
+		largest += w.weightedCost()
 	}
 	for _, w := range f.flows {
 		if w.account == a.Account {
 			continue
 		}
-		if l := w.load(); l > most || l == most && account != a.Account && w.account < account {
-			account, most = w.account, l
+		if l := w.weightedCost(); l > largest || l == largest && account != a.Account && w.account < account {
+			account, largest = w.account, l
 		}
 	}
 	return account
--- a/core/btqueue/goal_test.go
+++ b/core/btqueue/goal_test.go
@@ -10,35 +10,35 @@
 	"bilberrytide/core/btrequest"
 )
 
-// TestGoalLeavesRoomForThoseWhoComeBack fills a queue whose waits grow by half a
+// TestGoalReservesQueueTimeForRetries fills a queue whose waits grow by half a
 // second: new requests stop at 0.6 of the goal, those with room kept at 0.9.
-func TestGoalLeavesRoomForThoseWhoComeBack(t *testing.T) {
+func TestGoalReservesQueueTimeForRetries(t *testing.T) {
 	const goal = 10 * time.Second
 	now := time.Unix(1000, 0)
 	q := newQueue(2, 100, 1)
 	taken := func(reserved bool) int {
 		for n := 0; ; n++ {
-			number += 1
-			a := arrival(number, "a", btrequest.Normal)
+			goalRequests += 1
+			a := arrival(goalRequests, "a", btrequest.Normal)
 			a.Deadline = now.Add(time.Hour)
 			a.StartBy = now.Add(goal)
 			a.Reserved = reserved
 			for _, e := range q.Step(now, a) {
 				if refusal, ok := e.(btqueue.Refuse); ok {
-					assert.Equal(t, refusal.Reason, btqueue.ReasonWait)
+					assert.Equal(t, refusal.Reason, btqueue.ReasonWaitTooLong)
 					assert.Assert(t, refusal.RetryAfter > 0)
 					return n
 				}
 			}
 		}
 	}
-	fresh := taken(false)
-	back := taken(true)
+	newTaken := taken(false)
+	retriesTaken := taken(true)
 	waiting := q.Load().Waiting
-	assert.Equal(t, waiting, fresh+back-2)
-	assert.Assert(t, fresh >= 8 && fresh <= 14, "%d new requests taken", fresh)
-	assert.Assert(t, back >= 4 && back <= 8, "%d of those who came back taken", back)
+	assert.Equal(t, waiting, newTaken+retriesTaken-2)
+	assert.Assert(t, newTaken >= 8 && newTaken <= 14, "%d new requests taken", newTaken)
+	assert.Assert(t, retriesTaken >= 4 && retriesTaken <= 8, "%d of those who came back taken", retriesTaken)
 	assert.Equal(t, taken(false), 0)
 }
 
-var number uint64
+var goalRequests uint64
--- a/core/btqueue/load.go
+++ b/core/btqueue/load.go
@@ -4,10 +4,10 @@
 
 // Load is the target's real load, told with heartbeats and refusals.
 type Load struct {
-	Slots   int `cbor:"slots" json:"slots"`
-	Running int `cbor:"running" json:"running"`
-	Queue   int `cbor:"queue" json:"queue"`
-	Waiting int `cbor:"waiting" json:"waiting"`
+	Slots      int `cbor:"slots" json:"slots"`
+	Running    int `cbor:"running" json:"running"`
+	QueueLimit int `cbor:"queue" json:"queue"`
+	Waiting    int `cbor:"waiting" json:"waiting"`
 	// Wait is the expected time until all that waits now has started.
 	Wait     time.Duration `cbor:"wait" json:"wait"`
 	Draining bool          `cbor:"draining" json:"draining"`
@@ -16,11 +16,11 @@
 // Load returns the load at the time of the last step.
 func (q *Queue) Load() Load {
 	return Load{
-		Slots:    q.slots,
-		Running:  len(q.running),
-		Queue:    q.room,
-		Waiting:  q.queue.count,
-		Wait:     q.wait(q.now, q.queue.cost),
-		Draining: q.draining,
+		Slots:      q.slots,
+		Running:    len(q.running),
+		QueueLimit: q.queueLimit,
+		Waiting:    q.queue.count,
+		Wait:       q.expectedWait(q.now, q.queue.cost),
+		Draining:   q.draining,
 	}
 }
--- a/core/btqueue/overload_test.go
+++ b/core/btqueue/overload_test.go
@@ -15,17 +15,17 @@
 // The target of these trials takes 200 ms a request in 8 slots: 40 requests a
 // second. A large account floods it and a small one asks for a twentieth.
 const (
-	slots = 8
-	room  = 64
-	large = btid.Account("large")
-	small = btid.Account("small")
-	// floods is the seeds of each trial.
-	floods = 4
+	slots      = 8
+	queueLimit = 64
+	large      = btid.Account("large")
+	small      = btid.Account("small")
+	// floodSeeds is the seeds of each trial.
+	floodSeeds = 4
 )
 
 func flood(m machine, seed uint64, load float64) map[btid.Account]*tally {
 	every := time.Duration(float64(25*time.Millisecond) / load)
-	return newTrial(m, seed).run(
+	return newSimulation(m, seed).run(
 		caller{account: large, weight: 1, every: every, until: time.Minute},
 		caller{account: small, weight: 1, every: 500 * time.Millisecond, until: time.Minute},
 	)
@@ -33,7 +33,7 @@
 
 // burst is a flood for ten seconds before an even half load.
 func burst(m machine, seed uint64) *tally {
-	all := newTrial(m, seed).run(
+	all := newSimulation(m, seed).run(
 		caller{account: large, weight: 1, every: 12500 * time.Microsecond, until: 10 * time.Second},
 		caller{account: small, weight: 1, every: 50 * time.Millisecond, until: 2 * time.Minute},
 	)
@@ -41,16 +41,16 @@
 }
 
 func TestSmallAccountIsNotStarved(t *testing.T) {
-	for seed := uint64(1); seed <= floods; seed++ {
-		naive := flood(&fifo{slots: slots, room: room, mean: 200 * time.Millisecond}, seed, 3)[small]
-		fair := flood(newQueue(slots, room, seed), seed, 3)[small]
+	for seed := uint64(1); seed <= floodSeeds; seed++ {
+		naive := flood(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, seed, 3)[small]
+		fair := flood(newQueue(slots, queueLimit, seed), seed, 3)[small]
 		assert.Check(t, naive.refused*2 > naive.offered, "seed %d: the naive queue refused %d of %d", seed, naive.refused, naive.offered)
 		assert.Check(t, fair.refused == 0, "seed %d: refused %d of %d", seed, fair.refused, fair.offered)
 		assert.Check(t, fair.p99() < time.Second, "seed %d: waited %s", seed, fair.p99())
 	}
 }
 
-func TestDrainStartsNothingThoughTheQueueIsDeep(t *testing.T) {
+func TestDrainStartsNothingFromADeepQueue(t *testing.T) {
 	started := func(m machine) int {
 		for n := range uint64(10) {
 			m.Step(start, arrival(n+1, large, btrequest.Normal))
@@ -64,26 +64,26 @@
 		}
 		return starts
 	}
-	assert.Equal(t, started(&fifo{slots: 2, room: 20}), 1)
+	assert.Equal(t, started(&fifoQueue{slots: 2, queueLimit: 20}), 1)
 	assert.Equal(t, started(newQueue(2, 20, 1)), 0)
 }
 
-func TestOverloadKeepsWorkNearCapacity(t *testing.T) {
-	for seed := uint64(1); seed <= floods; seed++ {
-		all := flood(newQueue(slots, room, seed), seed, 2)
-		done := all[large].during + all[small].during
+func TestOverloadKeepsThroughputNearCapacity(t *testing.T) {
+	for seed := uint64(1); seed <= floodSeeds; seed++ {
+		all := flood(newQueue(slots, queueLimit, seed), seed, 2)
+		done := all[large].inFirstMinute + all[small].inFirstMinute
 		late := all[large].late + all[small].late
 		assert.Check(t, done > 2400*9/10, "seed %d: %d in time of 2400 that fit", seed, done)
 		assert.Check(t, late*20 < done, "seed %d: %d late, %d in time", seed, late, done)
 	}
 }
 
-func TestWhoComesBackAsToldIsMostlyServed(t *testing.T) {
-	for seed := uint64(1); seed <= floods; seed++ {
-		naive := burst(&fifo{slots: slots, room: room, mean: 200 * time.Millisecond}, seed)
-		told := burst(newQueue(slots, room, seed), seed)
-		assert.Check(t, naive.backTaken*4 < naive.back*3, "seed %d: the naive time served %d of %d", seed, naive.backTaken, naive.back)
-		assert.Check(t, told.backTaken*5 > told.back*4, "seed %d: served %d of %d", seed, told.backTaken, told.back)
+func TestRetriesAtTheGivenDelayAreMostlyServed(t *testing.T) {
+	for seed := uint64(1); seed <= floodSeeds; seed++ {
+		naive := burst(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, seed)
+		booked := burst(newQueue(slots, queueLimit, seed), seed)
+		assert.Check(t, naive.retriesStarted*4 < naive.retries*3, "seed %d: the naive time served %d of %d", seed, naive.retriesStarted, naive.retries)
+		assert.Check(t, booked.retriesStarted*5 > booked.retries*4, "seed %d: served %d of %d", seed, booked.retriesStarted, booked.retries)
 	}
 }
 
@@ -92,11 +92,11 @@
 func BenchmarkOverload(b *testing.B) {
 	for range b.N {
 		for _, load := range []float64{0.5, 1, 2, 3} {
-			report("fifo", load, flood(&fifo{slots: slots, room: room, mean: 200 * time.Millisecond}, 1, load))
-			report("fair", load, flood(newQueue(slots, room, 1), 1, load))
+			report("fifo", load, flood(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, 1, load))
+			report("fair", load, flood(newQueue(slots, queueLimit, 1), 1, load))
 		}
-		reportBack("fifo", burst(&fifo{slots: slots, room: room, mean: 200 * time.Millisecond}, 1))
-		reportBack("fair", burst(newQueue(slots, room, 1), 1))
+		reportRetries("fifo", burst(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, 1))
+		reportRetries("fair", burst(newQueue(slots, queueLimit, 1), 1))
 	}
 }
 
@@ -104,12 +104,12 @@
 	for _, account := range []btid.Account{large, small} {
 		y := all[account]
 		fmt.Printf("%s load %.1f %s: offered %d in_time %d during %d late %d refused %d wait_p99 %s back %d back_taken %d\n",
-			name, load, account, y.offered, y.inTime, y.during, y.late, y.refused, y.p99().Round(time.Millisecond), y.back, y.backTaken)
+			name, load, account, y.offered, y.inTime, y.inFirstMinute, y.late, y.refused, y.p99().Round(time.Millisecond), y.retries, y.retriesStarted)
 	}
 }
 
-func reportBack(name string, y *tally) {
-	mean := y.told / time.Duration(max(y.back, 1))
+func reportRetries(name string, y *tally) {
+	mean := y.retryDelays / time.Duration(max(y.retries, 1))
 	fmt.Printf("%s burst: offered %d refused %d told_mean %s back_taken %d\n",
-		name, y.offered, y.refused, mean.Round(time.Millisecond), y.backTaken)
+		name, y.offered, y.refused, mean.Round(time.Millisecond), y.retriesStarted)
 }
--- a/core/btqueue/limiter_test.go
+++ b/core/btqueue/rate_limiter_test.go
@@ -12,9 +12,9 @@
 	"bilberrytide/core/btqueue"
 )
 
-// limitedLoad presses on a target for a while, ten requests each 10 ms, and returns when
+// sendLoad presses on a target for a while, ten requests each 10 ms, and returns when
 // requests started and how the others were told to come back.
-func limitedLoad(q *btqueue.Queue, from, until time.Duration) (starts []time.Duration, told []time.Duration) {
+func sendLoad(q *btqueue.Queue, from, until time.Duration) (starts []time.Duration, delays []time.Duration) {
 	begin := time.Unix(1000, 0)
 	number := uint64(from)
 	for at := from; at < until; at += 10 * time.Millisecond {
@@ -28,41 +28,41 @@
 					starts = append(starts, at)
 					q.Step(now, btqueue.Finished{ID: e.ID, Took: time.Millisecond})
 				case btqueue.Refuse:
-					told = append(told, e.RetryAfter)
+					delays = append(delays, e.RetryAfter)
 				}
 			}
 		}
 	}
-	return starts, told
+	return starts, delays
 }
 
-func limitedQueue(t *testing.T) *btqueue.Queue {
+func newLimitedQueue(t *testing.T) *btqueue.Queue {
 	t.Helper()
 	return btqueue.New(btqueue.DefaultSettings(8, 16), rand.New(rand.NewPCG(1, 2)), btassert.New(btassert.Panic()))
 }
 
 // The queue is the only way to its target, so that it keeps to the target's rate by itself.
-func TestAQueueKeepsToTheRateThatItsTargetNames(t *testing.T) {
-	q := limitedQueue(t)
-	free, _ := limitedLoad(q, 0, time.Second)
+func TestQueueKeepsToTheTargetsRateLimit(t *testing.T) {
+	q := newLimitedQueue(t)
+	free, _ := sendLoad(q, 0, time.Second)
 	assert.Equal(t, len(free), 1000)
-	q.Step(time.Unix(1001, 0), btqueue.Rate{PerSecond: 5, Named: true})
-	starts, told := limitedLoad(q, time.Second, 21*time.Second)
+	q.Step(time.Unix(1001, 0), btqueue.RateLimit{PerSecond: 5, Active: true})
+	starts, delays := sendLoad(q, time.Second, 21*time.Second)
 	assert.Assert(t, len(starts) >= 95 && len(starts) <= 103, "%d of 100", len(starts))
-	assert.Assert(t, len(told) > 1000)
-	assert.Equal(t, told[len(told)-1], time.Minute, "those who press are told to stay away")
-	q.Step(time.Unix(1021, 0), btqueue.Rate{})
-	free, _ = limitedLoad(q, 21*time.Second, 22*time.Second)
+	assert.Assert(t, len(delays) > 1000)
+	assert.Equal(t, delays[len(delays)-1], time.Minute, "those who press are told to stay away")
+	q.Step(time.Unix(1021, 0), btqueue.RateLimit{})
+	free, _ = sendLoad(q, 21*time.Second, 22*time.Second)
 	assert.Equal(t, len(free), 1000)
 }
 
 // Those who are refused one after the other are told places of their own.
-func TestRefusedRequestsAreToldPlacesOfTheirOwn(t *testing.T) {
-	q := limitedQueue(t)
-	q.Step(time.Unix(1000, 0), btqueue.Rate{PerSecond: 2, Named: true})
-	_, told := limitedLoad(q, 0, 10*time.Millisecond)
-	assert.Equal(t, len(told), 10)
-	for i := 1; i < len(told); i++ {
-		assert.Equal(t, told[i]-told[i-1], 500*time.Millisecond)
+func TestRateLimitedRequestsGetDistinctRetryDelays(t *testing.T) {
+	q := newLimitedQueue(t)
+	q.Step(time.Unix(1000, 0), btqueue.RateLimit{PerSecond: 2, Active: true})
+	_, delays := sendLoad(q, 0, 10*time.Millisecond)
+	assert.Equal(t, len(delays), 10)
+	for i := 1; i < len(delays); i++ {
+		assert.Equal(t, delays[i]-delays[i-1], 500*time.Millisecond)
 	}
 }
--- a/core/btqueue/simulate_test.go
+++ b/core/btqueue/simulation_test.go
@@ -38,11 +38,11 @@
 // tally is what became of one account's requests.
 type tally struct {
 	offered, inTime, refused, late int
-	// during counts those answered in time within the first minute.
-	during          int
-	back, backTaken int
-	waits           []time.Duration
-	told            time.Duration
+	// inFirstMinute counts those answered in time within the first minute.
+	inFirstMinute           int
+	retries, retriesStarted int
+	waits                   []time.Duration
+	retryDelays             time.Duration
 }
 
 func (t *tally) p99() time.Duration {
@@ -53,65 +53,65 @@
 	return t.waits[len(t.waits)*99/100]
 }
 
-// trial drives a machine with callers and a target whose requests take random
+// simulation drives a machine with callers and a target whose requests take random
 // times of a mean. Refused requests come back once when they were told to.
-type trial struct {
+type simulation struct {
 	machine  machine
 	random   *rand.Rand
 	mean     time.Duration
 	deadline time.Duration
-	agenda   []due
+	schedule []scheduled
 	number   uint64
-	asked    map[btid.Request]asked
+	sent     map[btid.Request]sentRequest
 	tallies  map[btid.Account]*tally
 }
 
-type due struct {
+type scheduled struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-type asked struct {
-	caller  caller
-	at      time.Time
-	returns bool
+type sentRequest struct {
+	caller caller
+	at     time.Time
+	retry  bool
 }
 
-func newTrial(m machine, seed uint64) *trial {
-	return &trial{
+func newSimulation(m machine, seed uint64) *simulation {
+	return &simulation{
 		machine:  m,
 		random:   newRandom(seed),
 		mean:     200 * time.Millisecond,
 		deadline: 3 * time.Second,
-		asked:    map[btid.Request]asked{},
+		sent:     map[btid.Request]sentRequest{},
 		tallies:  map[btid.Account]*tally{},
 	}
 }
 
-func (t *trial) run(callers ...caller) map[btid.Account]*tally {
+func (t *simulation) run(callers ...caller) map[btid.Account]*tally {
 	for _, c := range callers {
 		t.tallies[c.account] = &tally{}
 		t.next(start, c)
 	}
-	for len(t.agenda) > 0 {
-		d := t.agenda[0]
-		t.agenda = t.agenda[1:]
+	for len(t.schedule) > 0 {
+		d := t.schedule[0]
+		t.schedule = t.schedule[1:]
 		d.do(d.at)
 	}
 	return t.tallies
 }
 
-func (t *trial) plan(at time.Time, do func(time.Time)) {
-	i, _ := slices.BinarySearchFunc(t.agenda, at, func(d due, at time.Time) int {
+func (t *simulation) plan(at time.Time, do func(time.Time)) {
+	i, _ := slices.BinarySearchFunc(t.schedule, at, func(d scheduled, at time.Time) int {
 		if d.at.After(at) {
 			return 1
 		}
 		return -1
 	})
-	t.agenda = slices.Insert(t.agenda, i, due{at: at, do: do})
+	t.schedule = slices.Insert(t.schedule, i, scheduled{at: at, do: do})
 }
 
-func (t *trial) next(now time.Time, c caller) {
+func (t *simulation) next(now time.Time, c caller) {
 	at := now.Add(time.Duration(t.random.ExpFloat64() * float64(c.every)))
 	if at.Sub(start) > c.until {
 		return
@@ -123,10 +123,10 @@
 	})
 }
 
-func (t *trial) arrive(now time.Time, c caller, returns bool) {
+func (t *simulation) arrive(now time.Time, c caller, retry bool) {
 	t.number++
 	id := request(t.number)
-	t.asked[id] = asked{caller: c, at: now, returns: returns}
+	t.sent[id] = sentRequest{caller: c, at: now, retry: retry}
 	t.apply(now, btqueue.Arrived{
 		ID:       id,
 		Account:  c.account,
@@ -137,7 +137,7 @@
 	})
 }
 
-func (t *trial) apply(now time.Time, event btqueue.Event) {
+func (t *simulation) apply(now time.Time, event btqueue.Event) {
 	for _, effect := range t.machine.Step(now, event) {
 		switch e := effect.(type) {
 		case btqueue.Start:
@@ -148,12 +148,12 @@
 	}
 }
 
-func (t *trial) started(now time.Time, id btid.Request) {
-	a := t.asked[id]
+func (t *simulation) started(now time.Time, id btid.Request) {
+	a := t.sent[id]
 	y := t.tallies[a.caller.account]
 	took := time.Duration(t.random.ExpFloat64() * float64(t.mean))
-	if a.returns {
-		y.backTaken++
+	if a.retry {
+		y.retriesStarted++
 	} else {
 		y.waits = append(y.waits, now.Sub(a.at))
 	}
@@ -163,7 +163,7 @@
 		y.inTime++
 	}
 	if now.Add(took).Before(earliest(a.at.Add(t.deadline), start.Add(time.Minute))) {
-		y.during++
+		y.inFirstMinute++
 	}
 	t.plan(now.Add(took), func(now time.Time) { t.apply(now, btqueue.Finished{ID: id, Took: took}) })
 }
@@ -175,32 +175,32 @@
 	return b
 }
 
-func (t *trial) refused(now time.Time, e btqueue.Refuse) {
-	a := t.asked[e.ID]
+func (t *simulation) refused(now time.Time, e btqueue.Refuse) {
+	a := t.sent[e.ID]
 	y := t.tallies[a.caller.account]
-	if a.returns {
+	if a.retry {
 		return
 	}
 	y.refused++
-	y.back++
-	y.told += e.RetryAfter
+	y.retries++
+	y.retryDelays += e.RetryAfter
 	t.plan(now.Add(e.RetryAfter), func(now time.Time) { t.arrive(now, a.caller, true) })
 }
 
-// fifo is the naive queue: first come, first served; refused when full, with
+// fifoQueue is the naive queue: first come, first served; refused when full, with
 // the time in which the queue drains.
-type fifo struct {
-	slots, room int
-	mean        time.Duration
-	waiting     []btid.Request
-	running     int
+type fifoQueue struct {
+	slots, queueLimit int
+	mean              time.Duration
+	waiting           []btid.Request
+	running           int
 }
 
-func (f *fifo) Step(_ time.Time, event btqueue.Event) []btqueue.Effect {
+func (f *fifoQueue) Step(_ time.Time, event btqueue.Event) []btqueue.Effect {
 	var effects []btqueue.Effect
 	switch e := event.(type) {
 	case btqueue.Arrived:
-		if len(f.waiting) >= f.room {
+		if len(f.waiting) >= f.queueLimit {
 			after := f.mean * time.Duration(len(f.waiting)) / time.Duration(f.slots)
 			return []btqueue.Effect{btqueue.Refuse{ID: e.ID, Reason: btqueue.ReasonFull, RetryAfter: after}}
 		}
--- a/io/btagent/configure.go
+++ b/io/btagent/configure.go
@@ -49,7 +49,7 @@
 	if moved {
 		a.forgetRate()
 	}
-	queue.loop.Post(btqueue.Policy{Slots: target.Slots, Queue: target.Queue})
+	queue.loop.Post(btqueue.Resize{Slots: target.Slots, QueueLimit: target.Queue})
 	ledger.ask(btclaim.Configured{Rules: RulesOf(approved, service)})
 }
 
--- a/io/btagent/rate.go
+++ b/io/btagent/rate.go
@@ -37,7 +37,7 @@
 	if !news {
 		return
 	}
-	queue.loop.Post(btqueue.Rate{PerSecond: after.PerSecond, Named: after.Named})
+	queue.loop.Post(btqueue.RateLimit{PerSecond: after.PerSecond, Active: after.Named})
 	if after.Named {
 		log.Info("target rate heard", "per_second", after.PerSecond, "limited_before", before.Named, "before", before.PerSecond)
 		return
@@ -50,7 +50,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if queue != nil && r.limit.Named {
-		queue.loop.Post(btqueue.Rate{})
+		queue.loop.Post(btqueue.RateLimit{})
 		log.Info("target rate ended", "cause", "the target is gone")
 	}
 	r.limit = btrate.Limit{}
--- a/io/btagent/report.go
+++ b/io/btagent/report.go
@@ -26,6 +26,6 @@
 	report.Running = load.Running
 	report.Waiting = load.Waiting
 	report.Slots = load.Slots
-	report.QueueCapacity = load.Queue
+	report.QueueCapacity = load.QueueLimit
 	report.Draining = report.Draining || load.Draining
 }
--- a/io/btentry/dispatch.go
+++ b/io/btentry/dispatch.go
@@ -58,7 +58,7 @@
 
 func noTarget(x *exchange, err error) *btrequest.Refusal {
 	if after, limited := isLimited(err); limited {
-		return btrequest.Refuse(btqueue.ReasonLimited, after, "service %q: its targets take no more requests a second", x.service.Name)
+		return btrequest.Refuse(btqueue.ReasonRateLimited, after, "service %q: its targets take no more requests a second", x.service.Name)
 	}
 	var none *btroute.NoTargetError
 	if !errors.As(err, &none) {
--- a/io/btentry/limited.go
+++ b/io/btentry/limited.go
@@ -19,7 +19,7 @@
 
 // Error tells the router's error and why.
 func (e *limitedError) Error() string {
-	return string(btqueue.ReasonLimited) + ": " + e.err.Error()
+	return string(btqueue.ReasonRateLimited) + ": " + e.err.Error()
 }
 
 // Unwrap returns the router's error.
--- a/io/btentry/pick.go
+++ b/io/btentry/pick.go
@@ -73,7 +73,7 @@
 		Refused:      result.outcome == btrequest.NotRun,
 	})
 	f.report(now, result.load)
-	if result.reason == btqueue.ReasonLimited {
+	if result.reason == btqueue.ReasonRateLimited {
 		f.limited[p.executor.Target] = now.Add(result.retryAfter)
 	}
 	if result.atFault {
--- a/io/btentry/reserve.go
+++ b/io/btentry/reserve.go
@@ -20,7 +20,7 @@
 var capacityReasons = []btrequest.Reason{
 	btqueue.ReasonFull,
 	btqueue.ReasonDisplaced,
-	btqueue.ReasonWait,
+	btqueue.ReasonWaitTooLong,
 	btqueue.ReasonDeadline,
 }
 
--- a/io/btentry/retry.go
+++ b/io/btentry/retry.go
@@ -142,7 +142,7 @@
 // movesOn tells whether the attempt ended as its target takes no request now, and had
 // nothing sent.
 func movesOn(a attempt) bool {
-	return a.reason == btqueue.ReasonDraining || a.reason == btqueue.ReasonLimited
+	return a.reason == btqueue.ReasonDraining || a.reason == btqueue.ReasonRateLimited
 }
 
 // alternative tells whether an untried target could take the request now.
