--- a/core/btqueue/btqueue.go
+++ b/core/btqueue/btqueue.go
@@ -1,20 +1,20 @@
-// Package btqueue decides at the agent which requests its target runs: it
-// holds the target's slots and a bounded queue before them, and has the last
-// word on admission.
+// Package btqueue decides at the agent which requests its target runs. It manages the
+// target's slots and a bounded queue in front of them, and has the final decision on
+// admission.
 //
-// Client accounts share a busy target by weighted fair queueing, and a full
-// queue by giving up the newest request of the account that holds most for its
-// weight, so a large account can starve a small one neither of slots nor of
-// places. Within an account a higher priority goes first.
+// Client accounts share a busy target by weighted fair queueing. When the queue is
+// full, the newest request of the account with the largest backlog for its weight is
+// displaced. So a large account can starve a small one neither of slots nor of queue
+// positions. Within an account a higher priority goes first.
 //
-// A request is refused at once when its expected wait and run would pass its
-// deadline, when the queue is full or when the target drains; a refusal
-// carries the time at which a place is likely, from the measured drain rate.
+// A request is refused at once if its expected wait and run would pass its deadline, if
+// the queue is full or if the target drains. A refusal carries a retry delay derived
+// from the measured drain rate.
 //
-// A planned stop starts nothing more: what runs is finished, and what waits is
-// refused as not run so that it moves to another target at once. To run the
-// queue out instead would give a leaving target new work for as long as the
-// queue is deep.
+// After a planned stop begins nothing more is started: running requests finish, and
+// queued ones are refused as not run, so that they move to another target at once.
+// Running the queue out would give a draining target new work for as long as the queue
+// is deep.
 package btqueue
 
 import (
@@ -29,7 +29,7 @@
 	"bilberrytide/core/btrequest"
 )
 
-// The invariants that a Queue asserts.
+// Invariants that a Queue asserts.
 const (
 	// SlotsBound: nothing starts while as many requests run as there are slots.
 	SlotsBound btassert.Name = "queue_slots_bound"
@@ -39,17 +39,17 @@
 	DrainNoNewWork btassert.Name = "drain_no_new_work"
 )
 
-// Settings are the sizes and first guesses of a Queue.
+// Settings are the sizes and initial estimates of a Queue.
 type Settings struct {
-	// Slots is how many requests run at a time.
+	// Slots is the number of requests that run at the same time.
 	Slots int
-	// QueueLimit is how many more may wait.
+	// QueueLimit is the number of requests that may wait.
 	QueueLimit int
-	// InitialServiceTime is the time that a request of cost 1 is thought to hold a
-	// slot before any has finished.
+	// InitialServiceTime is the assumed time that a request of cost 1 holds a slot
+	// before any has finished.
 	InitialServiceTime time.Duration
-	// MaxRetryAfter bounds the time that refused requests are told to wait,
-	// jitter of a tenth apart. A longer backlog than it can't be told truly.
+	// MaxRetryAfter bounds the retry delay of refused requests, before a jitter of up
+	// to a tenth. If the backlog is longer, the delay is too short.
 	MaxRetryAfter time.Duration
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// Queue is the admission machine of one target.
+// Queue is the admission state machine of one target.
 type Queue struct {
 	settings Settings
 	random   *rand.Rand
@@ -88,7 +88,7 @@
 
 var _ btcore.Machine[Event, Effect] = (*Queue)(nil)
 
-// New returns an empty queue. Jitter is drawn from random.
+// New returns an empty queue. Random is the source of the jitter.
 func New(settings Settings, random *rand.Rand, asserter *btassert.Asserter) *Queue {
 	return &Queue{
 		settings:   settings,
@@ -104,7 +104,7 @@
 	}
 }
 
-// Step applies one event.
+// Step applies an event and returns its effects.
 func (q *Queue) Step(now time.Time, event Event) []Effect {
 	if now.After(q.now) {
 		q.now = now
@@ -151,7 +151,8 @@
 	q.trackDeadline(a.Deadline)
 }
 
-// admit tells whether the request may wait or start, and makes room for it.
+// admit reports whether the request may start or wait, and displaces another request
+// from a full queue if necessary. Otherwise it returns the reason for the refusal.
 func (q *Queue) admit(now time.Time, a Arrived) (btrequest.Reason, bool) {
 	if q.draining {
 		return ReasonDraining, false
@@ -160,12 +161,12 @@
 		return ReasonDeadline, false
 	}
 	if q.limiter.wait(now) > 0 {
-		// It would wait here while other targets have room.
+		// A request that waits for the rate limit could be served by another target.
 		return ReasonRateLimited, false
 	}
 	if len(q.running) < q.slots && q.queue.count == 0 {
-		// A free slot runs it whatever the estimate says; its run mends a wrong
-		// estimate, which refusals alone never would.
+		// A request gets a free slot whatever the estimate says: only finished requests
+		// can correct a wrong estimate, refusals never do.
 		return "", true
 	}
 	service := fromSeconds(a.Cost * q.unitTime(now))
@@ -179,8 +180,9 @@
 	return q.displace(now, a)
 }
 
-// displace gives up the place of a request that a full queue owes less than
-// the one that arrived.
+// displace removes the victim of the account with the largest backlog for its weight.
+// If that is the arriving request's own account, only a request of lower priority is
+// displaced.
 func (q *Queue) displace(now time.Time, a Arrived) (btrequest.Reason, bool) {
 	if q.queueLimit == 0 {
 		return ReasonFull, false
@@ -235,7 +237,7 @@
 	}
 }
 
-// expire refuses what waited past its deadline.
+// expire refuses queued requests whose deadline has passed.
 func (q *Queue) expire(now time.Time) {
 	if q.nextDeadline.IsZero() || q.nextDeadline.After(now) {
 		return
@@ -256,7 +258,7 @@
 	}
 }
 
-// byArrival returns what waits by order of arrival.
+// byArrival returns the queued requests in order of arrival.
 func (q *Queue) byArrival() []*item {
 	items := make([]*item, 0, len(q.waiting))
 	for _, i := range q.waiting {
@@ -266,7 +268,7 @@
 	return items
 }
 
-// dispatch starts what fits into free slots.
+// dispatch starts queued requests while there are free slots.
 func (q *Queue) dispatch(now time.Time) {
 	for !q.draining && len(q.running) < q.slots && q.limiter.wait(now) == 0 {
 		i := q.queue.pop()
@@ -295,7 +297,7 @@
 	q.effects = append(q.effects, Start{ID: i.ID})
 }
 
-// drop refuses a request that waits.
+// drop removes a queued request and refuses it.
 func (q *Queue) drop(i *item, reason btrequest.Reason, retryAfter time.Duration) {
 	delete(q.waiting, i.ID)
 	q.queue.remove(i)
@@ -307,7 +309,7 @@
 	q.effects = append(q.effects, Refuse{ID: id, Reason: reason, RetryAfter: retryAfter})
 }
 
-// retryDelay is the time to come back retryDelay a refusal for the reason.
+// retryDelay returns the retry delay of a refusal for the reason.
 func (q *Queue) retryDelay(now time.Time, reason btrequest.Reason, cost float64) time.Duration {
 	switch reason {
 	case ReasonDraining, ReasonCancelled:
@@ -318,7 +320,8 @@
 	return q.bookRetry(now, cost)
 }
 
-// endBusyPeriod notes the end of a busy period and of a drain.
+// endBusyPeriod resets the fair queue when nothing runs or waits, and reports the end
+// of a drain.
 func (q *Queue) endBusyPeriod() {
 	if len(q.running) > 0 || q.queue.count > 0 {
 		return
--- a/core/btqueue/btqueue_test.go
+++ b/core/btqueue/btqueue_test.go
@@ -18,7 +18,7 @@
 
 var seeds = flag.Uint64("seeds", 40, "seeds of each randomised run")
 
-// oracle checks from the outside what the machine asserts within.
+// oracle checks the machine's invariants from its effects.
 type oracle struct {
 	slots    int
 	draining bool
@@ -121,7 +121,7 @@
 	}
 }
 
-// drain stops the queue, twice, and lets what runs finish.
+// drain stops the queue twice and finishes the running requests.
 func (o *oracle) drain(t *testing.T, q *btqueue.Queue, now time.Time) {
 	t.Helper()
 	o.draining = true
@@ -188,8 +188,8 @@
 	// [{}]
 }
 
-// BenchmarkArrived measures an arrival and its end at a busy target before a
-// queue in which as many accounts wait.
+// BenchmarkArrived measures an arrival and the end of a request at a busy target whose
+// queue holds one request of each account.
 func BenchmarkArrived(b *testing.B) {
 	for _, accounts := range []int{1, 10, 690} {
 		b.Run(fmt.Sprintf("accounts_%d", accounts), func(b *testing.B) {
--- a/core/btqueue/estimate.go
+++ b/core/btqueue/estimate.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// estimateDecay is what one finished request leaves of the weight of those
-	// before it, so that the last ten or so count.
+	// estimateDecay is the factor by which one finished request reduces the weight of
+	// earlier ones, so that about the last ten count.
 	estimateDecay = 0.9
-	// retryFraction is the share of the drain rate that is promised to refused
-	// requests when they come back; the rest is for new ones.
+	// retryFraction is the fraction of the drain rate that is reserved for the retries
+	// of refused requests; the rest is for new ones.
 	retryFraction = 1.0 / 3
-	// newFraction and reservedShare are the parts of the time to the goal that new
-	// requests may wait, and those that come back when told; chosen by the
-	// overload cases of package btbench.
+	// newFraction and reservedFraction are the fractions of the time until StartBy that
+	// a new request and a reserved retry may wait. The overload cases of package
+	// btbench determined them.
 	newFraction      = 0.6
 	reservedFraction = 0.9
-	// retryJitter is the largest share by which a time to come back is
-	// lengthened.
+	// retryJitter is the largest fraction by which a retry delay is lengthened.
 	retryJitter = 0.1
 )
 
-// serviceEstimate measures how fast the target works.
+// serviceEstimate estimates the target's service time.
 type serviceEstimate struct {
-	// took and cost are decayed sums over finished requests; took over cost is
+	// took and cost are decayed sums over finished requests; took divided by cost is
 	// the time that a unit of cost holds a slot.
 	took float64
 	cost float64
-	// lastChange is the last time at which a slot changed hands.
+	// lastChange is when a slot was last taken or released.
 	lastChange time.Time
-	// bookedUntil is the time up to which refused requests were told to come back.
+	// bookedUntil is the end of the time already given to refused requests as retry
+	// delays.
 	bookedUntil time.Time
 }
 
@@ -47,9 +47,9 @@
 	e.cost = e.cost*estimateDecay + cost
 }
 
-// unitTime returns the seconds that a unitTime of cost holds a slot. While every slot
-// is held, all that runs is at least as old as the last change of hands, so a
-// stalled target shows before anything finishes.
+// unitTime returns the seconds that a unit of cost holds a slot. While all slots are
+// taken, every running request is at least as old as lastChange, so a stalled target
+// shows before any request finishes.
 func (q *Queue) unitTime(now time.Time) float64 {
 	unit := q.estimate.took / q.estimate.cost
 	if len(q.running) == 0 || len(q.running) < q.slots {
@@ -59,18 +59,18 @@
 	return math.Max(unit, age/q.meanRunningCost())
 }
 
-// meanRunningCost is the mean cost of what runs.
+// meanRunningCost returns the mean cost of the running requests.
 func (q *Queue) meanRunningCost() float64 {
 	return q.runningCost / float64(len(q.running))
 }
 
-// drainRate returns the cost that the target works off in a second.
+// drainRate returns the cost that the target completes per second.
 func (q *Queue) drainRate(now time.Time) float64 {
 	return float64(max(q.slots, 1)) / q.unitTime(now)
 }
 
-// expectedWait returns the expected time until a request with that cost ahead of it in
-// the queue starts.
+// expectedWait returns the expected time until a request starts that has that cost
+// ahead of it in the queue.
 func (q *Queue) expectedWait(now time.Time, ahead float64) time.Duration {
 	if len(q.running) < q.slots && q.queue.count == 0 {
 		return 0
@@ -81,9 +81,9 @@
 	return fromSeconds(ahead / q.drainRate(now))
 }
 
-// withinGoal tells whether so long a wait leaves the goal in reach. New requests may
-// fill less of the time than those that room was kept for, so that whoever comes
-// back when told finds it.
+// withinGoal reports whether the wait is short enough for the request to start by its
+// target time. New requests may use less of the time than reserved ones, so that a
+// reserved request finds room when it retries after its delay.
 func (a Arrived) withinGoal(now time.Time, wait time.Duration) bool {
 	if a.StartBy.IsZero() || wait == 0 {
 		return true
@@ -95,9 +95,9 @@
 	return wait.Seconds() <= fraction*a.StartBy.Sub(now).Seconds()
 }
 
-// bookRetry books a time at which a refused request of that cost is likely to
-// be taken: after the queue of now has drained, and after those who were told
-// to come back earlier.
+// bookRetry returns a retry delay and books the time after it. A refused request of
+// that cost is likely to be accepted once the current queue has drained and those
+// refused earlier have retried.
 func (q *Queue) bookRetry(now time.Time, cost float64) time.Duration {
 	rate := q.drainRate(now)
 	drained := now.Add(q.expectedWait(now, q.queue.cost))
@@ -116,7 +116,7 @@
 	return d + time.Duration(random.Float64()*retryJitter*float64(d))
 }
 
-// fromSeconds converts and keeps to what a Duration can hold.
+// fromSeconds converts seconds to a Duration of at most a day, to avoid overflow.
 func fromSeconds(s float64) time.Duration {
 	const maxSeconds = float64(24 * time.Hour / time.Second)
 	return time.Duration(math.Min(s, maxSeconds) * float64(time.Second))
--- a/core/btqueue/fair.go
+++ b/core/btqueue/fair.go
@@ -11,35 +11,35 @@
 
 const priorities = int(btrequest.High-btrequest.Low) + 1
 
-// item is a request that waits or runs.
+// item is a queued or running request.
 type item struct {
 	Arrived
-	// serial is the order of arrival.
+	// serial numbers requests in order of arrival.
 	serial uint64
-	// flow holds the item while it waits.
+	// flow is the queue that holds the item while it waits.
 	flow *flow
-	// started is when it was given to the target.
+	// started is when it was handed to the target.
 	started time.Time
 }
 
-// level is the item's place among the priorities, the first to go at zero.
+// level returns the index of the item's priority; 0 is the highest.
 func (i *item) level() int { return int(btrequest.High - i.Priority) }
 
-// flow is what one account has waiting.
+// flow is the queue of one account.
 type flow struct {
 	account btid.Account
 	weight  float64
-	// startTag is the virtual time at which the flow's next request may start.
+	// startTag is the virtual start time of the flow's next request.
 	startTag float64
 	levels   [priorities][]*item
 	count    int
 	cost     float64
 }
 
-// weightedCost is the flow's backlog in the measure by which accounts are equal.
+// weightedCost returns the cost of the flow's queued requests divided by its weight.
 func (f *flow) weightedCost() float64 { return f.cost / f.weight }
 
-// head returns the first to go: the oldest of the highest priority.
+// head returns the next item to start: the oldest of the highest priority.
 func (f *flow) head() *item {
 	for _, level := range f.levels {
 		if len(level) > 0 {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// victim returns the first to be given up: the newest of the lowest priority.
+// victim returns the first item to displace: the newest of the lowest priority.
 func (f *flow) victim() *item {
 	for _, level := range slices.Backward(f.levels[:]) {
 		if len(level) > 0 {
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// costUpTo returns the cost of what waits at the level or goes before it.
+// costUpTo returns the cost of the queued items of this level and all higher
+// priorities.
 func (f *flow) costUpTo(level int) float64 {
 	var cost float64
 	for _, items := range f.levels[:level+1] {
@@ -70,15 +71,15 @@
 	return cost
 }
 
-// fairQueue is a start-time fairQueue queue (Goyal, Vin and Cheng 1996): each account's
-// requests follow each other in virtual time by cost over weight, and the
-// account with the lowest time goes first.
+// fairQueue implements start-time fair queueing (Goyal, Vin and Cheng 1996): the start
+// tags of an account's requests advance in virtual time by cost over weight, and the
+// account with the lowest start tag goes first.
 type fairQueue struct {
 	virtualTime float64
 	flows       []*flow
 	byAccount   map[btid.Account]*flow
-	// idleTags holds the next start time of accounts with nothing waiting, as long
-	// as it lies ahead of the virtual time.
+	// idleTags holds the next start tag of accounts with an empty queue while it is
+	// ahead of the virtual time.
 	idleTags map[btid.Account]float64
 	count    int
 	cost     float64
@@ -88,8 +89,8 @@
 	return &fairQueue{byAccount: map[btid.Account]*flow{}, idleTags: map[btid.Account]float64{}}
 }
 
-// nextStartTag is when the account's next request would start if nothing of its own
-// waited.
+// nextStartTag returns the start tag of the account's next request if it has none
+// queued.
 func (f *fairQueue) nextStartTag(account btid.Account) float64 {
 	if w := f.byAccount[account]; w != nil {
 		return w.startTag
@@ -114,7 +115,7 @@
 	f.cost += i.Cost
 }
 
-// pop takes out the next to start and charges its account for it.
+// pop removes the next item to start and charges its cost to its account.
 func (f *fairQueue) pop() *item {
 	var next *flow
 	for _, w := range f.flows {
@@ -132,7 +133,7 @@
 	return i
 }
 
-// remove takes the item out without a charge.
+// remove removes an item without charging its account.
 func (f *fairQueue) remove(i *item) {
 	w := i.flow
 	level := w.levels[i.level()]
@@ -162,7 +163,7 @@
 	}
 }
 
-// pruneIdleTags drops what no longer matters of accounts with nothing waiting.
+// pruneIdleTags drops the start tags of idle accounts that the virtual time has passed.
 func (f *fairQueue) pruneIdleTags() {
 	for account, tag := range f.idleTags {
 		if tag <= f.virtualTime {
@@ -171,14 +172,14 @@
 	}
 }
 
-// reset ends a busy period: all accounts are equal again.
+// reset starts a new busy period, in which all accounts are equal.
 func (f *fairQueue) reset() {
 	f.virtualTime = 0
 	clear(f.idleTags)
 }
 
-// costAhead returns the cost of what would start before the request if nothing
-// more arrived.
+// costAhead returns the cost of the items that would start before the request if
+// nothing more arrived.
 func (f *fairQueue) costAhead(a Arrived) float64 {
 	var own float64
 	if w := f.byAccount[a.Account]; w != nil {
@@ -195,8 +196,8 @@
 	return total
 }
 
-// largestBacklog returns the account with the largest backlog for its weight when the
-// request is counted in.
+// largestBacklog returns the account with the largest backlog for its weight, including
+// the arriving request.
 func (f *fairQueue) largestBacklog(a Arrived) btid.Account {
 	account := a.Account
 	largest := a.Cost / a.Weight
--- a/core/btqueue/goal_test.go
+++ b/core/btqueue/goal_test.go
@@ -10,8 +10,9 @@
 	"bilberrytide/core/btrequest"
 )
 
-// TestGoalReservesQueueTimeForRetries fills a queue whose waits grow by half a
-// second: new requests stop at 0.6 of the goal, those with room kept at 0.9.
+// Guards against retries that find the queue filled by new requests. The expected waits
+// grow by half a second: new requests are accepted up to 0.6 of the time until StartBy,
+// reserved ones up to 0.9.
 func TestGoalReservesQueueTimeForRetries(t *testing.T) {
 	const goal = 10 * time.Second
 	now := time.Unix(1000, 0)
@@ -37,7 +38,7 @@
 	waiting := q.Load().Waiting
 	assert.Equal(t, waiting, newTaken+retriesTaken-2)
 	assert.Assert(t, newTaken >= 8 && newTaken <= 14, "%d new requests taken", newTaken)
-	assert.Assert(t, retriesTaken >= 4 && retriesTaken <= 8, "%d of those who came back taken", retriesTaken)
+	assert.Assert(t, retriesTaken >= 4 && retriesTaken <= 8, "%d reserved retries taken", retriesTaken)
 	assert.Equal(t, taken(false), 0)
 }
 
--- a/core/btqueue/load.go
+++ b/core/btqueue/load.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Load is the target's real load, told with heartbeats and refusals.
+// Load is the target's actual load, sent with heartbeats and refusals.
 type Load struct {
 	Slots      int `cbor:"slots" json:"slots"`
 	Running    int `cbor:"running" json:"running"`
 	QueueLimit int `cbor:"queue" json:"queue"`
 	Waiting    int `cbor:"waiting" json:"waiting"`
-	// Wait is the expected time until all that waits now has started.
+	// Wait is the expected time until all requests that wait now have started.
 	Wait     time.Duration `cbor:"wait" json:"wait"`
 	Draining bool          `cbor:"draining" json:"draining"`
 }
--- a/core/btqueue/overload_test.go
+++ b/core/btqueue/overload_test.go
@@ -12,14 +12,15 @@
 	"bilberrytide/core/btrequest"
 )
 
-// The target of these trials takes 200 ms a request in 8 slots: 40 requests a
-// second. A large account floods it and a small one asks for a twentieth.
+// The simulated target has 8 slots and takes 200 ms per request: 40 requests per
+// second. A large account overloads it and a small one sends a twentieth of its
+// capacity.
 const (
 	slots      = 8
 	queueLimit = 64
 	large      = btid.Account("large")
 	small      = btid.Account("small")
-	// floodSeeds is the seeds of each trial.
+	// floodSeeds is the number of seeds per test.
 	floodSeeds = 4
 )
 
@@ -31,7 +32,7 @@
 	)
 }
 
-// burst is a flood for ten seconds before an even half load.
+// burst overloads the target for ten seconds, over a steady half load.
 func burst(m machine, seed uint64) *tally {
 	all := newSimulation(m, seed).run(
 		caller{account: large, weight: 1, every: 12500 * time.Microsecond, until: 10 * time.Second},
@@ -82,13 +83,12 @@
 	for seed := uint64(1); seed <= floodSeeds; seed++ {
 		naive := burst(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, seed)
 		booked := burst(newQueue(slots, queueLimit, seed), seed)
-		assert.Check(t, naive.retriesStarted*4 < naive.retries*3, "seed %d: the naive time served %d of %d", seed, naive.retriesStarted, naive.retries)
+		assert.Check(t, naive.retriesStarted*4 < naive.retries*3, "seed %d: the naive retry delay served %d of %d", seed, naive.retriesStarted, naive.retries)
 		assert.Check(t, booked.retriesStarted*5 > booked.retries*4, "seed %d: served %d of %d", seed, booked.retriesStarted, booked.retries)
 	}
 }
 
-// BenchmarkOverload prints the table of fairness and refusals of both queues on
-// one trace.
+// BenchmarkOverload prints fairness and refusals of both queues under the same load.
 func BenchmarkOverload(b *testing.B) {
 	for range b.N {
 		for _, load := range []float64{0.5, 1, 2, 3} {
--- a/core/btqueue/rate_limiter.go
+++ b/core/btqueue/rate_limiter.go
@@ -6,16 +6,18 @@
 	"bilberrytide/core/btrate"
 )
 
-// rateLimiter keeps to the rate of requests that the target names. The queue is the only way to
-// the target, so that the whole rate is its own.
+// rateLimiter enforces the request rate that the target advertises. All requests to the
+// target pass through this queue, so it uses the whole rate.
 type rateLimiter struct {
 	limit  RateLimit
 	bucket btrate.Bucket
-	// bookedUntil is the time up to which refused requests were told to come back.
+	// bookedUntil is the end of the time already given to refused requests as retry
+	// delays.
 	bookedUntil time.Time
 }
 
-// set puts a rate in force; part is how much of a request a first one begins with.
+// set applies a rate limit. A bucket that comes into use starts with initialTokens, a
+// fraction of one request.
 func (l *rateLimiter) set(now time.Time, limit RateLimit, initialTokens float64) {
 	if !limit.Active {
 		*l = rateLimiter{}
@@ -25,7 +27,7 @@
 	l.bucket.Set(now, btrate.Asked(limit.PerSecond), initialTokens)
 }
 
-// wait returns how long it takes until the target may be given a request.
+// wait returns the time until the target may be given a request.
 func (l *rateLimiter) wait(now time.Time) time.Duration {
 	if !l.limit.Active {
 		return 0
@@ -34,15 +36,16 @@
 	return l.bucket.Wait()
 }
 
-// take notes that the target is given a request.
+// take records that the target is given a request.
 func (l *rateLimiter) take() {
 	if l.limit.Active {
 		l.bucket.Take()
 	}
 }
 
-// bookRetry returns when a refused request had better come back: each at a place of its own, so
-// that many who press here are told to stay away for as long as they can't be taken.
+// bookRetry returns the retry delay of a refused request, at most longest. Each request
+// books its own token, so that the delays of many callers cover the time for which they
+// can't be served.
 func (l *rateLimiter) bookRetry(now time.Time, longest time.Duration) time.Duration {
 	first := now.Add(l.wait(now))
 	if l.bookedUntil.Before(first) {
--- a/core/btqueue/rate_limiter_test.go
+++ b/core/btqueue/rate_limiter_test.go
@@ -12,8 +12,8 @@
 	"bilberrytide/core/btqueue"
 )
 
-// sendLoad presses on a target for a while, ten requests each 10 ms, and returns when
-// requests started and how the others were told to come back.
+// sendLoad sends ten requests every 10 ms, and returns when requests started and the
+// retry delays of the others.
 func sendLoad(q *btqueue.Queue, from, until time.Duration) (starts []time.Duration, delays []time.Duration) {
 	begin := time.Unix(1000, 0)
 	number := uint64(from)
@@ -41,7 +41,8 @@
 	return btqueue.New(btqueue.DefaultSettings(8, 16), rand.New(rand.NewPCG(1, 2)), btassert.New(btassert.Panic()))
 }
 
-// The queue is the only way to its target, so that it keeps to the target's rate by itself.
+// The queue alone must keep to the rate that its target advertises, as all requests to
+// the target pass through it.
 func TestQueueKeepsToTheTargetsRateLimit(t *testing.T) {
 	q := newLimitedQueue(t)
 	free, _ := sendLoad(q, 0, time.Second)
@@ -50,13 +51,14 @@
 	starts, delays := sendLoad(q, time.Second, 21*time.Second)
 	assert.Assert(t, len(starts) >= 95 && len(starts) <= 103, "%d of 100", len(starts))
 	assert.Assert(t, len(delays) > 1000)
-	assert.Equal(t, delays[len(delays)-1], time.Minute, "those who press are told to stay away")
+	assert.Equal(t, delays[len(delays)-1], time.Minute, "persistent callers get the longest delay")
 	q.Step(time.Unix(1021, 0), btqueue.RateLimit{})
 	free, _ = sendLoad(q, 21*time.Second, 22*time.Second)
 	assert.Equal(t, len(free), 1000)
 }
 
-// Those who are refused one after the other are told places of their own.
+// Guards against simultaneous retries: each refused request is given a delay of its
+// own.
 func TestRateLimitedRequestsGetDistinctRetryDelays(t *testing.T) {
 	q := newLimitedQueue(t)
 	q.Step(time.Unix(1000, 0), btqueue.RateLimit{PerSecond: 2, Active: true})
--- a/core/btqueue/refusal_history.go
+++ b/core/btqueue/refusal_history.go
@@ -5,11 +5,11 @@
 	"bilberrytide/core/btrequest"
 )
 
-// refusalHistorySize bounds the memory of refusals. A repeated message that is older
-// than that many refusals is left to the agent's duplicate check.
+// refusalHistorySize bounds the number of remembered refusals. A repeated message that
+// is older than that many refusals is left to the agent's duplicate check.
 const refusalHistorySize = 1024
 
-// refusalHistory remembers the last refusalHistory, so that none is taken back.
+// refusalHistory remembers the last refusals, so that a refusal is final.
 type refusalHistory struct {
 	ring    []btid.Request
 	next    int
@@ -25,7 +25,7 @@
 	return reason, ok
 }
 
-// add remembers the first reason for a request.
+// add records the first reason for a request.
 func (r *refusalHistory) add(id btid.Request, reason btrequest.Reason) {
 	if _, known := r.reasons[id]; known {
 		return
--- a/core/btqueue/simulation_test.go
+++ b/core/btqueue/simulation_test.go
@@ -27,7 +27,7 @@
 	return btid.Request{Entry: "e1", Incarnation: 1, Number: number}
 }
 
-// caller is a source of requests of one account, at random times.
+// caller sends requests of one account at random times.
 type caller struct {
 	account btid.Account
 	weight  float64
@@ -35,7 +35,7 @@
 	until   time.Duration
 }
 
-// tally is what became of one account's requests.
+// tally counts the outcomes of one account's requests.
 type tally struct {
 	offered, inTime, refused, late int
 	// inFirstMinute counts those answered in time within the first minute.
@@ -53,8 +53,8 @@
 	return t.waits[len(t.waits)*99/100]
 }
 
-// simulation drives a machine with callers and a target whose requests take random
-// times of a mean. Refused requests come back once when they were told to.
+// simulation drives a machine with callers and a target whose service times are
+// exponentially distributed. A refused request is retried once after its delay.
 type simulation struct {
 	machine  machine
 	random   *rand.Rand
@@ -187,8 +187,8 @@
 	t.plan(now.Add(e.RetryAfter), func(now time.Time) { t.arrive(now, a.caller, true) })
 }
 
-// fifoQueue is the naive queue: first come, first served; refused when full, with
-// the time in which the queue drains.
+// fifoQueue is the naive queue: first in, first out. It refuses requests when full,
+// with the time in which the queue drains as the retry delay.
 type fifoQueue struct {
 	slots, queueLimit int
 	mean              time.Duration
