--- a/core/btqueue/rate_limiter.go
+++ b/core/btqueue/rate_limiter.go
@@ -24,7 +24,7 @@
 		return
 	}
 	l.limit = limit
-	l.bucket.Set(now, btrate.Asked(limit.PerSecond), initialTokens)
+	l.bucket.SetRate(now, btrate.EffectiveRate(limit.PerSecond), initialTokens)
 }
 
 // wait returns the time until the target may be given a request.
@@ -32,7 +32,7 @@
 	if !l.limit.Active {
 		return 0
 	}
-	l.bucket.Set(now, btrate.Asked(l.limit.PerSecond), 0)
+	l.bucket.SetRate(now, btrate.EffectiveRate(l.limit.PerSecond), 0)
 	return l.bucket.Wait()
 }
 
@@ -53,7 +53,7 @@
 	}
 	delay := min(l.bookedUntil.Sub(now), longest)
 	if delay < longest {
-		l.bookedUntil = l.bookedUntil.Add(time.Duration(float64(time.Second) / btrate.Asked(l.limit.PerSecond)))
+		l.bookedUntil = l.bookedUntil.Add(time.Duration(float64(time.Second) / btrate.EffectiveRate(l.limit.PerSecond)))
 	}
 	return delay
 }
--- a/core/btrate/btrate.go
+++ b/core/btrate/btrate.go
@@ -11,28 +11,28 @@
 // Limit is what is known of a target's rate.
 type Limit struct {
 	PerSecond float64
-	// Named is false once the target has answered without a rate.
-	Named bool
-	// At is when the latest answer that said so had arrived.
-	At time.Time
+	// Active is false once the target has answered without a rate.
+	Active bool
+	// ObservedAt is when the latest answer that said so had arrived.
+	ObservedAt time.Time
 }
 
-// After returns what is known once an answer has arrived now to a request that was sent
+// Update returns what is known once an answer has arrived now to a request that was sent
 // before, and whether that is news.
 //
 // Answers overtake each other, and the head of a stream may be old when it arrives. One
 // was surely given later than another only if its request was sent after the other had
 // arrived. Where that isn't sure, a limit stays, and the lower of two rates.
-func (l Limit) After(now, sent time.Time, w Word) (Limit, bool) {
-	later := !sent.Before(l.At)
+func (l Limit) Update(now, sentAt time.Time, a Advertisement) (Limit, bool) {
+	later := !sentAt.Before(l.ObservedAt)
 	switch {
-	case w.Malformed != "":
+	case a.Malformed != "":
 		return l, false
-	case !w.Named && (!l.Named || !later):
+	case !a.Present && (!l.Active || !later):
 		return l, false
-	case w.Named && l.Named && !later && w.PerSecond > l.PerSecond:
+	case a.Present && l.Active && !later && a.PerSecond > l.PerSecond:
 		return l, false
 	}
-	next := Limit{PerSecond: w.PerSecond, Named: w.Named, At: now}
-	return next, next.Named != l.Named || next.PerSecond != l.PerSecond
+	next := Limit{PerSecond: a.PerSecond, Active: a.Present, ObservedAt: now}
+	return next, next.Active != l.Active || next.PerSecond != l.PerSecond
 }
--- a/core/btrate/record.go
+++ b/core/btrate/record.go
@@ -11,12 +11,12 @@
 	"bilberrytide/core/btwire"
 )
 
-// MaxTold bounds the targets that one message tells of, some 36 B each: three messages,
+// MaxRecords bounds the targets that one message tells of, some 36 B each: three messages,
 // twice a second, stay below 8 KB/s.
-const MaxTold = 28
+const MaxRecords = 28
 
-// newsFor is for how long a change is news: until all entries know of it.
-const newsFor = 3 * time.Second
+// recentPeriod is for how long a change is news: until all entries know of it.
+const recentPeriod = 3 * time.Second
 
 // Record is what entries tell each other of one target's rate. Times are told as ages, as
 // hosts' clocks differ.
@@ -61,4 +61,4 @@
 
 // Validate reports records that are too many or that can't hold. The error wraps
 // ErrRecord.
-func (rs Records) Validate() error { return btwire.ValidateList(rs, MaxTold, ErrRecord) }
+func (rs Records) Validate() error { return btwire.ValidateList(rs, MaxRecords, ErrRecord) }
--- a/core/btrate/spread_test.go
+++ b/core/btrate/spread_test.go
@@ -12,36 +12,36 @@
 	"bilberrytide/core/btwire"
 )
 
-// spreadReaders is how many entries read the platform's list; each greeting goes to one
+// listReaders is how many entries read the platform's list; each greeting goes to one
 // of them, a seed and one other.
-const spreadReaders = 3
+const listReaders = 3
 
-// asks is how an entry says what it knows.
-type asks func(*btrate.Register) btrate.Summary
+// summariser is how an entry says what it knows.
+type summariser func(*btrate.Register) btrate.Summary
 
 // byCells tells which parts differ, byDigest only that something does.
 var (
-	byCells  asks = (*btrate.Register).Summary
-	byDigest asks = func(r *btrate.Register) btrate.Summary {
+	byCells  summariser = (*btrate.Register).Summary
+	byDigest summariser = func(r *btrate.Register) btrate.Summary {
 		return btrate.Summary{Digest: r.Summary().Digest}
 	}
 )
 
-// hears tells which of the entries hears of a limit, by the limit's number.
-type hears func(entries, limit int) int
+// assignment tells which of the entries assignment of a limit, by the limit's number.
+type assignment func(entries, limit int) int
 
 var (
-	// byAnother has each limit heard by another entry, byOne all by the one to which all
+	// differentEntries has each limit heard by another entry, byOne all by the one to which all
 	// callers come.
-	byAnother hears = func(entries, limit int) int { return (entries/2 + limit) % entries }
-	byOne     hears = func(entries, _ int) int { return entries / 2 }
+	differentEntries assignment = func(entries, limit int) int { return (entries/2 + limit) % entries }
+	oneEntry         assignment = func(entries, _ int) int { return entries / 2 }
 )
 
-// spread has some entries of a fleet hear of limits, and returns after how long all know
+// simulateSpread has some entries of a fleet hear of limits, and returns after how long all know
 // them and how many bytes an entry was told in a second at the most.
-func spread(entries, limits int, seed uint64, heard hears, asked asks) (took time.Duration, bytes int) {
+func simulateSpread(entries, limits int, seed uint64, assign assignment, summarise summariser) (took time.Duration, bytes int) {
 	random := rand.New(rand.NewPCG(seed, 29))
-	list := members(entries)
+	list := entryAddresses(entries)
 	registers := make([]*btrate.Register, entries)
 	gossip := make([]*btgossip.Register, entries)
 	for i := range registers {
@@ -53,7 +53,7 @@
 		}
 	}
 	for n := range limits {
-		registers[heard(entries, n)].Heard(start, start, instance(n), named(1))
+		registers[assign(entries, n)].ObserveAnswer(start, start, instance(n), advertise(1))
 	}
 	index := map[string]int{}
 	for i, a := range list {
@@ -61,24 +61,24 @@
 	}
 	const round = 500 * time.Millisecond
 	for now := start; ; now = now.Add(round) {
-		told := make([]int, entries)
+		received := make([]int, entries)
 		all := true
 		for i, r := range registers {
-			for _, to := range gossip[i].Contacts(list[:spreadReaders], spreadReaders, random) {
-				records := registers[index[to.String()]].Tell(now, asked(r))
+			for _, to := range gossip[i].Contacts(list[:listReaders], listReaders, random) {
+				records := registers[index[to.String()]].RecordsFor(now, summarise(r))
 				data, _ := btwire.Encode(records)
-				told[i] += len(data)
-				r.Told(now, now, records, everything)
-				news := r.News(now)
-				data, _ = btwire.Encode(news)
-				if len(news) > 0 {
-					told[index[to.String()]] += len(data)
+				received[i] += len(data)
+				r.Merge(now, now, records, allListed)
+				recent := r.RecentRecords(now)
+				data, _ = btwire.Encode(recent)
+				if len(recent) > 0 {
+					received[index[to.String()]] += len(data)
 				}
-				registers[index[to.String()]].Told(now, now, news, everything)
+				registers[index[to.String()]].Merge(now, now, recent, allListed)
 			}
-			all = all && r.Limited() == limits
+			all = all && r.ActiveLimits() == limits
 		}
-		for _, n := range told {
+		for _, n := range received {
 			bytes = max(bytes, 2*n)
 		}
 		if all {
@@ -87,29 +87,29 @@
 	}
 }
 
-// toldBudget is the most that an entry may be told in a second, in bytes: all of a process.
-const toldBudget = 8192
+// byteBudget is the most that an entry may be told in a second, in bytes: all of a process.
+const byteBudget = 8192
 
-// knownInTime checks that all entries of a fleet know of limits that are named at one moment
+// checkSpread checks that all entries of a fleet know of limits that are named at one moment
 // within the 3 s after which they must be kept to, for so many seeds.
-func knownInTime(t *testing.T, entries, limits int, seeds uint64) {
+func checkSpread(t *testing.T, entries, limits int, seeds uint64) {
 	t.Helper()
 	worst, most := time.Duration(0), 0
 	for seed := range seeds {
-		took, bytes := spread(entries, limits, seed, byAnother, byCells)
+		took, bytes := simulateSpread(entries, limits, seed, differentEntries, byCells)
 		worst = max(worst, took)
 		most = max(most, bytes)
 	}
 	t.Logf("%d entries: all know of %d limits after %s at the most, %d bytes a second", entries, limits, worst, most)
 	assert.Check(t, worst <= 3*time.Second, "%d entries: %s", entries, worst)
-	assert.Check(t, most <= toldBudget, "%d entries: %d bytes a second", entries, most)
+	assert.Check(t, most <= byteBudget, "%d entries: %d bytes a second", entries, most)
 }
 
 // All entries know of a limit before it must be kept to, and what they are told in that time
 // stays within the bytes of a process.
-func TestAllKnowWithinSeconds(t *testing.T) {
+func TestLimitSpreadsWithinSeconds(t *testing.T) {
 	for _, entries := range []int{4, 35, 380} {
-		knownInTime(t, entries, 1, 5)
+		checkSpread(t, entries, 1, 5)
 	}
 }
 
@@ -117,14 +117,14 @@
 // is filled from all limits that are known, as an entry only says that something differs,
 // most of it is known to its reader: all of 380 entries knew them after 6.5 s, and until then
 // sent more than the targets take.
-func TestATenthOfTheTargetsIsKnownWithinSeconds(t *testing.T) {
+func TestManyLimitsSpreadWithinSeconds(t *testing.T) {
 	for _, entries := range []int{4, 35, 380} {
-		knownInTime(t, entries, 83, 3)
+		checkSpread(t, entries, 83, 3)
 	}
-	one, bytes := spread(380, 83, 0, byOne, byCells)
+	one, bytes := simulateSpread(380, 83, 0, oneEntry, byCells)
 	t.Logf("380 entries, of which one hears all: %s, %d bytes a second", one, bytes)
-	assert.Check(t, bytes <= toldBudget, "%d bytes a second", bytes)
-	digest, _ := spread(380, 83, 0, byAnother, byDigest)
+	assert.Check(t, bytes <= byteBudget, "%d bytes a second", bytes)
+	digest, _ := simulateSpread(380, 83, 0, differentEntries, byDigest)
 	t.Logf("380 entries that ask by one digest: %s", digest)
 	assert.Check(t, digest > 3*time.Second, "the way before does as well: %s", digest)
 }
--- a/core/btrate/summary.go
+++ b/core/btrate/summary.go
@@ -40,27 +40,27 @@
 		return func(btinventory.Instance) bool { return true }
 	}
 	return func(i btinventory.Instance) bool {
-		n := cell(i)
-		return s.at(n) != other.at(n)
+		n := cellOf(i)
+		return s.digestAt(n) != other.digestAt(n)
 	}
 }
 
-// at returns the digest of one part of the targets.
-func (s Summary) at(n int) byte {
+// digestAt returns the digest of one part of the targets.
+func (s Summary) digestAt(n int) byte {
 	if len(s.Cells) == 0 {
 		return 0
 	}
 	return s.Cells[n]
 }
 
-// cell is the part of the targets to which one belongs.
-func cell(i btinventory.Instance) int {
-	return int(fingerprint(i, Limit{Named: true}) % cellCount)
+// cellOf is the part of the targets to which one belongs.
+func cellOf(i btinventory.Instance) int {
+	return int(fingerprint(i, Limit{Active: true}) % cellCount)
 }
 
 // fingerprint stands for a limit in force; zero where there is none.
 func fingerprint(i btinventory.Instance, l Limit) uint64 {
-	if !l.Named {
+	if !l.Active {
 		return 0
 	}
 	var d xxhash.Digest
--- a/io/btagent/rate.go
+++ b/io/btagent/rate.go
@@ -23,23 +23,23 @@
 
 // heard takes in what an answer says that has arrived now to a request which was sent
 // before. The target names what it takes of all callers, and all come through here.
-func (r *targetRate) heard(queue *admission, log *slog.Logger, now, sent time.Time, w btrate.Word) {
+func (r *targetRate) heard(queue *admission, log *slog.Logger, now, sent time.Time, w btrate.Advertisement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.limit
-	after, news := before.After(now, sent, w)
+	after, news := before.Update(now, sent, w)
 	r.limit = after
 	if w.Malformed != "" && !r.malformed {
 		// Each answer may be alike.
 		r.malformed = true
-		log.Warn("target rate refused", "value", w.Malformed, "kept", after.Named, "per_second", after.PerSecond)
+		log.Warn("target rate refused", "value", w.Malformed, "kept", after.Active, "per_second", after.PerSecond)
 	}
 	if !news {
 		return
 	}
-	queue.loop.Post(btqueue.RateLimit{PerSecond: after.PerSecond, Active: after.Named})
-	if after.Named {
-		log.Info("target rate heard", "per_second", after.PerSecond, "limited_before", before.Named, "before", before.PerSecond)
+	queue.loop.Post(btqueue.RateLimit{PerSecond: after.PerSecond, Active: after.Active})
+	if after.Active {
+		log.Info("target rate heard", "per_second", after.PerSecond, "limited_before", before.Active, "before", before.PerSecond)
 		return
 	}
 	log.Info("target rate ended", "before", before.PerSecond)
@@ -49,7 +49,7 @@
 func (r *targetRate) forget(queue *admission, log *slog.Logger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if queue != nil && r.limit.Named {
+	if queue != nil && r.limit.Active {
 		queue.loop.Post(btqueue.RateLimit{})
 		log.Info("target rate ended", "cause", "the target is gone")
 	}
@@ -58,7 +58,7 @@
 }
 
 // hearRate takes in what the target says in an answer to a request that was sent then.
-func (a *Agent) hearRate(queue *admission, sent time.Time, w btrate.Word) {
+func (a *Agent) hearRate(queue *admission, sent time.Time, w btrate.Advertisement) {
 	if w.Malformed != "" {
 		a.options.Meter.Counter(metricRatesMalformed).Inc(1)
 	}
--- a/io/btdirect/choose.go
+++ b/io/btdirect/choose.go
@@ -74,16 +74,16 @@
 
 // candidates sorts the service's targets. The lock is held.
 func (f *fleet) candidates(s *service, tried map[btinventory.Instance]bool, now time.Time) candidates {
-	c := candidates{scarce: make(map[*target]bool, f.rates.Limited())}
+	c := candidates{scarce: make(map[*target]bool, f.rates.ActiveLimits())}
 	for _, t := range s.targets {
 		if t.state != btinventory.Ready || tried[t.info.Instance()] || now.Before(t.replaced) {
 			continue
 		}
 		// A target in need gets no more than it names of all entries together: each that
 		// sent by itself what the target takes of all would overrun it.
-		if f.rates.Limit(t.info.Instance()).Named {
+		if f.rates.Limit(t.info.Instance()).Active {
 			if f.rates.Wait(now, t.info.Instance()) > 0 {
-				f.rates.PassedOver(t.info.Instance())
+				f.rates.CountSkipped(t.info.Instance())
 				c.limited = append(c.limited, t)
 				continue
 			}
@@ -139,7 +139,7 @@
 func (f *fleet) unplaced(t *target, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rates.GiveBack(t.info.Instance())
+	f.rates.Refund(t.info.Instance())
 	t.requests--
 	t.tokens -= tokens
 }
--- a/io/btdirect/fleet.go
+++ b/io/btdirect/fleet.go
@@ -153,7 +153,7 @@
 			t.kept.Close()
 		}
 	}
-	f.rates.Keep(f.listed)
+	f.rates.Retain(f.listed)
 	return f.believe(list)
 }
 
--- a/io/btdirect/rate.go
+++ b/io/btdirect/rate.go
@@ -26,18 +26,18 @@
 
 // hearRate takes in what an answer to a request that was sent then says of the target's
 // rate.
-func (e *Entry) hearRate(x *exchange, t *target, sent time.Time, status int, w btrate.Word) {
+func (e *Entry) hearRate(x *exchange, t *target, sent time.Time, status int, w btrate.Advertisement) {
 	if w.Malformed != "" {
 		e.meter.Counter(metricRatesMalformed).Inc(1)
 	}
-	if w.Named {
+	if w.Present {
 		e.meter.Counter(metricRatesHeard).Inc(1)
 	}
 	now := e.options.Clock()
 	change, news := e.fleet.hearRate(t, now, sent, w)
 	attributes := []any{"request", x.call.ID, "status", status, "age_ms", now.Sub(sent).Milliseconds()}
 	if w.Malformed != "" && e.fleet.firstMalformedRate(t) {
-		e.log.Warn("target rate refused", append(attributes, "target", t.info.Instance(), "service", t.info.Service, "value", w.Malformed, "kept", change.After.Named, "per_second", change.After.PerSecond)...)
+		e.log.Warn("target rate refused", append(attributes, "target", t.info.Instance(), "service", t.info.Service, "value", w.Malformed, "kept", change.After.Active, "per_second", change.After.PerSecond)...)
 	}
 	if news {
 		e.rateChanged(change, attributes...)
@@ -48,10 +48,10 @@
 func (e *Entry) rateChanged(c btrate.Change, evidence ...any) {
 	e.meter.Counter(metricRatesChanged).Inc(1)
 	attributes := append([]any{"target", c.Target}, evidence...)
-	if c.Before.Named {
-		attributes = append(attributes, "before", c.Before.PerSecond, "passed_over", c.PassedOver)
+	if c.Before.Active {
+		attributes = append(attributes, "before", c.Before.PerSecond, "passed_over", c.Skipped)
 	}
-	if c.After.Named {
+	if c.After.Active {
 		e.log.Info("target rate heard", append(attributes, "per_second", c.After.PerSecond)...)
 		return
 	}
@@ -60,13 +60,13 @@
 
 // hearRate takes in what an answer says of the target's rate, and returns what changed
 // and whether anything did.
-func (f *fleet) hearRate(t *target, now, sent time.Time, w btrate.Word) (btrate.Change, bool) {
+func (f *fleet) hearRate(t *target, now, sent time.Time, w btrate.Advertisement) (btrate.Change, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.listed(t.info.Instance()) {
 		return btrate.Change{}, false
 	}
-	return f.rates.Heard(now, sent, t.info.Instance(), w)
+	return f.rates.ObserveAnswer(now, sent, t.info.Instance(), w)
 }
 
 // listed tells whether a target is. The lock is held.
@@ -77,7 +77,7 @@
 func (f *fleet) observe(others []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shares.Observe(f.clock(), others)
+	f.shares.ObserveEntries(f.clock(), others)
 }
 
 // ratesSummary stands for the limits that are known.
@@ -91,7 +91,7 @@
 func (e *Entry) ratesNews() btrate.Records {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
-	return e.told(e.fleet.rates.News(e.fleet.clock()))
+	return e.told(e.fleet.rates.RecentRecords(e.fleet.clock()))
 }
 
 // told counts records that are told.
@@ -106,20 +106,20 @@
 func (e *Entry) tellRates(s btrate.Summary) btrate.Records {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
-	return e.told(e.fleet.rates.Tell(e.fleet.clock(), s))
+	return e.told(e.fleet.rates.RecordsFor(e.fleet.clock(), s))
 }
 
 // learnRates takes in what another entry tells that was asked then.
 func (e *Entry) learnRates(records btrate.Records, asked time.Time, from netip.AddrPort) {
 	for _, c := range e.fleet.learnRates(records, asked) {
-		e.rateChanged(c, "from", from, "age_ms", e.options.Clock().Sub(c.After.At).Milliseconds())
+		e.rateChanged(c, "from", from, "age_ms", e.options.Clock().Sub(c.After.ObservedAt).Milliseconds())
 	}
 }
 
 func (f *fleet) learnRates(records btrate.Records, asked time.Time) []btrate.Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.rates.Told(f.clock(), asked, records, f.listed)
+	return f.rates.Merge(f.clock(), asked, records, f.listed)
 }
 
 // awaitPlace waits for the place that a request has at a target which names a rate, and
--- a/io/btdirect/source.go
+++ b/io/btdirect/source.go
@@ -111,5 +111,5 @@
 	// AtFault is the group member that the answer blames, if any.
 	AtFault btinventory.ID
 	// Rate is what the answer says of how many requests the target takes.
-	Rate btrate.Word
+	Rate btrate.Advertisement
 }
--- a/io/bttarget/bttarget.go
+++ b/io/bttarget/bttarget.go
@@ -76,7 +76,7 @@
 	// connection. Where it is false, io.EOF does not prove a whole answer.
 	Delimited bool
 	// Rate is what the answer says of how many requests the target takes.
-	Rate btrate.Word
+	Rate btrate.Advertisement
 	// Body gives errors wrapping ErrLost.
 	Body io.ReadCloser
 }
--- a/io/bttarget/client.go
+++ b/io/bttarget/client.go
@@ -175,7 +175,7 @@
 		Header:    endToEnd(answer.Header),
 		Length:    answer.ContentLength,
 		Delimited: delimited(r.Method, answer),
-		Rate:      btrate.ParseWord(answer.Header[HeaderRate]),
+		Rate:      btrate.ParseAdvertisement(answer.Header[HeaderRate]),
 		Body:      &body{from: answer.Body, lost: c.lost},
 	}, nil
 }
