--- a/core/btrate/advertisement.go
+++ b/core/btrate/advertisement.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// MaxPerSecond bounds a rate, far above what any target serves; a higher one is taken
-	// as this.
+	// MaxPerSecond caps a rate. It is far above what any target serves.
 	MaxPerSecond = 1e6
-	// maxDecimalLength bounds the digits of a rate, maxShown what logs show of one that can't
-	// be read, in bytes.
+	// maxDecimalLength bounds the length of a rate, maxShownLength that of a malformed
+	// rate in logs, in bytes.
 	maxDecimalLength = 32
 	maxShownLength   = 40
 )
 
-// Advertisement is what one answer of a target says of the rate that it takes.
+// Advertisement is the rate in one answer of a target.
 type Advertisement struct {
-	// PerSecond is the rate, in requests of all callers together.
+	// PerSecond is the rate, in requests per second of all callers together.
 	PerSecond float64
-	// Present tells that the answer names a rate. One that doesn't ends an earlier limit.
+	// Present reports that the answer contains a rate. An answer without one ends an
+	// earlier limit.
 	Present bool
-	// Malformed is what an answer has in the place of a rate that can't be read; such
-	// an answer changes nothing.
+	// Malformed is the quoted value of a rate that can't be parsed. Such an answer
+	// changes nothing.
 	Malformed string
 }
 
-// ParseAdvertisement reads the values of an answer's field for the rate, of which there are none
-// where the target names no rate: numbers of digits with at most one point. Of several the
-// lowest counts; where one of them can't be read none does.
+// ParseAdvertisement parses the values of the header with the rate; there are none if
+// the target advertises no rate. A value is a decimal number of digits with at most one
+// point. The lowest of several values counts; if one of them is malformed, none does.
 func ParseAdvertisement(values []string) Advertisement {
 	var a Advertisement
 	for _, text := range values {
@@ -43,7 +43,7 @@
 	return a
 }
 
-// parseDecimal reads a number of digits with at most one point, from zero on.
+// parseDecimal parses a non-negative decimal number of digits with at most one point.
 func parseDecimal(text string) (float64, bool) {
 	if len(text) > maxDecimalLength || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/core/btrate/btrate.go
+++ b/core/btrate/btrate.go
@@ -1,28 +1,29 @@
-// Package btrate keeps the request rates that targets take by their own word, and
-// decides which entries use such a target and when.
+// Package btrate tracks the request rates that targets advertise, and decides which
+// entries send to such a target and when.
 //
-// A target in need names in its answers how many requests a second it takes of all
-// callers together, for as long as it says so. Each entry hears this with its own
-// answers, and from other entries.
+// An overloaded target advertises in its answers how many requests per second it
+// accepts from all callers together. The limit holds until an answer comes without it.
+// Each entry learns of it from its own answers and from other entries.
 package btrate
 
 import "time"
 
-// Limit is what is known of a target's rate.
+// Limit is the known rate limit of a target.
 type Limit struct {
 	PerSecond float64
 	// Active is false once the target has answered without a rate.
 	Active bool
-	// ObservedAt is when the latest answer that said so had arrived.
+	// ObservedAt is when the latest answer that confirmed the limit arrived.
 	ObservedAt time.Time
 }
 
-// Update returns what is known once an answer has arrived now to a request that was sent
-// before, and whether that is news.
+// Update returns the limit after an answer that arrives now to a request sent at
+// sentAt, and whether the limit changed.
 //
-// Answers overtake each other, and the head of a stream may be old when it arrives. One
-// was surely given later than another only if its request was sent after the other had
-// arrived. Where that isn't sure, a limit stays, and the lower of two rates.
+// Answers can overtake each other, and the head of a stream may be old when it arrives.
+// An answer is certainly later than another one only if its request was sent after the
+// other one arrived. Otherwise an active limit stays active, and the lower of two rates
+// is kept.
 func (l Limit) Update(now, sentAt time.Time, a Advertisement) (Limit, bool) {
 	later := !sentAt.Before(l.ObservedAt)
 	switch {
--- a/core/btrate/btrate_test.go
+++ b/core/btrate/btrate_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// at returns a time so many milliseconds after the start.
+// at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func advertise(perSecond float64) btrate.Advertisement {
@@ -45,18 +45,19 @@
 	}
 }
 
-// Answers overtake each other: one without a limit may have been given before the one that
-// named it, though it arrives later.
+// Guards against a limit that ends too early: answers can overtake each other, so an
+// answer without a limit may have been sent before the one that set it, though it
+// arrives later.
 func TestPossiblyOlderAnswerDoesNotEndALimit(t *testing.T) {
 	l, _ := btrate.Limit{}.Update(at(100), at(90), advertise(1))
 	l, changed := l.Update(at(150), at(50), btrate.Advertisement{})
-	assert.Assert(t, l.Active && !changed, "sent before the other had arrived")
+	assert.Assert(t, l.Active && !changed, "sent before the other answer arrived")
 	l, changed = l.Update(at(160), at(95), advertise(3))
 	assert.Assert(t, l.PerSecond == 1 && !changed, "the lower of two rates")
 	l, changed = l.Update(at(170), at(95), advertise(0.5))
 	assert.Assert(t, l.PerSecond == 0.5 && changed)
 	l, changed = l.Update(at(190), at(180), btrate.Advertisement{})
-	assert.Assert(t, !l.Active && changed, "sent after all of them had arrived")
+	assert.Assert(t, !l.Active && changed, "sent after all other answers arrived")
 	l, changed = l.Update(at(200), at(60), advertise(1))
-	assert.Assert(t, l.Active && changed, "it may be the newer one")
+	assert.Assert(t, l.Active && changed, "it may be the newer answer")
 }
--- a/core/btrate/bucket.go
+++ b/core/btrate/bucket.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// burstDuration is for how long a token waits for a request beside the one before it: a request
-// comes some time after its token, and the rate would be lost for that long each time.
+// burstDuration is the time for which unused tokens accumulate beyond the first. A
+// request arrives some time after its token, and the rate would go unused for that long
+// each time.
 const burstDuration = 400 * time.Millisecond
 
-// Bucket is a token bucket. It is debited for requests that wait for their token. It is
-// not safe for concurrent use.
+// Bucket is a token bucket. Requests that wait for a token debit it in advance, so the
+// number of tokens can be negative. A Bucket is not safe for concurrent use.
 type Bucket struct {
 	perSecond float64
 	tokens    float64
 	updatedAt time.Time
 }
 
-// SetRate brings the bucket up to date and puts a rate in force. One that comes into use holds
-// only a part of a token: entries that take a target up together don't all send at once,
-// and one that is gone and back gains nothing.
+// SetRate refills the bucket and sets its rate, in tokens per second. A bucket that
+// comes into use holds at most initialTokens, a fraction of a token: entries that start
+// to use a target don't all send at once, and an entry that leaves and returns gains
+// nothing.
 func (b *Bucket) SetRate(now time.Time, perSecond, initialTokens float64) {
 	if b.perSecond == 0 && perSecond > 0 {
 		b.tokens = min(b.tokens, initialTokens)
@@ -32,10 +34,10 @@
 	b.perSecond = perSecond
 }
 
-// capacity is how many requests the bucket holds at the most.
+// capacity returns the largest number of tokens.
 func (b *Bucket) capacity() float64 { return 1 + b.perSecond*burstDuration.Seconds() }
 
-// Wait returns how long it takes until there is a token; the bucket is up to date.
+// Wait returns the time until a token is available, as of the last SetRate.
 func (b *Bucket) Wait() time.Duration {
 	if b.tokens >= 1 {
 		return 0
@@ -50,11 +52,11 @@
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-// maxWait is a wait that no request lasts for.
+// maxWait is longer than any request waits.
 const maxWait = time.Hour
 
-// Take debits a request.
+// Take debits a token.
 func (b *Bucket) Take() { b.tokens-- }
 
-// Refund credits a request that was not sent.
+// Refund returns the token of a request that was not sent.
 func (b *Bucket) Refund() { b.tokens = min(b.tokens+1, b.capacity()) }
--- a/core/btrate/record.go
+++ b/core/btrate/record.go
@@ -11,36 +11,36 @@
 	"bilberrytide/core/btwire"
 )
 
-// MaxRecords bounds the targets that one message tells of, some 36 B each: three messages,
+// MaxRecords bounds the records of one message, of some 36 B each. Three messages,
 // twice a second, stay below 8 KB/s.
 const MaxRecords = 28
 
-// recentPeriod is for how long a change is news: until all entries know of it.
+// recentPeriod is how long a change is sent unasked: until all entries know it.
 const recentPeriod = 3 * time.Second
 
-// Record is what entries tell each other of one target's rate. Times are told as ages, as
-// hosts' clocks differ.
+// Record is the state of one target's limit as entries send it to each other. Times are
+// sent as ages, as the clocks of hosts differ.
 type Record struct {
 	_      struct{}         `cbor:",toarray"`
 	Target btinventory.ID   `cbor:"target"`
 	Start  btid.Incarnation `cbor:"start"`
-	// PerSecond is the rate; Ended tells that the target names none any more.
+	// PerSecond is the rate; Ended reports that the target no longer advertises one.
 	PerSecond float64 `cbor:"per_second"`
 	Ended     bool    `cbor:"ended"`
-	// AgeMillis is how long ago the latest answer that said so had arrived, in
-	// milliseconds.
+	// AgeMillis is the time since the latest answer that confirmed the limit arrived,
+	// in milliseconds.
 	AgeMillis int64 `cbor:"age_ms"`
 }
 
-// instance returns the start of the target that the record is of.
+// instance returns the target's instance.
 func (r Record) instance() btinventory.Instance {
 	return btinventory.Instance{ID: r.Target, Start: r.Start}
 }
 
-// ErrRecord is wrapped by the error of every record that can't hold.
+// ErrRecord is wrapped by the error of every invalid record.
 var ErrRecord = errors.New("malformed record of a target's rate")
 
-// Validate reports a record that can't hold. The error wraps ErrRecord.
+// Validate returns an error that wraps ErrRecord if a field is out of range.
 func (r Record) Validate() error {
 	switch {
 	case r.Target == "":
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// maxAge is the largest age that a record tells; an older one is told as this.
+// maxAge caps the age of a record.
 const maxAge = 24 * time.Hour
 
-// Records are told in one message.
+// Records are the records of one message.
 type Records []Record
 
-// Validate reports records that are too many or that can't hold. The error wraps
-// ErrRecord.
+// Validate returns an error that wraps ErrRecord if there are more than MaxRecords or
+// if one is invalid.
 func (rs Records) Validate() error { return btwire.ValidateList(rs, MaxRecords, ErrRecord) }
--- a/core/btrate/register.go
+++ b/core/btrate/register.go
@@ -9,38 +9,40 @@
 	"bilberrytide/core/btinventory"
 )
 
-// endedTTL is for how long it is remembered that a target has ended its limit, so that
-// an entry which had not heard of it doesn't bring it back.
+// endedTTL is how long the end of a limit is remembered, so that an entry that has not
+// learned of it doesn't restore the limit.
 const endedTTL = 10 * time.Minute
 
-// Change is what the register has learned of a target's rate.
+// Change is a change of a target's limit.
 type Change struct {
 	Target        btinventory.Instance
 	Before, After Limit
-	// Skipped is how often the target was passed over under the limit before.
+	// Skipped is how often the target was skipped under the previous limit.
 	Skipped int
 }
 
-// Register is what an entry knows of the rates that targets name, and keeps to. It is not
+// Register holds the limits that an entry knows, and enforces them. A Register is not
 // safe for concurrent use.
 type Register struct {
 	shares     *Shares
 	random     *rand.Rand
 	allowances map[btinventory.Instance]*allowance
-	// digest and cells are those of the limits in force, limited is how many there are.
+	// digest and cells summarise the active limits; activeLimits is their number.
 	digest       uint64
 	cells        [cellCount]byte
 	activeLimits int
 }
 
-// allowance is what the entry may send to one target.
+// allowance is the state of one target at this entry.
 type allowance struct {
 	limit  Limit
 	bucket Bucket
-	// changedAt is when the limit last did, heard that it was by an answer to this entry.
+	// changedAt is when the limit last changed; direct reports that the change came
+	// with an answer to this entry.
 	changedAt time.Time
 	direct    bool
-	// share is the entry's part, as of a generation of the others and a rate.
+	// share is the entry's share of the rate. It is valid for a generation of the
+	// entries and for sharedRate.
 	share      float64
 	generation uint64
 	sharedRate float64
@@ -48,12 +50,12 @@
 	skipped    int
 }
 
-// New returns a register that knows of no limit.
+// New returns a register without limits.
 func New(s *Shares, random *rand.Rand) *Register {
 	return &Register{shares: s, random: random, allowances: make(map[btinventory.Instance]*allowance)}
 }
 
-// Retain forgets the targets that are not listed.
+// Retain removes the targets that are not listed.
 func (r *Register) Retain(listed func(btinventory.Instance) bool) {
 	for i, a := range r.allowances {
 		if !listed(i) {
@@ -63,7 +65,7 @@
 	}
 }
 
-// Limit returns what is known of a target's rate.
+// Limit returns the known limit of a target.
 func (r *Register) Limit(i btinventory.Instance) Limit {
 	if a, found := r.allowances[i]; found {
 		return a.limit
@@ -71,8 +73,8 @@
 	return Limit{}
 }
 
-// ObserveAnswer takes in what an answer says that has arrived now to a request that was sent
-// before, and tells whether that is news.
+// ObserveAnswer records the advertisement of an answer that arrives now to a request
+// sent at sentAt, and reports whether the limit changed.
 func (r *Register) ObserveAnswer(now, sentAt time.Time, i btinventory.Instance, a Advertisement) (Change, bool) {
 	before := r.Limit(i)
 	after, changed := before.Update(now, sentAt, a)
@@ -84,8 +86,9 @@
 	return change, changed
 }
 
-// Merge takes in what another entry tells that was asked before, of targets that are
-// listed. Of two words the later one holds.
+// Merge records what another entry sent in reply to a message of askedAt, and returns
+// the changes. Targets that are not listed are ignored. Of two observations the later
+// one wins.
 func (r *Register) Merge(now, askedAt time.Time, records Records, listed func(btinventory.Instance) bool) []Change {
 	var changes []Change
 	for _, record := range records {
@@ -106,8 +109,8 @@
 	return changes
 }
 
-// setLimit keeps a limit, and returns how often the target was passed over under the one
-// before.
+// setLimit stores a limit and returns how often the target was skipped under the
+// previous one.
 func (r *Register) setLimit(now time.Time, i btinventory.Instance, l Limit, changed bool) (skipped int) {
 	a, found := r.allowances[i]
 	if !found {
@@ -123,15 +126,15 @@
 	return skipped
 }
 
-// CountSkipped notes that a request went elsewhere, or nowhere, for the target's limit.
+// CountSkipped records that the limit kept a request from the target.
 func (r *Register) CountSkipped(i btinventory.Instance) {
 	if a, found := r.allowances[i]; found {
 		a.skipped++
 	}
 }
 
-// Wait returns how long it takes until the entry may send a request to the target, zero
-// where it may now.
+// Wait returns the time until the entry may send a request to the target; zero means
+// now.
 func (r *Register) Wait(now time.Time, i btinventory.Instance) time.Duration {
 	a, found := r.allowances[i]
 	if !found || !a.limit.Active {
@@ -145,7 +148,7 @@
 	return a.bucket.Wait()
 }
 
-// updateBucket brings the entry's part of a target's rate up to date.
+// updateBucket recomputes the entry's share if necessary and refills the bucket.
 func (r *Register) updateBucket(now time.Time, i btinventory.Instance, a *allowance) {
 	if !a.shareValid || a.generation != r.shares.generation || a.sharedRate != a.limit.PerSecond {
 		a.share = r.shares.Share(i.String(), a.limit.PerSecond)
@@ -156,24 +159,24 @@
 	a.bucket.SetRate(now, a.share, r.random.Float64())
 }
 
-// Take notes that a request is sent to the target, or will be once it may.
+// Take debits a token for a request that is sent to the target now or after its wait.
 func (r *Register) Take(i btinventory.Instance) {
 	if a, found := r.allowances[i]; found && a.limit.Active {
 		a.bucket.Take()
 	}
 }
 
-// Refund notes that a request which was taken is not sent.
+// Refund returns the token of a request that is not sent.
 func (r *Register) Refund(i btinventory.Instance) {
 	if a, found := r.allowances[i]; found && a.limit.Active {
 		a.bucket.Refund()
 	}
 }
 
-// ActiveLimits returns how many targets name a rate.
+// ActiveLimits returns the number of targets with an active limit.
 func (r *Register) ActiveLimits() int { return r.activeLimits }
 
-// updateSummary notes that a limit takes another's place.
+// updateSummary replaces a limit in the summary.
 func (r *Register) updateSummary(i btinventory.Instance, before, after Limit) {
 	change := fingerprint(i, before) ^ fingerprint(i, after)
 	r.digest ^= change
@@ -186,7 +189,7 @@
 	}
 }
 
-// Summary stands for the limits that are known to be in force.
+// Summary returns the summary of the active limits.
 func (r *Register) Summary() Summary {
 	if r.activeLimits == 0 {
 		return Summary{}
@@ -194,8 +197,8 @@
 	return Summary{Digest: r.digest, Cells: slices.Clone(r.cells[:])}
 }
 
-// RecordsFor returns what is told to an entry whose limits the summary stands for: some of those
-// that may differ.
+// RecordsFor returns records for an entry with the given summary: some of those that
+// may differ.
 func (r *Register) RecordsFor(now time.Time, s Summary) Records {
 	r.expire(now)
 	if s.Digest == r.digest {
@@ -204,16 +207,17 @@
 	differs := r.Summary().differs(s)
 	list := r.matching(func(i btinventory.Instance, _ *allowance) bool { return differs(i) })
 	if len(list) == 0 {
-		// Two differences may look alike in a cell.
+		// Two differences may have the same digest in a cell.
 		list = r.matching(func(btinventory.Instance, *allowance) bool { return true })
 	}
 	return r.records(now, r.sample(list))
 }
 
-// RecentRecords returns changes of late that the entry has heard itself, which it tells unasked:
-// if entries only asked, a change would take 4.5 s to all of 380, and a limit must be kept
-// to after three. Those who are told wait to be asked: else all would tell the few entries
-// that everybody greets.
+// RecentRecords returns recent changes that this entry learned from its own answers. It
+// sends them unasked: on request alone a change took 4.5 s to reach all of 380 entries,
+// and a limit must be enforced after three. Entries that learn a change from others send it
+// only on request, or all of them would send it to the few entries that everyone
+// contacts.
 func (r *Register) RecentRecords(now time.Time) Records {
 	list := r.matching(func(_ btinventory.Instance, a *allowance) bool {
 		return a.direct && now.Sub(a.changedAt) <= recentPeriod
@@ -221,14 +225,14 @@
 	return r.records(now, r.sample(list))
 }
 
-// sample returns as many of a list as a message holds, by chance: messages of one moment
-// differ, so that together they tell of more.
+// sample returns a random part of the list that fits into a message, so that concurrent
+// messages together cover more of it.
 func (r *Register) sample(list []btinventory.Instance) []btinventory.Instance {
 	r.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(len(list), MaxRecords)]
 }
 
-// matching lists the targets that are wanted, in the order of their names.
+// matching returns the targets that match, ordered by ID and start.
 func (r *Register) matching(match func(btinventory.Instance, *allowance) bool) []btinventory.Instance {
 	var list []btinventory.Instance
 	for i, a := range r.allowances {
@@ -242,7 +246,7 @@
 	return list
 }
 
-// records returns what is known of the targets.
+// records returns the records of the targets.
 func (r *Register) records(now time.Time, list []btinventory.Instance) Records {
 	records := make(Records, len(list))
 	for n, i := range list {
@@ -253,7 +257,7 @@
 	return records
 }
 
-// expire forgets limits that have ended long ago.
+// expire removes limits that ended long ago.
 func (r *Register) expire(now time.Time) {
 	for i, a := range r.allowances {
 		if !a.limit.Active && now.Sub(a.limit.ObservedAt) > endedTTL {
--- a/core/btrate/register_test.go
+++ b/core/btrate/register_test.go
@@ -14,7 +14,8 @@
 	"bilberrytide/core/btwire"
 )
 
-// newRegister returns what the only entry of a fleet knows, which has run for a while.
+// newRegister returns the register of the only entry of a fleet, which has run for a
+// minute.
 func newRegister(seed uint64) *btrate.Register {
 	s := btrate.NewShares(entryAddress(0), start.Add(-time.Minute))
 	for second := -59; second <= 0; second++ {
@@ -29,7 +30,8 @@
 	return btinventory.Instance{ID: btinventory.ID(fmt.Sprintf("i-%010x", i)), Start: 1}
 }
 
-// sendRequests has the entry send as many requests as it may over a span, one look each 10 ms.
+// sendRequests sends as many requests as the register allows over a span, polling every
+// 10 ms, and returns their number.
 func sendRequests(r *btrate.Register, from, to int, i btinventory.Instance) int {
 	sent := 0
 	for ms := from; ms < to; ms += 10 {
@@ -44,14 +46,14 @@
 func TestRateIsEnforcedAndUsed(t *testing.T) {
 	r := newRegister(1)
 	i := instance(1)
-	assert.Equal(t, r.Wait(at(0), i), time.Duration(0), "a target that names nothing")
+	assert.Equal(t, r.Wait(at(0), i), time.Duration(0), "a target without a limit")
 	r.ObserveAnswer(at(0), at(-10), i, advertise(5))
 	sent := sendRequests(r, 0, 1900, i)
 	assert.Assert(t, sent >= 9 && sent <= 11, "%d", sent)
 }
 
-// A rate that falls or rises holds from then on; what was left of the one before is
-// hardly more than a request.
+// A changed rate takes effect at once; little more than one request is left over from
+// the previous rate.
 func TestChangedRateTakesEffect(t *testing.T) {
 	r := newRegister(2)
 	i := instance(1)
@@ -68,13 +70,14 @@
 	assert.Equal(t, r.Wait(at(1910), i), time.Duration(0), "the limit has ended")
 }
 
-// An entry that has just started, or stood still, knows neither others nor what they know.
+// Guards against an entry that sends at full rate right after its start or a
+// suspension, when it knows neither the other entries nor the limits they know.
 func TestEntryWaitsAfterAStartOrSuspension(t *testing.T) {
 	r := newRegister(3)
 	i := instance(1)
 	r.ObserveAnswer(at(0), at(0), i, advertise(100))
 	assert.Assert(t, sendRequests(r, 0, 100, i) > 0)
-	assert.Assert(t, r.Wait(at(10_000), i) > time.Second, "it has not looked at others for long")
+	assert.Assert(t, r.Wait(at(10_000), i) > time.Second, "it has not observed the other entries for long")
 	s := btrate.NewShares(entryAddress(0), at(0))
 	fresh := btrate.New(s, rand.New(rand.NewPCG(3, 3)))
 	fresh.ObserveAnswer(at(0), at(0), i, advertise(100))
@@ -86,7 +89,7 @@
 	assert.Assert(t, fresh.Wait(at(4000), i) < time.Second)
 }
 
-// The place that a request waits for is its own, also where others come after it.
+// A waiting request reserves its token, so that a later one waits for the next.
 func TestWaitingRequestsReserveTokens(t *testing.T) {
 	r := newRegister(4)
 	i := instance(1)
@@ -96,11 +99,11 @@
 	second := r.Wait(at(0), i)
 	assert.Equal(t, (second - first).Round(time.Millisecond), 500*time.Millisecond)
 	r.Refund(i)
-	assert.Equal(t, r.Wait(at(0), i).Round(time.Millisecond), first.Round(time.Millisecond), "one that was not sent gives its place back")
+	assert.Equal(t, r.Wait(at(0), i).Round(time.Millisecond), first.Round(time.Millisecond), "a request that was not sent returns its token")
 }
 
-// Entries tell each other what they know; of two words the later one holds, whichever
-// comes first.
+// Entries exchange limits; of two observations the later one wins, whichever arrives
+// first.
 func TestEntriesExchangeLimits(t *testing.T) {
 	a, b := newRegister(5), newRegister(6)
 	i := instance(1)
@@ -110,16 +113,17 @@
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, changes[0].After.PerSecond, 1.0)
 	assert.Equal(t, a.Summary().Digest, b.Summary().Digest)
-	assert.Equal(t, len(a.RecordsFor(at(130), b.Summary())), 0, "nothing is told to one that knows it")
+	assert.Equal(t, len(a.RecordsFor(at(130), b.Summary())), 0, "nothing is sent to an entry that knows the limit")
 	b.ObserveAnswer(at(300), at(200), i, btrate.Advertisement{})
 	assert.Assert(t, !b.Limit(i).Active)
-	assert.Equal(t, len(b.Merge(at(420), at(400), a.RecordsFor(at(410), b.Summary()), allListed)), 0, "the older word")
+	assert.Equal(t, len(b.Merge(at(420), at(400), a.RecordsFor(at(410), b.Summary()), allListed)), 0, "the older observation")
 	a.Merge(at(420), at(400), b.RecordsFor(at(410), a.Summary()), allListed)
 	assert.Assert(t, !a.Limit(i).Active)
 	assert.Equal(t, a.Summary().Digest, b.Summary().Digest)
 }
 
-// What is told of a target that isn't listed is of no use, and would stay for good.
+// Guards against records of targets that aren't listed: they are of no use and would be
+// kept forever.
 func TestUnlistedTargetsAreDropped(t *testing.T) {
 	a, b := newRegister(7), newRegister(8)
 	a.ObserveAnswer(at(0), at(0), instance(1), advertise(1))
@@ -130,7 +134,7 @@
 	assert.Equal(t, a.Summary().Digest, b.Summary().Digest)
 }
 
-// A limit ends with the start of the target that named it.
+// A limit ends with the instance of the target that advertised it.
 func TestRestartedTargetHasNoLimit(t *testing.T) {
 	r := newRegister(9)
 	i := instance(1)
@@ -140,11 +144,11 @@
 	assert.Equal(t, r.Wait(at(0), i), time.Duration(0))
 }
 
-// A tenth of 830 targets name a rate at once, and an entry that has missed all of it
-// catches up within seconds, by messages that are bounded.
+// A tenth of 830 targets advertise a rate at once. An entry that has missed all of
+// these limits catches up within seconds, with messages of bounded size.
 func TestEntryCatchesUpWithBoundedMessages(t *testing.T) {
 	const limitedTargets = 83
-	// Three messages, twice a second, out of 8 KB a second for all that is told.
+	// Three messages, twice a second, of 8 KB/s for all exchanges.
 	const budget = 1300
 	a, b := newRegister(10), newRegister(11)
 	for n := range limitedTargets {
@@ -182,8 +186,8 @@
 	assert.ErrorIs(t, make(btrate.Records, btrate.MaxRecords+1).Validate(), btrate.ErrRecord)
 }
 
-// Entries are taken away for good. Those that are left take their parts up once they no
-// longer count, though nobody comes or goes at that moment.
+// After entries are removed for good, the others take over their shares once the old
+// number of entries has expired, although no entry comes or goes at that moment.
 func TestSharesGrowAfterEntriesAreRemoved(t *testing.T) {
 	list := entryAddresses(8)
 	s := btrate.NewShares(list[0], start)
@@ -210,8 +214,8 @@
 	assert.Assert(t, late > 130, "%d: a fifth of the rate", late)
 }
 
-// An entry is told what it lacks, and nothing that it knows: also the end of a limit that
-// it still holds. One that sends no cells is told anything.
+// An entry is sent the limits that it lacks, including the end of one that it still
+// holds, and none that it knows. An entry that sends no cells is sent anything.
 func TestOnlyDifferencesAreSent(t *testing.T) {
 	const known = 40
 	a, b := newRegister(13), newRegister(14)
@@ -236,7 +240,7 @@
 	assert.Equal(t, len(old), btrate.MaxRecords)
 }
 
-// Where a limit has ended everywhere but at one entry, that one hears of it.
+// A limit that has ended at all entries but one ends there too.
 func TestEndOfTheLastLimitSpreads(t *testing.T) {
 	a, b := newRegister(15), newRegister(16)
 	a.ObserveAnswer(at(0), at(0), instance(1), advertise(1))
@@ -247,7 +251,7 @@
 	b.ObserveAnswer(at(300), at(300), instance(1), advertise(2))
 	assert.Equal(t, len(b.RecordsFor(at(400), btrate.Summary{Digest: b.Summary().Digest})), 0)
 	a.Merge(at(500), at(500), b.RecordsFor(at(400), a.Summary()), allListed)
-	assert.Equal(t, a.Limit(instance(1)).PerSecond, 2.0, "one that is named anew")
+	assert.Equal(t, a.Limit(instance(1)).PerSecond, 2.0, "a new limit of the target")
 }
 
 func TestInvalidCellCountIsRejected(t *testing.T) {
--- a/core/btrate/shares.go
+++ b/core/btrate/shares.go
@@ -10,39 +10,40 @@
 )
 
 const (
-	// minUsers is how many entries use a target whose rate is near none: with fewer the
-	// rate would lie idle for seconds after one of them has gone.
+	// minUsers is the number of entries that use a target with a rate close to zero.
+	// With fewer, the rate would go unused for seconds after one of them has left.
 	minUsers = 3
-	// minRate is the rate, in requests a second, that a target is asked at which names
-	// a lower one, or none at all: only its answers tell that it takes more again.
+	// minRate is the lowest rate, in requests per second, at which a limited target is
+	// sent requests: only its answers show that it accepts more again.
 	minRate = 0.1
-	// startDelay is for how long an entry that has just started, or stood still, sends
-	// nothing to a target that names a rate: until it knows the others, and they it.
+	// startDelay is how long an entry sends nothing to limited targets after it has
+	// started or was suspended: until it knows the other entries and they know it.
 	startDelay = 3 * time.Second
-	// maxObserveInterval is how often an entry looks at whom it knows at the least; after a
-	// longer pause it has stood still.
+	// maxObserveInterval is the longest interval between two calls of ObserveEntries;
+	// after a longer one the entry was suspended.
 	maxObserveInterval = 2 * time.Second
-	// maxEntriesTTL is for how long the largest number of entries counts: one that is
+	// maxEntriesTTL is how long the largest number of entries is used. An entry that is
 	// cut off from all others must not take itself for the only one.
 	maxEntriesTTL = time.Minute
 )
 
-// Shares tells an entry which targets that name a rate it uses, and its part of each
-// rate. A few entries share a target, the best by rendezvous hashing, so that each has a
-// part which is used up within seconds, and all of them agree without a message. It is not
-// safe for concurrent use.
+// Shares decides which limited targets an entry uses, and its share of each rate. A few
+// entries share a target, the first ones by rendezvous hashing: so each share is used
+// up within seconds, and all entries agree without a message. Shares is not safe for
+// concurrent use.
 type Shares struct {
 	self string
-	// others are the others, others their names.
+	// others are the addresses of the other entries, otherNames their string forms.
 	others     []netip.AddrPort
 	otherNames []string
-	// observedAt is when the others were looked at last, allowedAt from when the entry may
+	// observedAt is the time of the last ObserveEntries, allowedAt when the entry may
 	// send.
 	observedAt, allowedAt time.Time
-	// maxEntries is the largest number of entries of this span of time, previousMaxEntries of the last one.
+	// maxEntries is the largest number of entries of the current period,
+	// previousMaxEntries that of the period before.
 	maxEntries, previousMaxEntries int
 	periodStart                    time.Time
-	// generation changes with the others, and with how many count.
+	// generation is incremented when the other entries or the number of entries change.
 	generation uint64
 }
 
@@ -51,9 +52,10 @@
 	return &Shares{self: self.String(), observedAt: now, allowedAt: now.Add(startDelay), periodStart: now, maxEntries: 1}
 }
 
-// ObserveEntries takes in which other entries are known, in the order of their addresses. Where
-// more than half have vanished it is rather this entry that is cut off, and it goes on by
-// those that it knew: alone, each of many that are cut off would take a whole part.
+// ObserveEntries records the other known entries, ordered by address. If more than half
+// have vanished, it is more likely that this entry is cut off, and it continues with
+// those it knew: if each of many such entries took a whole rate, the target would be
+// overrun.
 func (s *Shares) ObserveEntries(now time.Time, others []netip.AddrPort) {
 	if now.Sub(s.observedAt) > maxObserveInterval {
 		s.allowedAt = now.Add(startDelay)
@@ -81,13 +83,13 @@
 	s.generation++
 }
 
-// entryCount is how many there were at the most of late.
+// entryCount returns the largest recent number of entries.
 func (s *Shares) entryCount() int { return max(s.maxEntries, s.previousMaxEntries) }
 
-// suspended tells whether the entry has stood still since it last looked at the others.
+// suspended reports whether the entry was suspended since the last ObserveEntries.
 func (s *Shares) suspended(now time.Time) bool { return now.Sub(s.observedAt) > maxObserveInterval }
 
-// sendingAllowedAt is from when the entry may send to targets that name a rate.
+// sendingAllowedAt returns when the entry may send to limited targets.
 func (s *Shares) sendingAllowedAt(now time.Time) time.Time {
 	if s.suspended(now) {
 		return now.Add(startDelay)
@@ -95,11 +97,12 @@
 	return s.allowedAt
 }
 
-// EffectiveRate returns the rate at which a target is sent requests that names one.
+// EffectiveRate returns the rate at which a target that advertises perSecond is sent
+// requests.
 func EffectiveRate(perSecond float64) float64 { return max(perSecond, minRate) }
 
-// Share returns the entry's part of the target's rate, in requests a second; zero where
-// others use it.
+// Share returns the entry's share of the target's rate, in requests per second. It is
+// zero if other entries use the target.
 func (s *Shares) Share(target string, perSecond float64) float64 {
 	perSecond = EffectiveRate(perSecond)
 	users := min(s.entryCount(), minUsers+int(math.Ceil(perSecond)))
--- a/core/btrate/shares_test.go
+++ b/core/btrate/shares_test.go
@@ -12,7 +12,7 @@
 	"bilberrytide/core/btrate"
 )
 
-// entryAddresses returns the addresses of so many entries.
+// entryAddresses returns n entry addresses.
 func entryAddresses(n int) []netip.AddrPort {
 	list := make([]netip.AddrPort, n)
 	for i := range list {
@@ -21,12 +21,12 @@
 	return list
 }
 
-// without returns all addresses but one.
+// without returns all addresses but the one at i.
 func without(list []netip.AddrPort, i int) []netip.AddrPort {
 	return slices.Delete(slices.Clone(list), i, i+1)
 }
 
-// fleetShares returns the shares of each of some entries that know each other.
+// fleetShares returns the shares of n entries that know each other.
 func fleetShares(n int, now time.Time) []*btrate.Shares {
 	list := entryAddresses(n)
 	all := make([]*btrate.Shares, n)
@@ -37,7 +37,7 @@
 	return all
 }
 
-// Entries that know each other use the whole rate together and no more.
+// Entries that know each other together use the whole rate and no more.
 func TestSharesAddUpToTheRate(t *testing.T) {
 	for _, n := range []int{1, 4, 35, 380} {
 		all := fleetShares(n, start)
@@ -58,7 +58,8 @@
 	}
 }
 
-// Only a target's answers tell that it takes requests again.
+// A target that advertises a rate of zero still gets occasional requests, as only its
+// answers show that it accepts requests again.
 func TestTargetWithZeroRateIsProbed(t *testing.T) {
 	sum := 0.0
 	for _, s := range fleetShares(35, start) {
@@ -67,8 +68,9 @@
 	assert.Check(t, sum > 0.05 && sum < 0.2, "%v a second", sum)
 }
 
-// An entry that is cut off from all others goes on by those that it knew: forty of them,
-// each of which took itself for the only one, would send forty times the rate.
+// Guards against overload by partitioned entries: an entry that is cut off from all
+// others keeps the share it had. If each of forty took itself for the only one, they
+// would send forty times the rate.
 func TestPartitionedEntryKeepsItsShare(t *testing.T) {
 	list := entryAddresses(40)
 	sum := 0.0
@@ -83,7 +85,7 @@
 	assert.Check(t, sum < 1.001, "%v a second", sum)
 }
 
-// Where entries are taken away for good the others use the rate again.
+// After entries are removed for good, the others use the whole rate again.
 func TestSharesOfRemovedEntriesAreRedistributed(t *testing.T) {
 	list := entryAddresses(8)
 	left := list[:3]
@@ -99,8 +101,8 @@
 	assert.Check(t, sum > 99.9 && sum < 100.1, "%v a second", sum)
 }
 
-// The place of one entry among 380 is found anew for each limited target when an entry
-// comes or goes.
+// BenchmarkShare measures the rank of one entry among 380, which is recomputed for each
+// limited target when an entry comes or goes.
 func BenchmarkShare(b *testing.B) {
 	list := entryAddresses(380)
 	s := btrate.NewShares(list[0], start)
--- a/core/btrate/simulation_test.go
+++ b/core/btrate/simulation_test.go
@@ -14,10 +14,10 @@
 	"bilberrytide/core/btinventory"
 )
 
-// fleetSize is a fleet whose callers press on one target that names a rate.
+// fleetSize describes a fleet whose callers overload one rate-limited target.
 type fleetSize struct {
 	entries, targets int
-	// perSecond is how many requests come to all entries together.
+	// perSecond is the request rate at all entries together.
 	perSecond float64
 }
 
@@ -26,15 +26,15 @@
 const (
 	simSettleTime = 3 * time.Second
 	simWindow     = 4 * time.Second
-	// simObserveInterval is the time between two looks at the other entries.
+	// simObserveInterval is the time between two observations of the other entries.
 	simObserveInterval = 500 * time.Millisecond
-	// simForgetDelay is how long an entry that is gone is still known, replayNews how long a
-	// word takes to all at the most.
+	// simForgetDelay is how long an unreachable entry is still known, simMaxSpread the
+	// longest time until all entries know a limit.
 	simForgetDelay = 5 * time.Second
 	simMaxSpread   = 2 * time.Second
 	simRoundTrip   = 3 * time.Millisecond
 
-	// What befalls the entries, and when callers stay away.
+	// Times of the faults and of the break in the load.
 	simRestartAt   = 14 * time.Second
 	simSuspendAt   = 18 * time.Second
 	simResumeAt    = 25 * time.Second
@@ -44,34 +44,35 @@
 	simIdleFrom    = 250 * time.Second
 	simBurstAt     = 280 * time.Second
 	simEnd         = 290 * time.Second
-	// simSteadyFrom is from when all entries are there and know each other, until the lull.
+	// simSteadyFrom is when all entries are present and know each other, until
+	// simIdleFrom.
 	simSteadyFrom = 50 * time.Second
 )
 
-// simulatedEntry is an entry as all ways see it.
+// simulatedEntry is the state of an entry that all strategies share.
 type simulatedEntry struct {
 	number  int
 	address netip.AddrPort
-	// started is when its process did, after the first start.
+	// started is the time of its restart or later start, or zero.
 	started     time.Duration
 	suspended   bool
 	partitioned bool
 	present     bool
-	// wasSuspended tells that it is one of those that stand still once.
+	// wasSuspended reports that it is one of the entries that are suspended once.
 	wasSuspended bool
-	// others are those that it knows.
+	// others are the entries that it knows.
 	others []netip.AddrPort
-	// learnsAt is when it hears of the limit at the latest.
+	// learnsAt is the latest time at which it learns of the limit.
 	learnsAt time.Duration
 }
 
 // strategy decides whether an entry sends a request to the target now.
 type strategy interface {
-	// observe has an entry observe at the others that it knows.
+	// observe gives an entry the others that it knows.
 	observe(now time.Duration, e *simulatedEntry, others []netip.AddrPort)
-	// send tells whether it sends. Messages that this takes are counted.
+	// send reports whether the entry sends.
 	send(now time.Duration, e *simulatedEntry) bool
-	// restart has an entry forget all.
+	// restart makes an entry forget everything.
 	restart(now time.Duration, e *simulatedEntry)
 	messages() int
 }
@@ -83,7 +84,7 @@
 	random   *rand.Rand
 	entries  []*simulatedEntry
 	strategy strategy
-	// arrivals are those at the target since it named its rate.
+	// arrivals are the requests at the target since it advertised its rate.
 	arrivals []time.Duration
 	known    bool
 }
@@ -104,13 +105,13 @@
 	return r
 }
 
-// group returns so many of the entries, another group for each kind of fault.
+// group returns a part of the entries, a different one for each kind of fault.
 func (r *simulation) group(kind, of int) []*simulatedEntry {
 	n := max(r.size.entries/of, 1)
 	return r.entries[kind*n : (kind+1)*n]
 }
 
-// applyFaults brings about what befalls the entries at the time.
+// applyFaults applies the faults of the given time.
 func (r *simulation) applyFaults(now time.Duration) {
 	switch now {
 	case simRestartAt:
@@ -136,7 +137,7 @@
 	}
 }
 
-// knows tells whether an entry knows another at the time.
+// knows reports whether an entry knows another one at the given time.
 func (r *simulation) knows(now time.Duration, e, o *simulatedEntry) bool {
 	if e == o || !o.present || now < e.started+simObserveInterval || now < o.started {
 		return false
@@ -147,11 +148,11 @@
 	if (e.partitioned || o.partitioned) && now > simPartitionAt+simForgetDelay || o.suspended && now > simSuspendAt+simForgetDelay {
 		return false
 	}
-	// One that stood still has forgotten all others.
+	// A resumed entry has forgotten all others.
 	return !(e.wasSuspended && now >= simResumeAt && now < simResumeAt+simObserveInterval)
 }
 
-// observe has all entries observe at the others.
+// observe updates the entries that each entry knows.
 func (r *simulation) observe(now time.Duration) {
 	for _, e := range r.entries {
 		if !e.present || e.suspended {
@@ -184,14 +185,14 @@
 	return r
 }
 
-// arrive has a caller's arrive come to an entry.
+// arrive sends a caller's request to a random entry.
 func (r *simulation) arrive(now time.Duration) {
 	e := r.entries[r.random.IntN(len(r.entries))]
 	if !e.present || e.suspended {
 		return
 	}
 	if now < e.learnsAt {
-		// It sends as to any other target, and hears of the limit with the answer.
+		// It sends as to any other target, and learns of the limit from the answer.
 		if r.random.IntN(r.size.targets) == 0 {
 			r.arrivals = append(r.arrivals, now)
 			e.learnsAt = min(e.learnsAt, now+simRoundTrip)
@@ -203,7 +204,8 @@
 	}
 }
 
-// maxInWindow returns the most requests in a window that begins in the span.
+// maxInWindow returns the largest number of requests in a window that starts in the
+// span.
 func (r *simulation) maxInWindow(from, to time.Duration) int {
 	most, first := 0, 0
 	for i, at := range r.arrivals {
@@ -220,7 +222,7 @@
 	return most
 }
 
-// utilisation returns which part of the rate is used from some time on.
+// utilisation returns the fraction of the rate that is used in the steady period.
 func (r *simulation) utilisation() float64 {
 	n := 0
 	for _, at := range r.arrivals {
@@ -231,14 +233,14 @@
 	return float64(n) / (r.rate * (simIdleFrom - simSteadyFrom).Seconds())
 }
 
-// allowed is how many requests may reach a target in a window: half as many again as its
-// rate allows, and five.
+// allowed returns the number of requests that may reach a target in a window: half more
+// than its rate, and five.
 func allowed(rate float64) int { return int(1.5*rate*simWindow.Seconds() + 5) }
 
-// limited is the target that names a rate.
+// limited is the target that advertises a rate.
 var limited = btinventory.Instance{ID: "limited"}
 
-// strategies are the ways that were weighed.
+// strategies are the strategies compared.
 var strategies = []struct {
 	name        string
 	newStrategy func(r *simulation) strategy
@@ -250,15 +252,16 @@
 	{"few entries", newSharesStrategy},
 }
 
-// compareUpTo is the largest fleet for which all ways are played in each run.
+// compareUpTo is the largest fleet for which all strategies run by default.
 const compareUpTo = 35
 
 var allStrategies = flag.Bool("rate.ways", false, "play all ways at all sizes")
 
-// A target got three requests a second though it took one, from four entries. The load is
-// callers who press on a target at 4, 35 and 380 entries while entries start anew, stand
-// still, are cut off and are added, then stay away for half a minute and come back. With a
-// bucket in each entry the small fleet keeps to the rate and the large one doesn't.
+// Guards against overload of a rate-limited target: one that accepted one request per
+// second got three from four entries. The load comes from persistent callers at 4, 35
+// and 380 entries, while entries restart, are suspended, are cut off and are added;
+// then it stops for half a minute and returns. With a separate bucket in each entry a
+// small fleet keeps to the rate and a large one doesn't.
 func TestLoadOfARateLimitedTarget(t *testing.T) {
 	for _, size := range fleetSizes {
 		for _, rate := range []float64{0.2, 1, 10, 100} {
@@ -269,15 +272,15 @@
 					}
 					r := newSimulation(size, rate, 1, w.newStrategy).run()
 					worst := r.maxInWindow(simSettleTime, simEnd)
-					t.Logf("%-26s at most %3d of %3d, before the lull %3d; use %.2f; %.0f messages a second", w.name, worst, allowed(rate), r.maxInWindow(simSettleTime, simIdleFrom), r.utilisation(), float64(r.strategy.messages())/simEnd.Seconds())
+					t.Logf("%-26s at most %3d of %3d, before the idle period %3d; utilisation %.2f; %.0f messages per second", w.name, worst, allowed(rate), r.maxInWindow(simSettleTime, simIdleFrom), r.utilisation(), float64(r.strategy.messages())/simEnd.Seconds())
 					if w.name == "few entries" {
 						assert.Check(t, worst <= allowed(rate), "%d requests in %s, allowed %d", worst, simWindow, allowed(rate))
-						// The most that callers ask for bounds the use.
+						// The load of the callers limits the utilisation.
 						wanted := math.Min(1, size.perSecond/rate)
-						assert.Check(t, r.utilisation() > 0.9*wanted, "use %.2f", r.utilisation())
+						assert.Check(t, r.utilisation() > 0.9*wanted, "utilisation %.2f", r.utilisation())
 					}
 					if size.entries == compareUpTo && w.name == "each by itself" {
-						assert.Check(t, worst > allowed(rate), "the naive way keeps to the rate")
+						assert.Check(t, worst > allowed(rate), "the naive strategy keeps to the rate")
 					}
 				}
 			})
--- a/core/btrate/spread_test.go
+++ b/core/btrate/spread_test.go
@@ -12,14 +12,14 @@
 	"bilberrytide/core/btwire"
 )
 
-// listReaders is how many entries read the platform's list; each greeting goes to one
-// of them, a seed and one other.
+// listReaders is the number of entries that read the platform's list. Each round an
+// entry contacts one of them, a seed and one other entry.
 const listReaders = 3
 
-// summariser is how an entry says what it knows.
+// summariser returns what an entry sends to request records.
 type summariser func(*btrate.Register) btrate.Summary
 
-// byCells tells which parts differ, byDigest only that something does.
+// byCells shows which cells differ, byDigest only that something does.
 var (
 	byCells  summariser = (*btrate.Register).Summary
 	byDigest summariser = func(r *btrate.Register) btrate.Summary {
@@ -27,18 +27,18 @@
 	}
 )
 
-// assignment tells which of the entries assignment of a limit, by the limit's number.
+// assignment returns the entry that first observes a limit, by the limit's number.
 type assignment func(entries, limit int) int
 
 var (
-	// differentEntries has each limit heard by another entry, byOne all by the one to which all
-	// callers come.
+	// differentEntries assigns each limit to another entry, oneEntry all to the one to
+	// which all callers connect.
 	differentEntries assignment = func(entries, limit int) int { return (entries/2 + limit) % entries }
 	oneEntry         assignment = func(entries, _ int) int { return entries / 2 }
 )
 
-// simulateSpread has some entries of a fleet hear of limits, and returns after how long all know
-// them and how many bytes an entry was told in a second at the most.
+// simulateSpread has entries of a fleet observe limits, and returns the time until all
+// know them and the most bytes that an entry received in a second.
 func simulateSpread(entries, limits int, seed uint64, assign assignment, summarise summariser) (took time.Duration, bytes int) {
 	random := rand.New(rand.NewPCG(seed, 29))
 	list := entryAddresses(entries)
@@ -87,11 +87,12 @@
 	}
 }
 
-// byteBudget is the most that an entry may be told in a second, in bytes: all of a process.
+// byteBudget is the most that an entry may receive per second, in bytes, from all of a
+// process's exchanges.
 const byteBudget = 8192
 
-// checkSpread checks that all entries of a fleet know of limits that are named at one moment
-// within the 3 s after which they must be kept to, for so many seeds.
+// checkSpread checks that all entries of a fleet know limits that are advertised at the
+// same moment within the 3 s after which they must be enforced.
 func checkSpread(t *testing.T, entries, limits int, seeds uint64) {
 	t.Helper()
 	worst, most := time.Duration(0), 0
@@ -100,31 +101,31 @@
 		worst = max(worst, took)
 		most = max(most, bytes)
 	}
-	t.Logf("%d entries: all know of %d limits after %s at the most, %d bytes a second", entries, limits, worst, most)
+	t.Logf("%d entries: all know %d limits after at most %s, %d bytes per second", entries, limits, worst, most)
 	assert.Check(t, worst <= 3*time.Second, "%d entries: %s", entries, worst)
 	assert.Check(t, most <= byteBudget, "%d entries: %d bytes a second", entries, most)
 }
 
-// All entries know of a limit before it must be kept to, and what they are told in that time
-// stays within the bytes of a process.
+// All entries know a limit before it must be enforced, and the traffic until then stays
+// within the budget.
 func TestLimitSpreadsWithinSeconds(t *testing.T) {
 	for _, entries := range []int{4, 35, 380} {
 		checkSpread(t, entries, 1, 5)
 	}
 }
 
-// A tenth of 830 targets name a rate at once, each heard by another entry. Where a message
-// is filled from all limits that are known, as an entry only says that something differs,
-// most of it is known to its reader: all of 380 entries knew them after 6.5 s, and until then
-// sent more than the targets take.
+// A tenth of 830 targets advertise a rate at once, each observed by a different entry.
+// Guards against messages filled with limits that the reader knows: with one digest for
+// all limits, 380 entries took 6.5 s to learn them and until then sent more than the
+// targets accept.
 func TestManyLimitsSpreadWithinSeconds(t *testing.T) {
 	for _, entries := range []int{4, 35, 380} {
 		checkSpread(t, entries, 83, 3)
 	}
 	one, bytes := simulateSpread(380, 83, 0, oneEntry, byCells)
-	t.Logf("380 entries, of which one hears all: %s, %d bytes a second", one, bytes)
+	t.Logf("380 entries, one of which observes all limits: %s, %d bytes per second", one, bytes)
 	assert.Check(t, bytes <= byteBudget, "%d bytes a second", bytes)
 	digest, _ := simulateSpread(380, 83, 0, differentEntries, byDigest)
-	t.Logf("380 entries that ask by one digest: %s", digest)
-	assert.Check(t, digest > 3*time.Second, "the way before does as well: %s", digest)
+	t.Logf("380 entries with a single digest: %s", digest)
+	assert.Check(t, digest > 3*time.Second, "a single digest is as fast: %s", digest)
 }
--- a/core/btrate/strategies_test.go
+++ b/core/btrate/strategies_test.go
@@ -9,7 +9,7 @@
 	"bilberrytide/core/btrendezvous"
 )
 
-// sharesStrategy is the way that is used.
+// sharesStrategy is the strategy of this package.
 type sharesStrategy struct {
 	r         *simulation
 	registers map[*simulatedEntry]*btrate.Register
@@ -19,7 +19,7 @@
 func newSharesStrategy(r *simulation) strategy {
 	w := &sharesStrategy{r: r, registers: make(map[*simulatedEntry]*btrate.Register), shares: make(map[*simulatedEntry]*btrate.Shares)}
 	for _, e := range r.entries {
-		// All but those that are added later have run for long.
+		// All entries but those added later have run for a minute.
 		w.restart(-time.Minute, e)
 	}
 	return w
@@ -33,7 +33,7 @@
 
 func (w *sharesStrategy) observe(now time.Duration, e *simulatedEntry, others []netip.AddrPort) {
 	if now == 0 {
-		// Of old they have looked all the time.
+		// They have observed each other all the time.
 		w.shares[e].ObserveEntries(start.Add(now-time.Second), others)
 		for at := -time.Minute; at < 0; at += time.Second {
 			w.shares[e].ObserveEntries(start.Add(at), others)
@@ -52,7 +52,7 @@
 
 func (w *sharesStrategy) messages() int { return 0 }
 
-// simpleBucket is a token bucket as others have it.
+// simpleBucket is a plain token bucket.
 type simpleBucket struct {
 	tokens, depth float64
 	at            time.Duration
@@ -68,7 +68,8 @@
 	return true
 }
 
-// localStrategy has each entry keep to the rate, or to an even part of it, by itself.
+// localStrategy has a separate bucket in each entry for the rate, or for an equal
+// fraction of it.
 type localStrategy struct {
 	r           *simulation
 	even        bool
@@ -111,11 +112,11 @@
 }
 
 const (
-	// askTimeout is how long an entry waits that got no answer from the one that grants, and
-	// grantAfter how long one waits that has come to be it.
+	// askTimeout is how long an entry waits after a request for a grant without an
+	// answer, granterDelay how long a new granter waits.
 	askTimeout   = time.Second
 	granterDelay = 6 * time.Second
-	// asksPerGrant is how often entries ask for each request that the rate allows.
+	// asksPerGrant is the number of grant requests per request that the rate allows.
 	asksPerGrant = 10
 )
 
@@ -123,7 +124,7 @@
 type granterStrategy struct {
 	r       *simulation
 	buckets map[string]*simpleBucket
-	// since is from when an entry takes itself for the one that grants.
+	// since is when an entry became the granter.
 	since        map[string]time.Duration
 	granter      map[*simulatedEntry]string
 	nextAsk      map[*simulatedEntry]time.Duration
@@ -182,7 +183,7 @@
 		return false
 	}
 	b := w.buckets[w.granter[e]]
-	// One that knows less than half of the entries doesn't grant.
+	// An entry that knows less than half of the others doesn't grant.
 	if b == nil || now < w.since[w.granter[e]]+granterDelay || 2*w.known[by] < w.r.size.entries {
 		w.nextAsk[e] = now + askTimeout
 		return false
--- a/core/btrate/summary.go
+++ b/core/btrate/summary.go
@@ -10,15 +10,16 @@
 	"bilberrytide/core/btinventory"
 )
 
-// cellCount is how many cells a summary has: with a tenth of 830 targets limited hardly
-// more than one limit falls into each.
+// cellCount is the number of cells of a summary. With a tenth of 830 targets limited, a
+// cell holds little more than one limit.
 const cellCount = 64
 
-// Cells hold a byte of digest for each part of the targets, parted by their names. They
-// tell which limits differ, so that a message holds none that its reader knows.
+// Cells hold one byte of digest for each partition of the targets, by a hash of ID and
+// start. They show which limits differ, so that a message contains few records that its
+// reader knows.
 type Cells []byte
 
-// Validate reports cells of another number. The error wraps ErrRecord.
+// Validate returns an error that wraps ErrRecord if the number of cells is wrong.
 func (c Cells) Validate() error {
 	if len(c) != 0 && len(c) != cellCount {
 		return fmt.Errorf("%w: %d cells of a summary", ErrRecord, len(c))
@@ -26,15 +27,16 @@
 	return nil
 }
 
-// Summary stands for the limits that are known to be in force.
+// Summary identifies the active limits that an entry knows.
 type Summary struct {
-	// Digest identifies them all; it is zero where there is none.
+	// Digest identifies all active limits; it is zero if there are none.
 	Digest uint64
-	// Cells are left out where there is no limit, and by processes that know of none.
+	// Cells is empty if there is no limit, and from processes that don't send cells.
 	Cells Cells
 }
 
-// differs returns which targets may have limits that another summary doesn't stand for.
+// differs returns a function that reports whether a target's limit may differ between
+// the summaries.
 func (s Summary) differs(other Summary) func(btinventory.Instance) bool {
 	if len(other.Cells) == 0 && other.Digest != 0 {
 		return func(btinventory.Instance) bool { return true }
@@ -45,7 +47,7 @@
 	}
 }
 
-// digestAt returns the digest of one part of the targets.
+// digestAt returns the digest of one cell.
 func (s Summary) digestAt(n int) byte {
 	if len(s.Cells) == 0 {
 		return 0
@@ -53,12 +55,12 @@
 	return s.Cells[n]
 }
 
-// cellOf is the part of the targets to which one belongs.
+// cellOf returns the cell of a target.
 func cellOf(i btinventory.Instance) int {
 	return int(fingerprint(i, Limit{Active: true}) % cellCount)
 }
 
-// fingerprint stands for a limit in force; zero where there is none.
+// fingerprint returns the hash of an active limit; zero if it is not active.
 func fingerprint(i btinventory.Instance, l Limit) uint64 {
 	if !l.Active {
 		return 0
