--- a/core/btpick/btpick_test.go
+++ b/core/btpick/btpick_test.go
@@ -40,6 +40,8 @@
 	assert.Equal(t, btpick.Pick([]btpick.Candidate{{Local: true}, {}}, intN), 0)
 }
 
+// Guards against idle capacity at a marked target: among fifty others a random sample
+// rarely contains it.
 func TestPickAlwaysComparesMarkedTargets(t *testing.T) {
 	candidates := make([]btpick.Candidate, 50)
 	for i := range candidates {
--- a/core/btqueue/btqueue.go
+++ b/core/btqueue/btqueue.go
@@ -268,7 +268,7 @@
 	return items
 }
 
-// dispatch starts queued requests while there are free slots.
+// dispatch starts queued requests while there are free slots and the rate limit allows it.
 func (q *Queue) dispatch(now time.Time) {
 	for !q.draining && len(q.running) < q.slots && q.limiter.wait(now) == 0 {
 		i := q.queue.pop()
--- a/core/btqueue/btqueue_test.go
+++ b/core/btqueue/btqueue_test.go
@@ -93,6 +93,8 @@
 	return btqueue.Tick{}
 }
 
+// Checks the invariants of the effects under random events, and that a drain answers all
+// requests that have arrived.
 func TestRandomisedEvents(t *testing.T) {
 	for seed := uint64(1); seed <= *seeds; seed++ {
 		o := &oracle{
@@ -156,6 +158,8 @@
 	assert.DeepEqual(t, next, []btqueue.Effect{btqueue.Start{ID: request(4)}})
 }
 
+// Guards against requests that queue at a stalled target: as no request finishes, only
+// the age of the running ones shows that the wait would pass their deadline.
 func TestStalledTargetRefusesByDeadline(t *testing.T) {
 	q := newQueue(1, 10, 1)
 	q.Step(start, arrival(1, "a", btrequest.Normal))
@@ -166,6 +170,8 @@
 	assert.Equal(t, effects[0].(btqueue.Refuse).Reason, btqueue.ReasonWaitTooLong)
 }
 
+// Guards against a repeated message that starts a request after its refusal, when the
+// entry may already have sent it to another target.
 func TestRefusalIsFinal(t *testing.T) {
 	q := newQueue(1, 0, 1)
 	q.Step(start, arrival(1, "a", btrequest.Normal))
--- a/core/btqueue/overload_test.go
+++ b/core/btqueue/overload_test.go
@@ -41,6 +41,8 @@
 	return all[large]
 }
 
+// Guards against a large account that takes all queue positions: a first-in-first-out
+// queue refuses more than half of a small account's requests at three times the capacity.
 func TestSmallAccountIsNotStarved(t *testing.T) {
 	for seed := uint64(1); seed <= floodSeeds; seed++ {
 		naive := flood(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, seed, 3)[small]
@@ -51,6 +53,8 @@
 	}
 }
 
+// Guards against a draining target that keeps starting queued requests, as a plain queue
+// does whenever a slot becomes free.
 func TestDrainStartsNothingFromADeepQueue(t *testing.T) {
 	started := func(m machine) int {
 		for n := range uint64(10) {
@@ -69,6 +73,8 @@
 	assert.Equal(t, started(newQueue(2, 20, 1)), 0)
 }
 
+// Guards against work that is wasted on requests past their deadline: at twice the
+// capacity nine tenths of it must still be answered in time.
 func TestOverloadKeepsThroughputNearCapacity(t *testing.T) {
 	for seed := uint64(1); seed <= floodSeeds; seed++ {
 		all := flood(newQueue(slots, queueLimit, seed), seed, 2)
@@ -79,6 +85,9 @@
 	}
 }
 
+// Guards against retry delays that are too short: if every refused caller is given the
+// time in which the queue drains, they retry together and more than a quarter is refused
+// again.
 func TestRetriesAtTheGivenDelayAreMostlyServed(t *testing.T) {
 	for seed := uint64(1); seed <= floodSeeds; seed++ {
 		naive := burst(&fifoQueue{slots: slots, queueLimit: queueLimit, mean: 200 * time.Millisecond}, seed)
