--- a/core/btswitch/bench_test.go
+++ b/core/btswitch/bench_test.go
@@ -49,8 +49,8 @@
 	var took, held time.Duration
 	for _, d := range s.decided {
 		assert.Equal(b, d.Outcome, btswitch.Committed)
-		took += d.Took
-		held += d.Held
+		took += d.Duration
+		held += d.HoldDuration
 	}
 	rounds := float64(b.N)
 	b.ReportMetric(float64(messages)/rounds, "messages/round")
--- a/core/btswitch/doc.go
+++ b/core/btswitch/doc.go
@@ -62,12 +62,12 @@
 	ReasonPhase btrequest.Reason = "switch_phase_skipped"
 	// ReasonMap: the map is not the one named, or doesn't fit the group.
 	ReasonMap btrequest.Reason = "switch_map_invalid"
-	// ReasonOrder: the outcome of an order is unknown.
-	ReasonOrder btrequest.Reason = "switch_order_unknown"
+	// ReasonOrderUnknown: the outcome of an order is unknown.
+	ReasonOrderUnknown btrequest.Reason = "switch_order_unknown"
 	// ReasonFenced: the engine refused the order for its fencing number.
 	ReasonFenced btrequest.Reason = "switch_order_fenced"
-	// ReasonEngine: the engine's state isn't what the order should have left.
-	ReasonEngine btrequest.Reason = "switch_engine_differs"
+	// ReasonEngineDiffers: the engine's state isn't what the order should have left.
+	ReasonEngineDiffers btrequest.Reason = "switch_engine_differs"
 	// ReasonProof: a commit lacks the proof that every rank is held.
 	ReasonProof btrequest.Reason = "switch_proof_missing"
 	// ReasonTimeout: a phase took longer than its limit.
--- a/core/btswitch/surface.go
+++ b/core/btswitch/events.go
@@ -20,7 +20,7 @@
 // LeadEffect is what a Lead asks to be done.
 type LeadEffect interface{ leadEffect() }
 
-// Tick passes time. It comes at least once in Settings.Tick; a longer gap tells
+// Tick passes time. It comes at least once in Settings.TickInterval; a longer gap tells
 // that the process was paused.
 type Tick struct{}
 
@@ -100,8 +100,8 @@
 	Map bool
 }
 
-// Noted counts and explains a refusal or another event of note.
-type Noted struct {
+// Diagnostic counts and explains a refusal or another event of note.
+type Diagnostic struct {
 	Reason btrequest.Reason
 	Detail string
 }
@@ -121,8 +121,8 @@
 	Unneeded Outcome = "unneeded"
 )
 
-// Decided tells how a round ended, for the operator.
-type Decided struct {
+// RoundResult tells how a round ended, for the operator.
+type RoundResult struct {
 	Group   btid.Group      `json:"group"`
 	Ballot  Ballot          `json:"ballot"`
 	Map     btbundle.Digest `json:"map"`
@@ -133,11 +133,11 @@
 	Reason btrequest.Reason `json:"reason,omitempty"`
 	// Rank is the target that the reason is about, where there is one.
 	Rank btid.Target `json:"rank,omitempty"`
-	// Took is the time from the first message to the end.
-	Took time.Duration `json:"took"`
-	// Held is the time from the first order to hold until the end.
-	Held time.Duration `json:"held"`
-	// StepsStalled is how many steps of the length last reported fit in Held.
+	// Duration is the time from the first message to the end.
+	Duration time.Duration `json:"took"`
+	// HoldDuration is the time from the first order to hold until the end.
+	HoldDuration time.Duration `json:"held"`
+	// StepsStalled is how many steps of the length last reported fit in HoldDuration.
 	StepsStalled int `json:"steps_stalled"`
 }
 
@@ -160,12 +160,12 @@
 func (Elected) leadEvent()    {}
 func (Propose) leadEvent()    {}
 
-func (Send) memberEffect()  {}
-func (Order) memberEffect() {}
-func (Read) memberEffect()  {}
-func (Noted) memberEffect() {}
+func (Send) memberEffect()       {}
+func (Order) memberEffect()      {}
+func (Read) memberEffect()       {}
+func (Diagnostic) memberEffect() {}
 
-func (Send) leadEffect()      {}
-func (Noted) leadEffect()     {}
-func (Decided) leadEffect()   {}
-func (MapNeeded) leadEffect() {}
+func (Send) leadEffect()        {}
+func (Diagnostic) leadEffect()  {}
+func (RoundResult) leadEffect() {}
+func (MapNeeded) leadEffect()   {}
--- a/core/btswitch/example_test.go
+++ b/core/btswitch/example_test.go
@@ -51,7 +51,7 @@
 			switch e := effect.(type) {
 			case btswitch.Send:
 				deliver(e.Message)
-			case btswitch.Decided:
+			case btswitch.RoundResult:
 				fmt.Println(e.Outcome, "because", e.Cause)
 			}
 		}
--- a/core/btswitch/lead.go
+++ b/core/btswitch/lead.go
@@ -185,7 +185,7 @@
 		return
 	}
 	if l.now.Sub(r.sentAt) >= r.retry {
-		r.retry = min(2*r.retry, maxRetryFactor*l.settings.Retry)
+		r.retry = min(2*r.retry, maxRetryFactor*l.settings.RetryInterval)
 		l.sendPhase()
 	}
 }
@@ -247,6 +247,6 @@
 // backoff is a random time of the set mean, doubled for each failure in a row.
 func (l *Lead) backoff() time.Duration {
 	factor := min(1<<min(l.failures, maxBackoffFactor), maxBackoffFactor)
-	mean := l.settings.Backoff * time.Duration(factor)
+	mean := l.settings.MeanBackoff * time.Duration(factor)
 	return mean/2 + time.Duration(l.random.Int64N(int64(mean)+1))
 }
--- a/core/btswitch/lead_phase.go
+++ b/core/btswitch/lead_phase.go
@@ -23,7 +23,7 @@
 func (l *Lead) sendPhase() {
 	r := l.round
 	if r.sentAt.Before(r.phaseAt) || r.sentAt.IsZero() {
-		r.retry = l.settings.Retry
+		r.retry = l.settings.RetryInterval
 	}
 	r.sentAt = l.now
 	for i, target := range r.members.Ranks {
--- a/core/btswitch/lead_round.go
+++ b/core/btswitch/lead_round.go
@@ -143,23 +143,23 @@
 	return true
 }
 
-func (r *leadRound) decided(now time.Time, outcome Outcome) Decided {
-	d := Decided{
-		Group:   r.members.Group,
-		Ballot:  r.ballot,
-		Map:     r.digest,
-		Outcome: outcome,
-		Cause:   r.cause,
-		Reason:  r.reason,
-		Rank:    r.culprit,
-		Took:    now.Sub(r.started),
+func (r *leadRound) decided(now time.Time, outcome Outcome) RoundResult {
+	d := RoundResult{
+		Group:    r.members.Group,
+		Ballot:   r.ballot,
+		Map:      r.digest,
+		Outcome:  outcome,
+		Cause:    r.cause,
+		Reason:   r.reason,
+		Rank:     r.culprit,
+		Duration: now.Sub(r.started),
 	}
 	if r.holdAt.IsZero() {
 		return d
 	}
-	d.Held = now.Sub(r.holdAt)
+	d.HoldDuration = now.Sub(r.holdAt)
 	if r.stepTime > 0 {
-		d.StepsStalled = int(d.Held / r.stepTime)
+		d.StepsStalled = int(d.HoldDuration / r.stepTime)
 	}
 	return d
 }
--- a/core/btswitch/lead_test.go
+++ b/core/btswitch/lead_test.go
@@ -60,7 +60,7 @@
 			case i == nil:
 				return btswitch.Message{Promise: &btswitch.Promise{Header: h, State: state}}
 			case i.Op == btswitch.Arm:
-				return btswitch.Message{Refusal: &btswitch.Refusal{Header: h, Op: i.Op, Reason: btswitch.ReasonOrder}}
+				return btswitch.Message{Refusal: &btswitch.Refusal{Header: h, Op: i.Op, Reason: btswitch.ReasonOrderUnknown}}
 			case late && to == "t01":
 				state.InForce = version("late", 2)
 			}
--- a/core/btswitch/member.go
+++ b/core/btswitch/member.go
@@ -84,9 +84,9 @@
 // Promised returns the highest ballot that the member knows of.
 func (m *Member) Promised() Ballot { return m.promised }
 
-// Engine returns the engine's state as last read, and when; the zero time where
+// LastEngineState returns the engine's state as last read, and when; the zero time where
 // it was never read.
-func (m *Member) Engine() (EngineState, time.Time) { return m.engine, m.lastRead }
+func (m *Member) LastEngineState() (EngineState, time.Time) { return m.engine, m.lastRead }
 
 // Step applies one event; see btcore.Machine.
 func (m *Member) Step(now time.Time, event MemberEvent) []MemberEffect {
@@ -123,7 +123,7 @@
 	first := m.now.IsZero()
 	if first {
 		m.now = now
-		m.quietUntil = now.Add(m.settings.Settle)
+		m.quietUntil = now.Add(m.settings.SettleDelay)
 		return
 	}
 	if now.Before(m.now) {
@@ -131,7 +131,7 @@
 	}
 	gap := now.Sub(m.now)
 	m.now = now
-	if gap <= m.settings.PauseLimit {
+	if gap <= m.settings.PauseThreshold {
 		return
 	}
 	m.fresh = false
@@ -206,7 +206,7 @@
 		m.read(false)
 	case r != nil && r.task != nil:
 		m.order(r)
-	case m.now.Sub(m.lastRead) >= m.settings.Poll:
+	case m.now.Sub(m.lastRead) >= m.settings.PollInterval:
 		m.read(false)
 	}
 }
@@ -225,7 +225,7 @@
 // reportIdle tells the lead of an engine that can't step and isn't in a round:
 // it is held, or its map is for other ranks than the group's present ones.
 func (m *Member) reportIdle() {
-	limit := m.settings.IdleLimit
+	limit := m.settings.IdleTimeout
 	quiet := m.now.Sub(m.lastWord) >= limit && m.now.Sub(m.lastReport) >= limit
 	idle := !m.idleSince.IsZero() && m.now.Sub(m.idleSince) >= limit
 	if !idle || !quiet || m.lead == "" || m.members.rank(m.self.Target) < 0 {
@@ -289,7 +289,7 @@
 }
 
 func (m *Member) note(reason btrequest.Reason, detail string) {
-	m.out = append(m.out, Noted{Reason: reason, Detail: detail})
+	m.out = append(m.out, Diagnostic{Reason: reason, Detail: detail})
 }
 
 // mapOf returns the encoded map in force for a lead that doesn't know it.
--- a/core/btswitch/member_engine.go
+++ b/core/btswitch/member_engine.go
@@ -52,8 +52,8 @@
 	if c == nil {
 		return
 	}
-	m.quietUntil = m.now.Add(m.settings.Settle)
-	m.unfulfilled(c, ReasonOrder)
+	m.quietUntil = m.now.Add(m.settings.SettleDelay)
+	m.unfulfilled(c, ReasonOrderUnknown)
 }
 
 func (m *Member) orderRefused(e OrderRefused) {
@@ -61,7 +61,7 @@
 	if c == nil {
 		return
 	}
-	reason := ReasonEngine
+	reason := ReasonEngineDiffers
 	if e.LastFencing >= e.Fencing {
 		reason = ReasonFenced
 		m.fencing = max(m.fencing, e.LastFencing)
@@ -117,7 +117,7 @@
 // readFailed waits for the next poll or message before it reads again.
 func (m *Member) readFailed(number uint64) {
 	if m.takeRead(number) != nil {
-		m.quietUntil = m.now.Add(m.settings.Retry)
+		m.quietUntil = m.now.Add(m.settings.RetryInterval)
 	}
 }
 
@@ -161,9 +161,9 @@
 		m.finish(r, op)
 	case op == Stage && m.engine.Loading == r.version:
 		r.verify = op
-		m.quietUntil = m.now.Add(m.settings.Retry)
+		m.quietUntil = m.now.Add(m.settings.RetryInterval)
 	case once(op) || !r.achievable(op, m.engine):
-		m.fail(r, op, ReasonEngine)
+		m.fail(r, op, ReasonEngineDiffers)
 	default:
 		// The lead asks again.
 		r.drop(op)
--- a/core/btswitch/member_round.go
+++ b/core/btswitch/member_round.go
@@ -221,7 +221,7 @@
 		return
 	}
 	if r.plan[r.done-1] == i.Op {
-		m.refuse(i.Header, i.Op, ReasonEngine, string(i.Op)+" no longer stands")
+		m.refuse(i.Header, i.Op, ReasonEngineDiffers, string(i.Op)+" no longer stands")
 	}
 }
 
--- a/core/btswitch/scenario_test.go
+++ b/core/btswitch/scenario_test.go
@@ -161,7 +161,7 @@
 	order := step(0, stage).(btswitch.Order)
 	read = step(0, btswitch.OrderFailed{Fencing: order.Fencing}).(btswitch.Read)
 	step(0, btswitch.EngineRead{Number: read.Number})
-	assert.Equal(t, step(0, stage).(btswitch.Send).Message.Refusal.Reason, btswitch.ReasonOrder)
+	assert.Equal(t, step(0, stage).(btswitch.Send).Message.Refusal.Reason, btswitch.ReasonOrderUnknown)
 }
 
 // TestCommitWithoutProofViolatesTheInvariant shows that the assertion can fail.
--- a/core/btswitch/sim_test.go
+++ b/core/btswitch/sim_test.go
@@ -80,7 +80,7 @@
 	steps     int
 	lastStep  time.Time
 	longest   time.Duration
-	decided   []btswitch.Decided
+	decided   []btswitch.RoundResult
 	needed    int
 	maps      int
 	lives     uint64
@@ -162,16 +162,16 @@
 
 func (s *sim) settings() btswitch.Settings {
 	set := btswitch.Defaults()
-	set.Tick = 100 * time.Millisecond
+	set.TickInterval = 100 * time.Millisecond
 	set.StageTimeout = cmp.Or(s.o.stageTimeout, time.Second)
 	set.PrepareTimeout = time.Second
 	set.HoldTimeout = 700 * time.Millisecond
 	set.FinishTimeout = time.Second
 	set.OrderTimeout = 400 * time.Millisecond
-	set.Backoff = 200 * time.Millisecond
-	set.Retry = 100 * time.Millisecond
-	set.IdleLimit = 500 * time.Millisecond
-	set.Settle = s.o.settle
+	set.MeanBackoff = 200 * time.Millisecond
+	set.RetryInterval = 100 * time.Millisecond
+	set.IdleTimeout = 500 * time.Millisecond
+	set.SettleDelay = s.o.settle
 	return set
 }
 
@@ -283,7 +283,7 @@
 		switch e := effect.(type) {
 		case btswitch.Send:
 			a.s.send(a, e)
-		case btswitch.Decided:
+		case btswitch.RoundResult:
 			a.s.decided = append(a.s.decided, e)
 		case btswitch.MapNeeded:
 			a.s.needed++
--- a/io/btgroup/btgroup.go
+++ b/io/btgroup/btgroup.go
@@ -232,7 +232,7 @@
 	case <-ctx.Done():
 		return nil
 	}
-	tick := g.options.Switch.Tick
+	tick := g.options.Switch.TickInterval
 	var running errgroup.Group
 	running.Go(func() error {
 		g.member.Every(ctx, tick, func() btswitch.MemberEvent { return btswitch.Tick{} })
@@ -277,7 +277,7 @@
 
 func (g *Group) engineState() btswitch.EngineState {
 	var state btswitch.EngineState
-	g.member.Inspect(func(time.Time) { state, _ = g.memberCore.Engine() })
+	g.member.Inspect(func(time.Time) { state, _ = g.memberCore.LastEngineState() })
 	return state
 }
 
--- a/io/btgroup/carry.go
+++ b/io/btgroup/carry.go
@@ -26,7 +26,7 @@
 		go g.order(e)
 	case btswitch.Read:
 		go g.read(e)
-	case btswitch.Noted:
+	case btswitch.Diagnostic:
 		g.noted(e)
 	}
 }
@@ -36,16 +36,16 @@
 	switch e := effect.(type) {
 	case btswitch.Send:
 		g.send(e.To, e.Message)
-	case btswitch.Noted:
+	case btswitch.Diagnostic:
 		g.noted(e)
-	case btswitch.Decided:
+	case btswitch.RoundResult:
 		g.rebalancer.decided(e)
 	case btswitch.MapNeeded:
 		g.rebalancer.mapNeeded()
 	}
 }
 
-func (g *Group) noted(n btswitch.Noted) {
+func (g *Group) noted(n btswitch.Diagnostic) {
 	g.refused(n.Reason)
 	g.options.Log.Info("map agreement", "reason", n.Reason, "detail", n.Detail)
 }
--- a/io/btgroup/explain.go
+++ b/io/btgroup/explain.go
@@ -81,9 +81,9 @@
 	btswitch.Unneeded:   "every rank has the map already",
 }
 
-func decisionOfRound(e btswitch.Decided) btmetric.Decision {
+func decisionOfRound(e btswitch.RoundResult) btmetric.Decision {
 	evidence := fmt.Sprintf("ballot %v, took %v, held for %v, %d steps stalled",
-		e.Ballot, e.Took.Round(time.Millisecond), e.Held.Round(time.Millisecond), e.StepsStalled)
+		e.Ballot, e.Duration.Round(time.Millisecond), e.HoldDuration.Round(time.Millisecond), e.StepsStalled)
 	if !e.Map.IsZero() {
 		evidence += fmt.Sprintf(", map %.12s", e.Map.String())
 	}
--- a/io/btgroup/fixture_test.go
+++ b/io/btgroup/fixture_test.go
@@ -183,12 +183,12 @@
 // quick are settings for tests that shall not take long.
 func quick() btswitch.Settings {
 	s := btswitch.Defaults()
-	s.Tick = 10 * time.Millisecond
-	s.PauseLimit = 5 * time.Second
-	s.Retry = 50 * time.Millisecond
-	s.Backoff = 100 * time.Millisecond
-	s.IdleLimit = 200 * time.Millisecond
-	s.Poll = 50 * time.Millisecond
+	s.TickInterval = 10 * time.Millisecond
+	s.PauseThreshold = 5 * time.Second
+	s.RetryInterval = 50 * time.Millisecond
+	s.MeanBackoff = 100 * time.Millisecond
+	s.IdleTimeout = 200 * time.Millisecond
+	s.PollInterval = 50 * time.Millisecond
 	return s
 }
 
--- a/io/btgroup/rebalancer.go
+++ b/io/btgroup/rebalancer.go
@@ -22,7 +22,7 @@
 	mutex sync.Mutex
 	tally *tally
 	// ended queues how rounds ended.
-	ended []btswitch.Decided
+	ended []btswitch.RoundResult
 	// answer holds what the ranks are told; loads holds their loads.
 	answer ReportAnswer
 	loads  []float64
@@ -90,7 +90,7 @@
 }
 
 // decided takes the end of a round. It must not block.
-func (r *rebalancer) decided(e btswitch.Decided) {
+func (r *rebalancer) decided(e btswitch.RoundResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ended = append(r.ended, e)
@@ -130,7 +130,7 @@
 	r.step(btexpert.Tick{})
 }
 
-func (r *rebalancer) takeEnded() []btswitch.Decided {
+func (r *rebalancer) takeEnded() []btswitch.RoundResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	ended := r.ended
@@ -166,9 +166,9 @@
 }
 
 // endRound tells the decider what became of its proposal.
-func (r *rebalancer) endRound(e btswitch.Decided) {
+func (r *rebalancer) endRound(e btswitch.RoundResult) {
 	if e.Outcome == btswitch.Committed {
-		r.stall = stall{encoded: e.Map, held: e.Held}
+		r.stall = stall{encoded: e.Map, held: e.HoldDuration}
 	}
 	if r.proposed == nil || r.proposed.encoded != e.Map {
 		return
@@ -186,8 +186,8 @@
 // one is mostly messages.
 const rateWait = 5 * time.Second
 
-func (r *rebalancer) learnRate(e btswitch.Decided) {
-	if transfer := e.Took - e.Held; transfer >= rateWait && r.proposed.bytes > 0 {
+func (r *rebalancer) learnRate(e btswitch.RoundResult) {
+	if transfer := e.Duration - e.HoldDuration; transfer >= rateWait && r.proposed.bytes > 0 {
 		r.rate = float64(r.proposed.bytes) / transfer.Seconds()
 	}
 }
