--- a/core/btswitch/bench_test.go
+++ b/core/btswitch/bench_test.go
@@ -12,16 +12,16 @@
 	"bilberrytide/core/btwire"
 )
 
-// BenchmarkRound runs rounds without faults. Times ending in _ms are those of
-// the modelled network, whose messages and engine calls take 0.5 to 2 ms one
-// way; ns/op is the processor time of all agents and of the model together.
+// BenchmarkRound measures rounds without faults. Metrics in ms are in simulated
+// time, in which messages and engine calls take 0.5 to 2 ms one way. ns/op is the
+// CPU time of all agents and the simulation together.
 func BenchmarkRound(b *testing.B) {
 	for _, ranks := range []int{16, 64} {
 		for _, kind := range []string{"barrier", "no barrier"} {
-			for _, told := range []bool{true, false} {
-				name := fmt.Sprintf("%d ranks, %s, state in answer %t", ranks, kind, told)
+			for _, stateInAnswer := range []bool{true, false} {
+				name := fmt.Sprintf("%d ranks, %s, state in answer %t", ranks, kind, stateInAnswer)
 				b.Run(name, func(b *testing.B) {
-					benchmarkRound(b, simOptions{seed: 1, ranks: ranks, kind: kinds[kind], stateInAnswer: told})
+					benchmarkRound(b, simOptions{seed: 1, ranks: ranks, kind: engineKinds[kind], stateInAnswer: stateInAnswer})
 				})
 			}
 		}
@@ -38,16 +38,16 @@
 		messages++
 		bytes += len(data)
 	}
-	s.decided = nil
+	s.results = nil
 	b.ResetTimer()
 	for range b.N {
 		s.propose("t00")
 		s.run(100 * time.Millisecond)
 	}
 	b.StopTimer()
-	assert.Equal(b, len(s.decided), b.N)
+	assert.Equal(b, len(s.results), b.N)
 	var took, held time.Duration
-	for _, d := range s.decided {
+	for _, d := range s.results {
 		assert.Equal(b, d.Outcome, btswitch.Committed)
 		took += d.Duration
 		held += d.HoldDuration
@@ -59,8 +59,8 @@
 	b.ReportMetric(float64(held.Microseconds())/1000/rounds, "held_ms/round")
 }
 
-// BenchmarkEncode reports the size of each message of a 64-rank group; a stage
-// carries a map of 1,024 bytes.
+// BenchmarkEncode reports the encoded size of each message of a 64-rank group. The
+// stage message carries a map of 1,024 bytes.
 func BenchmarkEncode(b *testing.B) {
 	for name, m := range messages(64) {
 		b.Run(name, func(b *testing.B) {
--- a/core/btswitch/lead_bench_test.go
+++ b/core/btswitch/capacity_test.go
@@ -13,16 +13,16 @@
 	"bilberrytide/core/btwire"
 )
 
-// The encoded sizes of maps of 8 and of 58 layers of 64 experts on 64 ranks, with
-// two slots each, as BenchmarkMapSizes of io/btgroup gives them.
+// Encoded sizes of maps of 8 and 58 layers with 64 experts on 64 ranks and two
+// slots per rank, as reported by BenchmarkMapSizes in io/btgroup.
 const (
 	mapBytes     = 3_964
 	deepMapBytes = 28_664
 )
 
-// BenchmarkLeadRound gives what the lead and what one other rank sends and
-// receives in a round that stages a map, by the number of ranks and by the size
-// of the map; what an agent tells itself isn't counted.
+// BenchmarkLeadRound reports what the lead and what another rank sends and receives
+// in a round that stages a map, by number of ranks and size of the map. Messages of
+// an agent to itself are not counted.
 func BenchmarkLeadRound(b *testing.B) {
 	for _, c := range []struct{ ranks, bytes int }{
 		{4, mapBytes}, {16, mapBytes}, {32, mapBytes}, {64, mapBytes}, {64, 1 << 10}, {64, deepMapBytes},
@@ -34,7 +34,7 @@
 }
 
 func benchmarkLeadRound(b *testing.B, ranks, size int) {
-	s := newSim(simOptions{seed: 1, ranks: ranks, kind: kinds["barrier"], stateInAnswer: true})
+	s := newSim(simOptions{seed: 1, ranks: ranks, kind: engineKinds["barrier"], stateInAnswer: true})
 	s.run(5 * time.Second)
 	lead := s.targets[0]
 	var messages, out, in int
@@ -52,7 +52,7 @@
 			in += len(data)
 		}
 	}
-	s.decided = nil
+	s.results = nil
 	b.ResetTimer()
 	for n := range b.N {
 		encoded := append(bytes.Repeat([]byte{byte('a' + n%26)}, size-8), fmt.Sprintf("%08d", n)...)
@@ -61,7 +61,7 @@
 		s.run(100 * time.Millisecond)
 	}
 	b.StopTimer()
-	assert.Equal(b, len(s.decided), b.N)
+	assert.Equal(b, len(s.results), b.N)
 	rounds := float64(b.N)
 	b.ReportMetric(float64(messages)/rounds, "messages/round")
 	b.ReportMetric(float64(out)/rounds, "lead_out_B/round")
--- a/core/btswitch/engine_test.go
+++ b/core/btswitch/engine_test.go
@@ -6,17 +6,18 @@
 	"bilberrytide/core/btswitch"
 )
 
-// engineKind tells what an engine checks before it follows an order.
+// engineKind is what an engine checks before it follows an order.
 type engineKind struct {
 	barrier bool
 	// fencing: it refuses old fencing numbers.
 	fencing bool
-	// versions: it refuses an order that names another version than it has. One
-	// that doesn't follows every order at any time, on any map it ever loaded.
+	// versions: it refuses an order that names another version than its own.
+	// Without this check it follows every order, at any time and for any map that
+	// it ever loaded.
 	versions bool
 }
 
-// engine is the model of one rank's engine.
+// engine simulates the engine of one rank.
 type engine struct {
 	kind  engineKind
 	state btswitch.EngineState
@@ -27,7 +28,7 @@
 
 var initialMap = []byte("initial")
 
-// newEngine starts an engine: held, on its own initial map.
+// newEngine returns an engine that has just started: held, on its initial map.
 func newEngine(kind engineKind) *engine {
 	e := &engine{kind: kind}
 	e.restart()
@@ -42,8 +43,8 @@
 	e.ranks = make(map[btbundle.Digest][]btid.Target)
 }
 
-// apply carries out an order or refuses it, with the last fencing number where
-// that is why.
+// apply carries out an order or refuses it. last is the engine's last fencing
+// number if the order's is old, else zero.
 func (e *engine) apply(o btswitch.Order) (done bool, last uint64) {
 	if e.kind.fencing {
 		if o.Fencing <= e.state.Fencing {
@@ -51,10 +52,10 @@
 		}
 		e.state.Fencing = o.Fencing
 	}
-	return e.follow(o), 0
+	return e.execute(o), 0
 }
 
-func (e *engine) follow(o btswitch.Order) bool {
+func (e *engine) execute(o btswitch.Order) bool {
 	s := &e.state
 	staged := e.kind.versions && s.Staged == o.Version || !e.kind.versions && e.maps[o.Version.Map] != nil
 	switch o.Op {
@@ -87,7 +88,7 @@
 	return true
 }
 
-// loaded ends the loading of a version, unless another has taken its place.
+// loaded completes the loading of a version, unless another has replaced it.
 func (e *engine) loaded(v btswitch.Version) {
 	if e.state.Loading == v {
 		e.state.Staged = v
@@ -95,8 +96,7 @@
 	}
 }
 
-// ready returns the ranks that the engine wants to step with; nil while it may
-// not step.
+// ready returns the ranks that the engine would step with, nil while it can't step.
 func (e *engine) ready() []btid.Target {
 	if !e.up || e.state.Held {
 		return nil
--- a/core/btswitch/envelope.go
+++ b/core/btswitch/envelope.go
@@ -6,8 +6,8 @@
 	"bilberrytide/core/btid"
 )
 
-// Message is what two agents of a group send each other: exactly one of its
-// fields is set.
+// Message is a message between two agents of a group. Exactly one of its fields is
+// set.
 type Message struct {
 	Prepare  *Prepare  `cbor:"prepare,omitempty" json:"prepare,omitempty"`
 	Promise  *Promise  `cbor:"promise,omitempty" json:"promise,omitempty"`
@@ -17,11 +17,11 @@
 	Report   *Report   `cbor:"report,omitempty" json:"report,omitempty"`
 }
 
-// ForLead tells whether the receiver's Lead takes the message; its Member takes
-// the others.
+// ForLead reports whether the receiver's Lead handles the message, rather than its
+// Member.
 func (m Message) ForLead() bool { return m.Prepare == nil && m.Instruct == nil }
 
-// header returns the header of a message of a round; the zero one for others.
+// header returns the header of a message of a round, else the zero one.
 func (m Message) header() Header {
 	switch {
 	case m.Prepare != nil:
@@ -38,7 +38,7 @@
 	return Header{}
 }
 
-// Group returns the group that the message is about, empty where the message is
+// Group returns the group that the message is about, empty if the message is
 // empty.
 func (m Message) Group() btid.Group {
 	if m.Report != nil {
@@ -47,7 +47,7 @@
 	return m.header().Group
 }
 
-// From returns the agent that the message says it is from. The receiver checks
+// From returns the agent that the message claims to be from. The receiver checks
 // it against the certificate of the connection.
 func (m Message) From() btid.Executor {
 	if m.Report != nil {
@@ -56,27 +56,27 @@
 	return m.header().From
 }
 
-// To returns the agent that the message is for. Its incarnation is zero where
-// any will do.
+// To returns the agent that the message is for. A zero incarnation means any.
 func (m Message) To() btid.Executor { return m.header().To }
 
-// Validate reports a message that is malformed, empty or more than one.
+// Validate returns an error for a malformed message and for one without exactly one
+// field set.
 func (m Message) Validate() error {
 	var bodies []interface{ Validate() error }
-	bodies = body(bodies, m.Prepare)
-	bodies = body(bodies, m.Promise)
-	bodies = body(bodies, m.Instruct)
-	bodies = body(bodies, m.Ack)
-	bodies = body(bodies, m.Refusal)
-	bodies = body(bodies, m.Report)
+	bodies = appendBody(bodies, m.Prepare)
+	bodies = appendBody(bodies, m.Promise)
+	bodies = appendBody(bodies, m.Instruct)
+	bodies = appendBody(bodies, m.Ack)
+	bodies = appendBody(bodies, m.Refusal)
+	bodies = appendBody(bodies, m.Report)
 	if len(bodies) != 1 {
-		return fmt.Errorf("%d messages in one", len(bodies))
+		return fmt.Errorf("message has %d bodies, want 1", len(bodies))
 	}
 	return bodies[0].Validate()
 }
 
-// body appends the message where there is one.
-func body[M interface{ Validate() error }](bodies []interface{ Validate() error }, m *M) []interface{ Validate() error } {
+// appendBody appends the message body unless it is nil.
+func appendBody[M interface{ Validate() error }](bodies []interface{ Validate() error }, m *M) []interface{ Validate() error } {
 	if m == nil {
 		return bodies
 	}
--- a/core/btswitch/events.go
+++ b/core/btswitch/events.go
@@ -8,54 +8,54 @@
 	"bilberrytide/core/btrequest"
 )
 
-// MemberEvent is what a Member is told.
+// MemberEvent is an input of a Member.
 type MemberEvent interface{ memberEvent() }
 
-// LeadEvent is what a Lead is told.
+// LeadEvent is an input of a Lead.
 type LeadEvent interface{ leadEvent() }
 
-// MemberEffect is what a Member asks to be done.
+// MemberEffect is an action that a Member requests.
 type MemberEffect interface{ memberEffect() }
 
-// LeadEffect is what a Lead asks to be done.
+// LeadEffect is an action that a Lead requests.
 type LeadEffect interface{ leadEffect() }
 
-// Tick passes time. It comes at least once in Settings.TickInterval; a longer gap tells
-// that the process was paused.
+// Tick advances the time. It comes at least once in Settings.TickInterval; a much
+// longer gap shows that the process was paused.
 type Tick struct{}
 
-// Received is a decoded message; Message.ForLead tells which machine takes it.
+// Received carries a decoded message; Message.ForLead tells which machine handles
+// it.
 type Received struct{ Message Message }
 
-// Configured gives the group's membership, each time that a bundle comes into
-// force.
+// Configured carries the group's membership, whenever a bundle comes into force.
 type Configured struct{ Members Members }
 
-// Elected names the agent that a member reports to: the lowest live rank. A
-// wrong or differing view costs time, never safety.
+// Elected names the agent that members report to: the lowest live rank. Views
+// that are wrong or differ between agents cost time, never safety.
 type Elected struct{ Lead btid.Target }
 
 // OrderDone tells that the engine carried out the order. State is the engine's
-// state after it, where the engine's answer tells it; nil has it read, which
-// lengthens the hold.
+// state after it, if the engine's answer has it. If nil, the member reads the
+// state, which lengthens the hold.
 type OrderDone struct {
 	Fencing uint64
 	State   *EngineState
 }
 
-// OrderFailed tells that the order's outcome isn't known: it may be carried out
-// at any later time.
+// OrderFailed tells that the order's outcome is unknown: it may still be carried
+// out at any later time.
 type OrderFailed struct{ Fencing uint64 }
 
 // OrderRefused tells that the engine did not and will not carry out the order.
-// LastFencing is the engine's last fencing number where it refused the order's
-// for being old, else zero.
+// LastFencing is the engine's last fencing number if it refused the order's as
+// old, else zero.
 type OrderRefused struct {
 	Fencing     uint64
 	LastFencing uint64
 }
 
-// EngineRead answers a Read. Map is the encoded map in force, where Read asked
+// EngineRead answers a Read. Map is the encoded map in force, if the Read asked
 // for it and there is one.
 type EngineRead struct {
 	Number uint64
@@ -66,29 +66,29 @@
 // ReadFailed tells that the engine couldn't be read.
 type ReadFailed struct{ Number uint64 }
 
-// Propose gives a lead the map to bring the group to. It replaces a proposal
-// that still waits.
+// Propose gives a lead the map to bring the group to. It replaces a pending
+// proposal.
 type Propose struct {
 	Map   []byte
 	Cause string
 }
 
-// Send asks to send the message to the agent beside the target, which may be
-// this one. It may be lost, repeated or late.
+// Send asks to send the message to the agent of the target, which may be this one.
+// The message may be lost, duplicated or delayed.
 type Send struct {
 	To      btid.Target
 	Message Message
 }
 
-// Order asks to order the engine, once: a repetition by the transport is not
-// allowed. The answer is OrderDone, OrderFailed or OrderRefused.
+// Order asks to give the engine an order, once: the transport must not repeat it.
+// The answer is OrderDone, OrderFailed or OrderRefused.
 type Order struct {
 	Fencing uint64
 	Op      Op
-	// Version is what the order is about; engines compare it with what they
-	// have staged or in force, as Op says.
+	// Version is the version that the order names. Engines compare it with the
+	// one that they have staged or in force, as described at each Op.
 	Version Version
-	// Map and Ranks come with Stage.
+	// Map and Ranks are set only with Stage.
 	Map   []byte
 	Ranks []btid.Target
 }
@@ -96,11 +96,11 @@
 // Read asks to read the engine's state. The answer is EngineRead or ReadFailed.
 type Read struct {
 	Number uint64
-	// Map tells that the encoded map in force is wanted too.
+	// Map asks for the encoded map in force as well.
 	Map bool
 }
 
-// Diagnostic counts and explains a refusal or another event of note.
+// Diagnostic reports a refusal or another notable event, to be counted and logged.
 type Diagnostic struct {
 	Reason btrequest.Reason
 	Detail string
@@ -112,10 +112,10 @@
 const (
 	// Committed: every rank has the map in force.
 	Committed Outcome = "committed"
-	// Aborted: the map didn't take effect at any rank.
+	// Aborted: the map took effect at no rank.
 	Aborted Outcome = "aborted"
-	// Unfinished: the round passed its commit point, and not every rank
-	// followed; the group is held until a further round completes.
+	// Unfinished: the round failed past its commit point, so that not every rank
+	// may have followed. The group is held until another round completes.
 	Unfinished Outcome = "unfinished"
 	// Unneeded: every rank has the map in force already.
 	Unneeded Outcome = "unneeded"
@@ -127,17 +127,18 @@
 	Ballot  Ballot          `json:"ballot"`
 	Map     btbundle.Digest `json:"map"`
 	Outcome Outcome         `json:"outcome"`
-	// Cause tells why the round was started.
+	// Cause is why the round was started.
 	Cause string `json:"cause"`
-	// Reason tells why it did not complete; empty where it did.
+	// Reason is why the round did not complete; empty if it did.
 	Reason btrequest.Reason `json:"reason,omitempty"`
-	// Rank is the target that the reason is about, where there is one.
+	// Rank is the target that the reason is about, if any.
 	Rank btid.Target `json:"rank,omitempty"`
-	// Duration is the time from the first message to the end.
+	// Duration is the time from the first message to the end of the round.
 	Duration time.Duration `json:"took"`
-	// HoldDuration is the time from the first order to hold until the end.
+	// HoldDuration is the time from the first order to hold to the end of the round.
 	HoldDuration time.Duration `json:"held"`
-	// StepsStalled is how many steps of the length last reported fit in HoldDuration.
+	// StepsStalled is how many steps, of the longest StepTime in the promises, fit
+	// in HoldDuration.
 	StepsStalled int `json:"steps_stalled"`
 }
 
--- a/core/btswitch/example_test.go
+++ b/core/btswitch/example_test.go
@@ -11,8 +11,8 @@
 	"bilberrytide/core/btswitch"
 )
 
-// A group of one rank is brought to a map: the example does by hand what the
-// agent's sockets and timers do.
+// A group of one rank switches to a map. The example carries out the effects that
+// an agent carries out with its sockets and timers.
 func Example() {
 	self := btid.Executor{Target: "himal-00", Incarnation: 1}
 	members, _ := btswitch.NewMembers(1, btbundle.Group{Name: "assistant", Ranks: []btid.Target{"himal-00"}, Barrier: true})
--- a/core/btswitch/fuzz_test.go
+++ b/core/btswitch/fuzz_test.go
@@ -11,7 +11,7 @@
 	"bilberrytide/core/btwire"
 )
 
-// messages returns one valid message of each kind, for a group of the size.
+// messages returns one valid message of each kind, for a group of that many ranks.
 func messages(ranks int) map[string]btswitch.Message {
 	encoded := make([]byte, 1024)
 	digest := btbundle.DigestOf(encoded)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for name, m := range messages(4) {
 		data, err := btwire.Encode(m)
 		assert.NilError(t, err)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
+func TestDecodeRejectsMalformedMessages(t *testing.T) {
 	agent := btid.Executor{Target: "t00", Incarnation: 1}
 	digest := btbundle.DigestOf([]byte("map"))
 	header := btswitch.Header{Group: "g", Ballot: btswitch.Ballot{Number: 1, Lead: agent}, Members: digest, From: agent, To: agent}
--- a/core/btswitch/kill_test.go
+++ b/core/btswitch/kill_test.go
@@ -11,8 +11,8 @@
 	"bilberrytide/core/btswitch"
 )
 
-// victims are what is killed at a message of a round.
-var victims = map[string]func(s *sim, from *agent, to btid.Target){
+// killActions are the kills and pauses to apply at a message of a round.
+var killActions = map[string]func(s *sim, from *agent, to btid.Target){
 	"sender":            func(s *sim, from *agent, _ btid.Target) { s.killAgent(from.host, time.Second) },
 	"sender, for long":  func(s *sim, from *agent, _ btid.Target) { s.killAgent(from.host, 6*time.Second) },
 	"receiver":          func(s *sim, _ *agent, to btid.Target) { s.killAgent(s.hosts[to], time.Second) },
@@ -24,27 +24,28 @@
 	},
 }
 
-// killAt runs one round in a fault-free network but for the victim's death at
-// the message of the given number, and tells whether the round got that far.
-func killAt(t *testing.T, kind engineKind, victim string, number int, orphan time.Duration) (reached bool, longest time.Duration) {
+// runKillAt runs one round on a network without faults and applies the kill at the
+// message of the given number. It returns whether the round got that far, and the
+// longest time between two steps.
+func runKillAt(t *testing.T, kind engineKind, kill string, number int, orphan time.Duration) (reached bool, longest time.Duration) {
 	t.Helper()
 	count := -1
 	o := simOptions{seed: uint64(number), ranks: 3, kind: kind, orphanDelay: orphan, stateInAnswer: number%2 == 0}
 	if number%3 == 0 {
-		o.loadTime = 20 * time.Millisecond
+		o.maxLoadTime = 20 * time.Millisecond
 	}
 	o.onSend = func(s *sim, from *agent, to btid.Target, _ btswitch.Message) {
 		if count < 0 {
 			return
 		}
 		if count == number {
-			victims[victim](s, from, to)
+			killActions[kill](s, from, to)
 		}
 		count++
 	}
 	s := newSim(o)
 	s.run(2 * time.Second)
-	name := fmt.Sprintf("%+v, %s killed at message %d, orders %v late", kind, victim, number, orphan)
+	name := fmt.Sprintf("%+v, %s killed at message %d, orders %v late", kind, kill, number, orphan)
 	assert.Assert(t, s.steps > 0, name)
 	count = 0
 	s.propose(s.lowestLive())
@@ -52,28 +53,30 @@
 	reached = count > number
 	s.run(10 * time.Second)
 	assert.Equal(t, s.violation, "", name)
-	assert.Assert(t, s.now.Sub(s.lastStep) < time.Second, "%s: the last step is %v old", name, s.now.Sub(s.lastStep))
-	return reached, s.longest
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < time.Second, "%s: the last step is %v old", name, s.now.Sub(s.lastStepAt))
+	return reached, s.longestStall
 }
 
-func TestKillAtEveryMessageOfARound(t *testing.T) {
-	for name, kind := range kinds {
+// A kill at any message of a round must neither let a step run on two maps nor
+// leave the group held.
+func TestKillAtEachMessageOfRound(t *testing.T) {
+	for name, kind := range engineKinds {
 		if kind.fencing && *runs < 100 {
-			continue // It refuses more of the same orders: only in long runs.
+			continue // Fencing only adds refusals, so it is covered in long runs only.
 		}
 		total := 0
 		var longest time.Duration
-		for victim := range victims {
+		for kill := range killActions {
 			for _, orphan := range []time.Duration{0, 2500 * time.Millisecond} {
 				number := 0
 				for ; ; number++ {
-					reached, hold := killAt(t, kind, victim, number, orphan)
+					reached, stall := runKillAt(t, kind, kill, number, orphan)
 					if !reached {
 						break
 					}
-					longest = max(longest, hold)
+					longest = max(longest, stall)
 				}
-				assert.Assert(t, number >= 8*3, "%s: the round has only %d messages", victim, number)
+				assert.Assert(t, number >= 8*3, "%s: the round has only %d messages", kill, number)
 				total += number
 			}
 		}
--- a/core/btswitch/lead.go
+++ b/core/btswitch/lead.go
@@ -11,8 +11,9 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Lead drives rounds for a group. Each agent of the group has one; that of the
-// elected agent starts rounds. Several at once do no harm: the ballots decide.
+// Lead coordinates the rounds of a group. Each agent of the group runs one, and
+// that of the elected agent starts rounds. Several active leads are safe: the
+// highest ballot wins.
 type Lead struct {
 	self     btid.Executor
 	members  Members
@@ -22,40 +23,41 @@
 	assert   *btassert.Asserter
 	variant  variant
 
-	now time.Time
-	out []LeadEffect
-
-	elected  bool
-	highest  Ballot
-	proposal *Propose
-	// idle tells that a rank is known not to step, so that a round is needed.
-	idle bool
-	// next is the earliest start of the next round.
-	next time.Time
-	// failures counts the rounds that failed in a row.
+	now     time.Time
+	effects []LeadEffect
+
+	elected       bool
+	highestBallot Ballot
+	proposal      *Propose
+	// recoveryNeeded is set when a rank is known to be unable to step or a round
+	// has failed past its commit point.
+	recoveryNeeded bool
+	// nextRoundAt is the earliest time at which the next round may start.
+	nextRoundAt time.Time
+	// failures counts consecutive failed rounds.
 	failures int
 	round    *leadRound
-	// maps holds encoded maps that the group may be brought to.
-	maps map[btbundle.Digest][]byte
+	// knownMaps holds encoded maps that a round may select, by digest.
+	knownMaps map[btbundle.Digest][]byte
 }
 
-// NewLead returns the lead of the given membership in this incarnation of its
-// agent. The random source spreads the rounds of leads that collide.
+// NewLead returns the lead of the group for this incarnation of its agent. The
+// random source jitters the backoff, so that competing leads don't collide again.
 func NewLead(self btid.Executor, members Members, settings Settings, check MapCheck, random *rand.Rand, assert *btassert.Asserter) *Lead {
 	return &Lead{
-		self:     self,
-		members:  members,
-		settings: settings,
-		check:    check,
-		random:   random,
-		assert:   assert,
-		maps:     make(map[btbundle.Digest][]byte),
+		self:      self,
+		members:   members,
+		settings:  settings,
+		check:     check,
+		random:    random,
+		assert:    assert,
+		knownMaps: make(map[btbundle.Digest][]byte),
 	}
 }
 
-// Step applies one event; see btcore.Machine.
+// Step applies one event and returns the effects to carry out; see btcore.Machine.
 func (l *Lead) Step(now time.Time, event LeadEvent) []LeadEffect {
-	l.out = nil
+	l.effects = nil
 	if now.After(l.now) {
 		l.now = now
 	}
@@ -67,184 +69,192 @@
 	case Configured:
 		l.configure(e.Members)
 	case Elected:
-		l.elect(e.Lead)
+		l.setElected(e.Lead)
 	case Propose:
 		l.proposal = &e
 	}
-	l.begin()
-	return l.out
+	l.startRound()
+	return l.effects
 }
 
-// elect starts or stops the starting of rounds. A proposal belongs to the term.
-func (l *Lead) elect(lead btid.Target) {
+// setElected records whether this agent is the elected lead. A pending proposal
+// belongs to the term and is dropped at its end.
+func (l *Lead) setElected(lead btid.Target) {
 	l.elected = lead == l.self.Target
 	if !l.elected {
 		l.proposal = nil
 	}
 }
 
-// configure ends a round of another membership, unless its map is taking
-// effect.
+// configure sets the membership. If the members changed, it fails the current
+// round, unless that is past its commit point or already aborting.
 func (l *Lead) configure(members Members) {
 	changed := members.Digest != l.members.Digest
 	l.members = members
-	if changed && l.round != nil && !l.round.effective() && !l.round.aborting {
-		l.fail(ReasonMembers, "")
+	if changed && l.round != nil && !l.round.pastCommitPoint() && !l.round.aborting {
+		l.failRound(ReasonMembers, "")
 	}
 }
 
 func (l *Lead) receive(m Message) {
 	switch {
 	case m.Promise != nil:
-		l.promised(*m.Promise)
+		l.handlePromise(*m.Promise)
 	case m.Ack != nil:
-		l.acked(*m.Ack)
+		l.handleAck(*m.Ack)
 	case m.Refusal != nil:
-		l.refused(*m.Refusal)
+		l.handleRefusal(*m.Refusal)
 	case m.Report != nil:
-		l.reported(*m.Report)
+		l.handleReport(*m.Report)
 	}
 }
 
-func (l *Lead) reported(r Report) {
+func (l *Lead) handleReport(r Report) {
 	if r.Group != l.members.Group || l.members.rank(r.From.Target) < 0 {
 		return
 	}
-	l.heard(r.Promised)
-	l.idle = true
-	if l.round != nil && l.interrupts(r) {
-		l.fail(ReasonIdle, r.From.Target)
+	l.observeBallot(r.Promised)
+	l.recoveryNeeded = true
+	if l.round != nil && l.endsStaging(r) {
+		l.failRound(ReasonIdle, r.From.Target)
 	}
 }
 
-// interrupts tells whether a report ends the round: while a running group's
-// ranks load a map, which may take minutes, one of them has ceased to step.
-func (l *Lead) interrupts(report Report) bool {
+// endsStaging reports whether a report of an idle rank must end the current round.
+// Staging may take minutes, and a running group must not stand still that long
+// after one of its ranks has stopped stepping.
+func (l *Lead) endsStaging(report Report) bool {
 	r := l.round
 	rank := r.members.rank(report.From.Target)
-	if rank < 0 || r.op() != Stage || !r.running {
+	if rank < 0 || r.op() != Stage || !r.groupRunning {
 		return false
 	}
 	known := r.ranks[rank].incarnation
 	return report.From.Incarnation > known || report.From.Incarnation == known && report.Promised == r.ballot
 }
 
-// heard remembers the highest ballot that anybody has promised.
-func (l *Lead) heard(b Ballot) {
-	if b.Compare(l.highest) > 0 {
-		l.highest = b
+// observeBallot records the highest ballot that any rank has promised.
+func (l *Lead) observeBallot(b Ballot) {
+	if b.Compare(l.highestBallot) > 0 {
+		l.highestBallot = b
 	}
 }
 
-// begin starts a round where one is needed and none is going on.
-func (l *Lead) begin() {
-	needed := l.idle || l.proposal != nil
-	if !l.elected || l.round != nil || !needed || l.now.Before(l.next) {
+// startRound starts a round if this agent is elected, a round is needed, none is
+// in progress and the backoff has passed.
+func (l *Lead) startRound() {
+	needed := l.recoveryNeeded || l.proposal != nil
+	if !l.elected || l.round != nil || !needed || l.now.Before(l.nextRoundAt) {
 		return
 	}
 	if l.members.rank(l.self.Target) < 0 {
 		return
 	}
-	ballot := Ballot{Number: l.highest.Number + 1, Lead: l.self}
-	l.highest = ballot
+	ballot := Ballot{Number: l.highestBallot.Number + 1, Lead: l.self}
+	l.highestBallot = ballot
 	l.round = newLeadRound(ballot, l.members, l.now)
-	l.round.cause = l.cause()
+	l.round.cause = l.roundCause()
 	l.sendPhase()
 }
 
 const causeIdle = "a rank can not step"
 
-func (l *Lead) cause() string {
-	if l.proposal != nil && !l.idle {
+func (l *Lead) roundCause() string {
+	if l.proposal != nil && !l.recoveryNeeded {
 		return l.proposal.Cause
 	}
 	return causeIdle
 }
 
-// prune forgets the maps that no rank of the round had in force.
-func (l *Lead) prune(r *leadRound) {
-	if r.encoded != nil {
-		l.maps[r.digest] = r.encoded
+// pruneMaps drops all maps but the round's own and those that its ranks had in
+// force.
+func (l *Lead) pruneMaps(r *leadRound) {
+	if r.encodedMap != nil {
+		l.knownMaps[r.mapDigest] = r.encodedMap
 	}
-	for _, d := range sortedDigests(l.maps) {
+	for _, d := range sortedDigests(l.knownMaps) {
 		used := slices.ContainsFunc(r.ranks, func(k rankState) bool { return k.state.InForce.Map == d })
-		if !used && d != r.digest {
-			delete(l.maps, d)
+		if !used && d != r.mapDigest {
+			delete(l.knownMaps, d)
 		}
 	}
 }
 
-// tick sends again what isn't answered and ends what takes too long.
+// tick fails a round whose phase has timed out and resends unanswered messages.
 func (l *Lead) tick() {
 	r := l.round
 	if r == nil {
 		return
 	}
-	if l.now.Sub(r.phaseAt) >= r.limit(l.settings) {
-		l.fail(ReasonTimeout, r.firstWaiting())
+	if l.now.Sub(r.phaseStartedAt) >= r.phaseTimeout(l.settings) {
+		l.failRound(ReasonTimeout, r.firstUnanswered())
 		return
 	}
-	if l.now.Sub(r.sentAt) >= r.retry {
-		r.retry = min(2*r.retry, maxRetryFactor*l.settings.RetryInterval)
+	if l.now.Sub(r.sentAt) >= r.retryInterval {
+		r.retryInterval = min(2*r.retryInterval, maxRetryFactor*l.settings.RetryInterval)
 		l.sendPhase()
 	}
 }
 
-// maxRetryFactor bounds the growth of the time between two repetitions.
+// maxRetryFactor bounds the resend interval, as a multiple of
+// Settings.RetryInterval.
 const maxRetryFactor = 16
 
-// fail gives up the round. Before the commit point the ranks are released on
-// the map they have, if that is one and the same; after it, a further round
-// brings all ranks to one map.
-func (l *Lead) fail(reason btrequest.Reason, rank btid.Target) {
+// failRound gives up the round. If that holds the ranks, it aborts, which releases
+// them on the map they have, provided that this is the same map on all of them.
+// Past the commit point, another round has to bring all ranks to one map.
+func (l *Lead) failRound(reason btrequest.Reason, rank btid.Target) {
 	r := l.round
 	if r.reason == "" {
 		r.reason = reason
-		r.culprit = rank
+		r.failedRank = rank
 	}
 	switch {
-	case r.effective():
-		l.idle = true
-		l.end(Unfinished)
-	case r.holding() && r.uniform && !r.aborting:
+	case r.pastCommitPoint():
+		l.recoveryNeeded = true
+		l.endRound(Unfinished)
+	case r.inHoldPhase() && r.sameAfterStage && !r.aborting:
 		r.aborting = true
-		l.enter(r.phase)
+		l.startPhase(r.phase)
 	default:
-		l.end(Aborted)
+		l.endRound(Aborted)
 	}
 }
 
-// end reports the round's outcome and sets the earliest time of the next.
-func (l *Lead) end(outcome Outcome) {
+// endRound emits the round's result and schedules the next round.
+func (l *Lead) endRound(outcome Outcome) {
 	r := l.round
 	l.round = nil
-	l.prune(r)
-	l.settle(r, outcome)
-	l.out = append(l.out, r.decided(l.now, outcome))
+	l.pruneMaps(r)
+	l.scheduleNextRound(r, outcome)
+	l.effects = append(l.effects, r.result(l.now, outcome))
 }
 
-// settle decides what remains to be done after the round.
-func (l *Lead) settle(r *leadRound, outcome Outcome) {
+// scheduleNextRound clears the round's proposal and sets the earliest start of the
+// next round. A first failure that is Unfinished causes no backoff, as the group
+// is held.
+func (l *Lead) scheduleNextRound(r *leadRound, outcome Outcome) {
 	if l.proposal == r.proposal {
 		l.proposal = nil
 	}
 	if outcome == Committed || outcome == Unneeded {
-		l.idle = false
+		l.recoveryNeeded = false
 		l.failures = 0
-		l.next = l.now
+		l.nextRoundAt = l.now
 		return
 	}
-	l.next = l.now
+	l.nextRoundAt = l.now
 	if outcome != Unfinished || l.failures > 0 {
-		l.next = l.now.Add(l.backoff())
+		l.nextRoundAt = l.now.Add(l.backoff())
 	}
 	l.failures++
 }
 
-// maxBackoffFactor bounds the growth of the wait between failed rounds.
+// maxBackoffFactor bounds the backoff, as a multiple of Settings.MeanBackoff.
 const maxBackoffFactor = 8
 
-// backoff is a random time of the set mean, doubled for each failure in a row.
+// backoff returns a random wait of 0.5 to 1.5 times the mean, which doubles with
+// each consecutive failure.
 func (l *Lead) backoff() time.Duration {
 	factor := min(1<<min(l.failures, maxBackoffFactor), maxBackoffFactor)
 	mean := l.settings.MeanBackoff * time.Duration(factor)
--- a/core/btswitch/lead_choose.go
+++ b/core/btswitch/lead_choose.go
@@ -9,32 +9,33 @@
 	"bilberrytide/core/btbundle"
 )
 
-// choose decides, once all ranks have promised, which map the round brings them
-// to. The choice is free as far as safety goes, since every rank is held before
-// any goes on; it prefers what costs least.
-func (l *Lead) choose() {
+// chooseMap selects the round's map once all ranks have promised. Any choice is
+// safe, since every rank is held before any continues; the preference is for the
+// cheapest.
+func (l *Lead) chooseMap() {
 	r := l.round
-	l.checkUnheld()
-	if l.settled() {
-		r.running = true
+	l.assertUnheldSingleMap()
+	if l.runsOneMap() {
+		r.groupRunning = true
 		l.chooseProposal()
 		return
 	}
-	l.idle = true
-	for _, digest := range l.candidates() {
-		encoded := l.maps[digest]
+	l.recoveryNeeded = true
+	for _, digest := range l.recoveryMaps() {
+		encoded := l.knownMaps[digest]
 		if l.usable(encoded) {
-			l.take(digest, encoded)
+			l.stageMap(digest, encoded)
 			return
 		}
 	}
 	r.reason = ReasonNoMap
-	l.out = append(l.out, MapNeeded{Group: r.members.Group})
-	l.end(Aborted)
+	l.effects = append(l.effects, MapNeeded{Group: r.members.Group})
+	l.endRound(Aborted)
 }
 
-// settled tells whether every rank runs on one agreed map.
-func (l *Lead) settled() bool {
+// runsOneMap reports whether no rank is held and all have the same agreed map of
+// the present members in force.
+func (l *Lead) runsOneMap() bool {
 	for _, k := range l.round.ranks {
 		if k.state.Held || k.state.InForce.Members != l.round.members.Digest {
 			return false
@@ -43,41 +44,42 @@
 	return l.round.sameInForce()
 }
 
-// chooseProposal brings a running group to the proposed map, if there is one.
+// chooseProposal selects the proposed map for a running group. It ends the round
+// if there is no proposal, it is in force already or it is invalid.
 func (l *Lead) chooseProposal() {
 	r := l.round
-	r.digest = r.ranks[0].state.InForce.Map
+	r.mapDigest = r.ranks[0].state.InForce.Map
 	if l.proposal == nil {
-		l.end(Unneeded)
+		l.endRound(Unneeded)
 		return
 	}
 	digest := btbundle.DigestOf(l.proposal.Map)
 	r.proposal = l.proposal
-	if digest == r.digest {
-		l.end(Unneeded)
+	if digest == r.mapDigest {
+		l.endRound(Unneeded)
 		return
 	}
-	r.digest = digest
+	r.mapDigest = digest
 	if !l.usable(l.proposal.Map) {
 		r.reason = ReasonMap
-		l.end(Aborted)
+		l.endRound(Aborted)
 		return
 	}
-	l.take(digest, l.proposal.Map)
+	l.stageMap(digest, l.proposal.Map)
 }
 
-// take starts staging the map.
-func (l *Lead) take(digest btbundle.Digest, encoded []byte) {
+// stageMap starts the round's first phase with the map.
+func (l *Lead) stageMap(digest btbundle.Digest, encoded []byte) {
 	r := l.round
-	r.digest = digest
-	r.encoded = encoded
+	r.mapDigest = digest
+	r.encodedMap = encoded
 	if l.proposal != nil && btbundle.DigestOf(l.proposal.Map) == digest {
 		r.proposal = l.proposal
 	}
 	if l.variant.releaseOnPromise && r.sameInForce() && r.proposal == nil {
 		r.aborting = true
 	}
-	l.enter(0)
+	l.startPhase(0)
 }
 
 func (l *Lead) usable(encoded []byte) bool {
@@ -87,23 +89,23 @@
 	return l.check == nil || l.check(l.round.members, encoded) == nil
 }
 
-// candidates lists the maps for a group that is held, best first: the one that
-// ranks still run on, those that rounds put in force, the proposal, and last the
-// engines' own initial ones.
-func (l *Lead) candidates() []btbundle.Digest {
+// recoveryMaps lists the candidate maps for a group that can't step, best first:
+// maps that ranks still run on, maps that earlier rounds put in force, the
+// proposal, and last the engines' initial maps.
+func (l *Lead) recoveryMaps() []btbundle.Digest {
 	var list []btbundle.Digest
-	list = append(list, l.inForce(func(s EngineState) bool { return !s.Held && s.InForce.Agreed() })...)
-	list = append(list, l.inForce(func(s EngineState) bool { return s.InForce.Agreed() })...)
+	list = append(list, l.mapsInForce(func(s EngineState) bool { return !s.Held && s.InForce.Agreed() })...)
+	list = append(list, l.mapsInForce(func(s EngineState) bool { return s.InForce.Agreed() })...)
 	if l.proposal != nil {
 		digest := btbundle.DigestOf(l.proposal.Map)
-		l.maps[digest] = l.proposal.Map
+		l.knownMaps[digest] = l.proposal.Map
 		list = append(list, digest)
 	}
-	return append(list, l.inForce(func(EngineState) bool { return true })...)
+	return append(list, l.mapsInForce(func(EngineState) bool { return true })...)
 }
 
-// inForce lists the maps in force at the matching ranks, the commonest first.
-func (l *Lead) inForce(match func(EngineState) bool) []btbundle.Digest {
+// mapsInForce lists the maps in force at the matching ranks, most common first.
+func (l *Lead) mapsInForce(match func(EngineState) bool) []btbundle.Digest {
 	counts := make(map[btbundle.Digest]int)
 	for _, k := range l.round.ranks {
 		if match(k.state) && !k.state.InForce.IsZero() {
@@ -115,8 +117,9 @@
 	return list
 }
 
-// checkUnheld asserts that the ranks that may step have one map in force.
-func (l *Lead) checkUnheld() {
+// assertUnheldSingleMap asserts that all ranks that may step have the same map in
+// force.
+func (l *Lead) assertUnheldSingleMap() {
 	r := l.round
 	var first *Version
 	for i, k := range r.ranks {
--- a/core/btswitch/lead_phase.go
+++ b/core/btswitch/lead_phase.go
@@ -5,36 +5,36 @@
 	"bilberrytide/core/btid"
 )
 
-// enter starts a phase: it is asked of every rank.
-func (l *Lead) enter(phase int) {
+// startPhase starts a phase and sends it to every rank.
+func (l *Lead) startPhase(phase int) {
 	r := l.round
 	r.phase = phase
-	r.phaseAt = l.now
+	r.phaseStartedAt = l.now
 	for i := range r.ranks {
 		r.ranks[i].answered = false
 	}
-	if r.holding() && r.holdAt.IsZero() {
-		r.holdAt = l.now
+	if r.inHoldPhase() && r.holdStartedAt.IsZero() {
+		r.holdStartedAt = l.now
 	}
 	l.sendPhase()
 }
 
-// sendPhase asks the current phase of every rank that hasn't answered.
+// sendPhase sends the current phase to every rank that hasn't answered.
 func (l *Lead) sendPhase() {
 	r := l.round
-	if r.sentAt.Before(r.phaseAt) || r.sentAt.IsZero() {
-		r.retry = l.settings.RetryInterval
+	if r.sentAt.Before(r.phaseStartedAt) || r.sentAt.IsZero() {
+		r.retryInterval = l.settings.RetryInterval
 	}
 	r.sentAt = l.now
 	for i, target := range r.members.Ranks {
 		if !r.ranks[i].answered {
-			l.out = append(l.out, Send{To: target, Message: l.message(i)})
+			l.effects = append(l.effects, Send{To: target, Message: l.phaseMessage(i)})
 		}
 	}
 }
 
-// message returns the current phase's message to the rank.
-func (l *Lead) message(rank int) Message {
+// phaseMessage returns the current phase's message to the rank.
+func (l *Lead) phaseMessage(rank int) Message {
 	r := l.round
 	header := Header{
 		Group:   r.members.Group,
@@ -46,31 +46,31 @@
 	}
 	if r.op() == "" {
 		header.To.Incarnation = 0
-		return Message{Prepare: &Prepare{Header: header, Known: l.known()}}
+		return Message{Prepare: &Prepare{Header: header, Known: l.knownDigests()}}
 	}
-	instruct := &Instruct{Header: header, Op: r.op(), Digest: r.digest}
+	instruct := &Instruct{Header: header, Op: r.op(), Digest: r.mapDigest}
 	switch {
 	case r.op() == Stage:
-		instruct.Map = r.encoded
-	case r.effective():
+		instruct.Map = r.encodedMap
+	case r.pastCommitPoint():
 		instruct.Proof = r.proof()
 	}
 	return Message{Instruct: instruct}
 }
 
-// known lists the maps that ranks need not send.
-func (l *Lead) known() []btbundle.Digest {
-	known := make([]btbundle.Digest, 0, len(l.maps))
-	for _, d := range sortedDigests(l.maps) {
-		if len(known) < maxKnown {
+// knownDigests lists the maps that ranks need not send, at most maxKnownMaps.
+func (l *Lead) knownDigests() []btbundle.Digest {
+	known := make([]btbundle.Digest, 0, len(l.knownMaps))
+	for _, d := range sortedDigests(l.knownMaps) {
+		if len(known) < maxKnownMaps {
 			known = append(known, d)
 		}
 	}
 	return known
 }
 
-// rankOf returns the rank that an answer of the current round is from, or -1
-// where it is from none.
+// rankOf returns the rank that sent an answer, or -1 if the answer isn't one to
+// the current round.
 func (l *Lead) rankOf(h Header) int {
 	if l.round == nil || h.Ballot != l.round.ballot || h.To != l.self {
 		return -1
@@ -78,9 +78,9 @@
 	return l.round.members.rank(h.From.Target)
 }
 
-// promised takes a rank's promise. A rank that promises in a second incarnation
-// has restarted during the round.
-func (l *Lead) promised(p Promise) {
+// handlePromise records a rank's promise. A promise by a newer incarnation shows
+// that the rank's agent restarted during the round.
+func (l *Lead) handlePromise(p Promise) {
 	rank := l.rankOf(p.Header)
 	if rank < 0 || p.Header.Members != l.round.members.Digest {
 		return
@@ -92,35 +92,36 @@
 	case known != 0 && fresh < known, known == fresh && r.ranks[rank].answered:
 		return
 	case known != 0 && fresh > known:
-		l.restarted(p.Header.From.Target)
+		l.handleRestart(p.Header.From.Target)
 		return
-	case r.phase != preparing:
+	case r.phase != preparePhase:
 		return
 	}
 	r.ranks[rank] = rankState{incarnation: fresh, state: p.State, answered: true}
 	r.stepTime = max(r.stepTime, p.State.StepTime)
-	l.learn(p)
-	if r.complete() {
-		l.choose()
+	l.storeMap(p)
+	if r.allAnswered() {
+		l.chooseMap()
 	}
 }
 
-// restarted ends a round in which one agent restarted.
-func (l *Lead) restarted(target btid.Target) {
+// handleRestart fails the round after an agent restarted, unless the round is
+// aborting already.
+func (l *Lead) handleRestart(target btid.Target) {
 	if !l.round.aborting {
-		l.fail(ReasonRestarted, target)
+		l.failRound(ReasonRestarted, target)
 	}
 }
 
-func (l *Lead) learn(p Promise) {
+func (l *Lead) storeMap(p Promise) {
 	if len(p.Map) > 0 {
-		l.maps[p.State.InForce.Map] = p.Map
+		l.knownMaps[p.State.InForce.Map] = p.Map
 	}
 }
 
-// acked takes a rank's acknowledgement of the current phase, and goes on when
-// all are.
-func (l *Lead) acked(a Ack) {
+// handleAck records a rank's acknowledgement of the current phase and completes
+// the phase once all ranks have acknowledged it.
+func (l *Lead) handleAck(a Ack) {
 	rank := l.rankOf(a.Header)
 	if rank < 0 || a.Op != l.round.op() || l.round.ranks[rank].answered {
 		return
@@ -131,32 +132,33 @@
 	}
 	r.ranks[rank].state = a.State
 	r.ranks[rank].answered = true
-	if r.complete() {
-		l.advance()
+	if r.allAnswered() {
+		l.completePhase()
 	}
 }
 
-// advance goes on to the phase after the current one.
-func (l *Lead) advance() {
+// completePhase starts the next phase or, after the last, ends the round.
+func (l *Lead) completePhase() {
 	r := l.round
 	switch {
 	case r.aborting:
-		l.end(Aborted)
-	case r.phase == len(r.plan)-1:
-		l.end(Committed)
+		l.endRound(Aborted)
+	case r.phase == len(r.phases)-1:
+		l.endRound(Committed)
 	case r.op() == Stage:
-		r.uniform = r.sameInForce()
-		l.enter(r.phase + 1)
+		r.sameAfterStage = r.sameInForce()
+		l.startPhase(r.phase + 1)
 	case l.assert.That(r.allHeld(), CommitAfterAllArmed, "%v: not all ranks are held after %s", r.ballot, r.op()):
-		l.enter(r.phase + 1)
+		l.startPhase(r.phase + 1)
 	default:
-		l.fail(ReasonProof, "")
+		l.failRound(ReasonProof, "")
 	}
 }
 
-// refused takes a rank's refusal, which ends the round.
-func (l *Lead) refused(f Refusal) {
-	l.heard(f.Promised)
+// handleRefusal fails the round, unless the refusal is by an earlier incarnation
+// of the rank. While aborting, a refusal counts as an answer.
+func (l *Lead) handleRefusal(f Refusal) {
+	l.observeBallot(f.Promised)
 	rank := l.rankOf(f.Header)
 	if rank < 0 || f.Op != l.round.op() {
 		return
@@ -164,13 +166,13 @@
 	r := l.round
 	if r.aborting {
 		r.ranks[rank].answered = true
-		if r.complete() {
-			l.end(Aborted)
+		if r.allAnswered() {
+			l.endRound(Aborted)
 		}
 		return
 	}
 	stale := r.ranks[rank].incarnation != 0 && f.Header.From.Incarnation < r.ranks[rank].incarnation
 	if !stale {
-		l.fail(f.Reason, f.Header.From.Target)
+		l.failRound(f.Reason, f.Header.From.Target)
 	}
 }
--- a/core/btswitch/lead_round.go
+++ b/core/btswitch/lead_round.go
@@ -8,79 +8,79 @@
 	"bilberrytide/core/btrequest"
 )
 
-// preparing is the phase before the first of the plan.
-const preparing = -1
+// preparePhase is the phase before the first one in leadRound.phases.
+const preparePhase = -1
 
-// rankState is what a lead knows of one rank in a round.
+// rankState is what the lead knows of a rank in a round.
 type rankState struct {
-	// incarnation is the one that promised; zero before.
+	// incarnation is the one that promised; zero until then.
 	incarnation btid.Incarnation
 	state       EngineState
-	// answered tells that the rank is through with the current phase.
+	// answered is set once the rank has completed the current phase.
 	answered bool
 }
 
-// leadRound is one round from the lead's side.
+// leadRound is the lead's state of one round.
 type leadRound struct {
 	ballot  Ballot
 	members Members
 	cause   string
-	plan    []Op
+	phases  []Op
 	phase   int
 	ranks   []rankState
 
-	digest  btbundle.Digest
-	encoded []byte
+	mapDigest  btbundle.Digest
+	encodedMap []byte
 	// proposal is the one that the round carries out; nil for none.
 	proposal *Propose
-	// running tells that the group could step when all had promised.
-	running bool
-	// uniform tells that all ranks had one agreed map in force once all had
-	// staged, so that each may be released on it.
-	uniform  bool
-	aborting bool
-	reason   btrequest.Reason
-	culprit  btid.Target
-
-	started  time.Time
-	holdAt   time.Time
-	phaseAt  time.Time
-	sentAt   time.Time
-	retry    time.Duration
-	stepTime time.Duration
+	// groupRunning is set if the group could step when all ranks had promised.
+	groupRunning bool
+	// sameAfterStage is set if all ranks had the same agreed map in force after
+	// staging, so that an abort may release them on it.
+	sameAfterStage bool
+	aborting       bool
+	reason         btrequest.Reason
+	failedRank     btid.Target
+
+	startedAt      time.Time
+	holdStartedAt  time.Time
+	phaseStartedAt time.Time
+	sentAt         time.Time
+	retryInterval  time.Duration
+	stepTime       time.Duration
 }
 
 func newLeadRound(ballot Ballot, members Members, now time.Time) *leadRound {
 	return &leadRound{
-		ballot:  ballot,
-		members: members,
-		plan:    members.plan(),
-		phase:   preparing,
-		ranks:   make([]rankState, len(members.Ranks)),
-		started: now,
-		phaseAt: now,
+		ballot:         ballot,
+		members:        members,
+		phases:         members.phases(),
+		phase:          preparePhase,
+		ranks:          make([]rankState, len(members.Ranks)),
+		startedAt:      now,
+		phaseStartedAt: now,
 	}
 }
 
-// op returns the order of the current phase; empty while preparing.
+// op returns the order of the current phase, empty while preparing.
 func (r *leadRound) op() Op {
 	switch {
 	case r.aborting:
 		return Abort
-	case r.phase == preparing:
+	case r.phase == preparePhase:
 		return ""
 	}
-	return r.plan[r.phase]
+	return r.phases[r.phase]
 }
 
-// effective tells whether the round is past its commit point.
-func (r *leadRound) effective() bool { return r.op().effective() }
+// pastCommitPoint reports whether the round's map may be in force at some rank.
+func (r *leadRound) pastCommitPoint() bool { return r.op().takesEffect() }
 
-// holding tells whether the current phase holds the ranks.
-func (r *leadRound) holding() bool { return r.op() == Arm || r.op() == Pause }
+// inHoldPhase reports whether the current phase holds the ranks.
+func (r *leadRound) inHoldPhase() bool { return r.op() == Arm || r.op() == Pause }
 
-// limit returns how long the current phase may take.
-func (r *leadRound) limit(s Settings) time.Duration {
+// phaseTimeout returns the time limit of the current phase.
+func (r *leadRound) phaseTimeout(s Settings) time.Duration {
 	switch r.op() {
 	case "":
 		return s.PrepareTimeout
@@ -92,7 +92,7 @@
 	return s.FinishTimeout
 }
 
-func (r *leadRound) complete() bool {
+func (r *leadRound) allAnswered() bool {
 	for _, k := range r.ranks {
 		if !k.answered {
 			return false
@@ -101,8 +101,9 @@
 	return true
 }
 
-// firstWaiting returns the first rank that the current phase waits for.
-func (r *leadRound) firstWaiting() btid.Target {
+// firstUnanswered returns the first rank that hasn't answered the current phase,
+// empty if all have.
+func (r *leadRound) firstUnanswered() btid.Target {
 	for i, k := range r.ranks {
 		if !k.answered {
 			return r.members.Ranks[i]
@@ -111,7 +112,7 @@
 	return ""
 }
 
-// proof lists the incarnations that take part, by rank.
+// proof lists the participating incarnations by rank.
 func (r *leadRound) proof() []btid.Incarnation {
 	proof := make([]btid.Incarnation, len(r.ranks))
 	for i, k := range r.ranks {
@@ -120,10 +121,10 @@
 	return proof
 }
 
-// allHeld tells whether every rank last reported that it is held with the
-// round's version, staged or in force.
+// allHeld reports whether every rank has acknowledged that it is held with the
+// round's version staged or in force.
 func (r *leadRound) allHeld() bool {
-	version := Version{Map: r.digest, Members: r.members.Digest, Ballot: r.ballot}
+	version := Version{Map: r.mapDigest, Members: r.members.Digest, Ballot: r.ballot}
 	for _, k := range r.ranks {
 		mine := k.state.Staged == version || k.state.InForce == version
 		if !k.answered || !k.state.Held || !mine {
@@ -133,7 +134,7 @@
 	return true
 }
 
-// sameInForce tells whether all ranks have one agreed map in force.
+// sameInForce reports whether all ranks have the same agreed map in force.
 func (r *leadRound) sameInForce() bool {
 	for _, k := range r.ranks {
 		if !k.state.InForce.Agreed() || !k.state.InForce.SameMap(r.ranks[0].state.InForce) {
@@ -143,21 +144,21 @@
 	return true
 }
 
-func (r *leadRound) decided(now time.Time, outcome Outcome) RoundResult {
+func (r *leadRound) result(now time.Time, outcome Outcome) RoundResult {
 	d := RoundResult{
 		Group:    r.members.Group,
 		Ballot:   r.ballot,
-		Map:      r.digest,
+		Map:      r.mapDigest,
 		Outcome:  outcome,
 		Cause:    r.cause,
 		Reason:   r.reason,
-		Rank:     r.culprit,
-		Duration: now.Sub(r.started),
+		Rank:     r.failedRank,
+		Duration: now.Sub(r.startedAt),
 	}
-	if r.holdAt.IsZero() {
+	if r.holdStartedAt.IsZero() {
 		return d
 	}
-	d.HoldDuration = now.Sub(r.holdAt)
+	d.HoldDuration = now.Sub(r.holdStartedAt)
 	if r.stepTime > 0 {
 		d.StepsStalled = int(d.HoldDuration / r.stepTime)
 	}
--- a/core/btswitch/lead_test.go
+++ b/core/btswitch/lead_test.go
@@ -13,9 +13,9 @@
 	"bilberrytide/core/btswitch"
 )
 
-// leadAlone proposes a map to the lead of two ranks, answers each message that
-// it sends, and returns what it asked of the ranks.
-func leadAlone(t *testing.T, answer func(to btid.Target, i *btswitch.Instruct) btswitch.Message) []btswitch.Op {
+// runLead proposes a map to the lead of two ranks, answers each message that it
+// sends, and returns the orders that it asked for.
+func runLead(t *testing.T, answer func(to btid.Target, i *btswitch.Instruct) btswitch.Message) []btswitch.Op {
 	t.Helper()
 	self := btid.Executor{Target: "t00", Incarnation: 5_000}
 	members := twoRanks(t)
@@ -23,18 +23,18 @@
 	now := time.Unix(1, 0)
 	lead.Step(now, btswitch.Propose{Map: []byte("new")})
 	queue := lead.Step(now, btswitch.Elected{Lead: "t00"})
-	var asked []btswitch.Op
+	var orders []btswitch.Op
 	for ; len(queue) > 0; queue = queue[1:] {
 		send, ok := queue[0].(btswitch.Send)
 		if !ok {
 			continue
 		}
 		if i := send.Message.Instruct; i != nil {
-			asked = append(asked, i.Op)
+			orders = append(orders, i.Op)
 		}
 		queue = append(queue, lead.Step(now, btswitch.Received{Message: answer(send.To, send.Message.Instruct)})...)
 	}
-	return asked
+	return orders
 }
 
 func twoRanks(t *testing.T) btswitch.Members {
@@ -44,15 +44,16 @@
 	return members
 }
 
-// TestNoReleaseAfterALateCommit: an earlier round's commit lands at one rank
-// after its promise; the failed round must not release the other on its old map.
-func TestNoReleaseAfterALateCommit(t *testing.T) {
+// A commit of an earlier round may reach a rank after the rank's promise. A round
+// that then fails must not release the other rank on its old map, as the group
+// would run on two maps.
+func TestNoAbortAfterDelayedCommit(t *testing.T) {
 	members := twoRanks(t)
 	version := func(name string, number uint64) btswitch.Version {
 		return btswitch.Version{Map: btbundle.DigestOf([]byte(name)), Members: members.Digest, Ballot: header(members, number).Ballot}
 	}
 	for _, late := range []bool{false, true} {
-		asked := leadAlone(t, func(to btid.Target, i *btswitch.Instruct) btswitch.Message {
+		asked := runLead(t, func(to btid.Target, i *btswitch.Instruct) btswitch.Message {
 			h := header(members, 1)
 			h.From.Target = to
 			state := btswitch.EngineState{InForce: version("old", 1)}
--- a/core/btswitch/member.go
+++ b/core/btswitch/member.go
@@ -10,13 +10,13 @@
 	"bilberrytide/core/btrequest"
 )
 
-// MapCheck reports an encoded map that doesn't fit the group's membership. It
-// must be a pure function.
+// MapCheck returns an error for an encoded map that doesn't fit the group's
+// membership. It must be a pure function.
 type MapCheck func(members Members, encoded []byte) error
 
-// Member carries out rounds at one engine. It is the only giver of orders to
-// that engine, one at a time, and remembers nothing over a restart: what it
-// needs it reads from the engine.
+// Member carries out rounds at one engine. All orders to that engine come from
+// it, one at a time. It keeps no state across restarts: it reads what it needs
+// from the engine.
 type Member struct {
 	self     btid.Executor
 	members  Members
@@ -25,52 +25,54 @@
 	assert   *btassert.Asserter
 	variant  variant
 
-	now time.Time
-	out []MemberEffect
+	now     time.Time
+	effects []MemberEffect
 
 	lead     btid.Target
 	promised Ballot
 	round    *memberRound
 
-	engine     EngineState
-	engineMap  []byte
-	fresh      bool
-	call       *call
-	fencing    uint64
-	reads      uint64
-	quietUntil time.Time
+	engine         EngineState
+	engineMap      []byte
+	engineFresh    bool
+	call           *call
+	lastFencing    uint64
+	lastReadNumber uint64
+	nextCallAt     time.Time
 
-	lastRead   time.Time
-	lastWord   time.Time
-	idleSince  time.Time
-	lastReport time.Time
+	lastReadAt    time.Time
+	lastMessageAt time.Time
+	idleSince     time.Time
+	lastReportAt  time.Time
 }
 
-// variant turns off parts of the protocol, for the tests that show why they are
+// variant disables parts of the protocol in the tests that show why they are
 // needed. It is zero in production.
 type variant struct {
-	// ballotAlone accepts messages by ballot, without promise or incarnation.
+	// ballotAlone accepts messages by their ballot, without checking for a promise
+	// or the incarnation.
 	ballotAlone bool
 	// releaseOnPromise ends a hold as soon as no promise shows a commit.
 	releaseOnPromise bool
 }
 
-// call is the one open call to the engine.
+// call is the open call to the engine.
 type call struct {
 	// fencing is the order's number, zero for a read.
 	fencing uint64
 	// number is the read's number, zero for an order.
-	number  uint64
-	op      Op
-	withMap bool
-	since   time.Time
-	round   *memberRound
-	// outdated tells that the process was paused since.
-	outdated bool
+	number   uint64
+	op       Op
+	withMap  bool
+	openedAt time.Time
+	round    *memberRound
+	// invalidated is set if the process was paused after the call was made, so
+	// that a state in the answer may be out of date.
+	invalidated bool
 }
 
-// NewMember returns the member of the given membership in this incarnation of
-// its agent. It acts from the first event on.
+// NewMember returns the member of the group for this incarnation of its agent. It
+// makes no call before its first event.
 func NewMember(self btid.Executor, members Members, settings Settings, check MapCheck, assert *btassert.Asserter) *Member {
 	return &Member{
 		self:     self,
@@ -81,17 +83,18 @@
 	}
 }
 
-// Promised returns the highest ballot that the member knows of.
+// Promised returns the highest ballot that the member has promised or found in
+// its engine's state.
 func (m *Member) Promised() Ballot { return m.promised }
 
-// LastEngineState returns the engine's state as last read, and when; the zero time where
-// it was never read.
-func (m *Member) LastEngineState() (EngineState, time.Time) { return m.engine, m.lastRead }
+// LastEngineState returns the engine's state as last read and the time of that
+// read, which is zero if there was none.
+func (m *Member) LastEngineState() (EngineState, time.Time) { return m.engine, m.lastReadAt }
 
-// Step applies one event; see btcore.Machine.
+// Step applies one event and returns the effects to carry out; see btcore.Machine.
 func (m *Member) Step(now time.Time, event MemberEvent) []MemberEffect {
-	m.out = nil
-	m.passTime(now)
+	m.effects = nil
+	m.advanceClock(now)
 	switch e := event.(type) {
 	case Tick:
 		m.expireCall()
@@ -102,28 +105,28 @@
 	case Elected:
 		m.lead = e.Lead
 	case OrderDone:
-		m.orderDone(e)
+		m.handleOrderDone(e)
 	case OrderFailed:
-		m.orderFailed(e.Fencing)
+		m.handleOrderFailed(e.Fencing)
 	case OrderRefused:
-		m.orderRefused(e)
+		m.handleOrderRefused(e)
 	case EngineRead:
-		m.engineRead(e)
+		m.handleEngineRead(e)
 	case ReadFailed:
-		m.readFailed(e.Number)
+		m.handleReadFailed(e.Number)
 	}
-	m.advance()
+	m.callEngine()
 	m.reportIdle()
-	return m.out
+	return m.effects
 }
 
-// passTime notices a pause of the process: what was read before it no longer
-// counts.
-func (m *Member) passTime(now time.Time) {
+// advanceClock sets the time. A gap above Settings.PauseThreshold shows that the
+// process was paused, so that the engine has to be read again.
+func (m *Member) advanceClock(now time.Time) {
 	first := m.now.IsZero()
 	if first {
 		m.now = now
-		m.quietUntil = now.Add(m.settings.SettleDelay)
+		m.nextCallAt = now.Add(m.settings.SettleDelay)
 		return
 	}
 	if now.Before(m.now) {
@@ -134,33 +137,35 @@
 	if gap <= m.settings.PauseThreshold {
 		return
 	}
-	m.fresh = false
-	m.outdateCall()
-	m.note(ReasonPaused, fmt.Sprintf("paused for %v", gap))
+	m.engineFresh = false
+	m.invalidateCall()
+	m.addDiagnostic(ReasonPaused, fmt.Sprintf("paused for %v", gap))
 }
 
-// outdateCall makes the answer to the open call count for no state.
-func (m *Member) outdateCall() {
+// invalidateCall drops an open read and marks an open order, so that the state in
+// its answer isn't used.
+func (m *Member) invalidateCall() {
 	switch {
 	case m.call == nil:
 	case m.call.number != 0:
 		m.call = nil
 	default:
-		m.call.outdated = true
+		m.call.invalidated = true
 	}
 }
 
 func (m *Member) receive(message Message) {
 	switch {
 	case message.Prepare != nil:
-		m.prepare(*message.Prepare)
+		m.handlePrepare(*message.Prepare)
 	case message.Instruct != nil:
-		m.instruct(*message.Instruct)
+		m.handleInstruct(*message.Instruct)
 	}
 }
 
-// prepare promises a ballot that is higher than all known ones.
-func (m *Member) prepare(p Prepare) {
+// handlePrepare promises a ballot that is higher than all known ones and answers
+// a repeated Prepare again.
+func (m *Member) handlePrepare(p Prepare) {
 	h := p.Header
 	order := h.Ballot.Compare(m.promised)
 	repeated := order == 0 && m.round != nil && m.round.ballot == h.Ballot
@@ -174,64 +179,65 @@
 		m.refuse(h, "", ReasonBallot, h.Ballot.String())
 		return
 	case !repeated:
-		m.promise(h)
+		m.joinRound(h)
 	}
-	m.round.known = p.Known
-	m.round.answer = true
-	m.lastWord = m.now
+	m.round.leadMaps = p.Known
+	m.round.promiseDue = true
+	m.lastMessageAt = m.now
 }
 
-func (m *Member) promise(h Header) {
-	m.raise(h.Ballot)
+func (m *Member) joinRound(h Header) {
+	m.raisePromised(h.Ballot)
 	m.round = newMemberRound(h, m.members)
 }
 
-// raise sets the promised ballot, which never falls.
-func (m *Member) raise(b Ballot) {
-	if m.assert.That(b.Compare(m.promised) >= 0, BallotMonotonic, "%v promised, then %v", m.promised, b) {
+// raisePromised sets the promised ballot, which never falls.
+func (m *Member) raisePromised(b Ballot) {
+	if m.assert.That(b.Compare(m.promised) >= 0, BallotMonotonic, "promised ballot would change from %v to %v", m.promised, b) {
 		m.promised = b
 	}
 }
 
-// advance makes the next call to the engine, if none is open.
-func (m *Member) advance() {
-	if m.call != nil || m.now.Before(m.quietUntil) {
+// callEngine makes the next call to the engine, unless one is open or the wait
+// after the last isn't over.
+func (m *Member) callEngine() {
+	if m.call != nil || m.now.Before(m.nextCallAt) {
 		return
 	}
 	r := m.round
 	switch {
-	case r != nil && r.answer:
-		m.read(true)
-	case r != nil && r.verify != "", !m.fresh:
-		m.read(false)
+	case r != nil && r.promiseDue:
+		m.readEngine(true)
+	case r != nil && r.unverified != "", !m.engineFresh:
+		m.readEngine(false)
 	case r != nil && r.task != nil:
-		m.order(r)
-	case m.now.Sub(m.lastRead) >= m.settings.PollInterval:
-		m.read(false)
+		m.orderEngine(r)
+	case m.now.Sub(m.lastReadAt) >= m.settings.PollInterval:
+		m.readEngine(false)
 	}
 }
 
-func (m *Member) read(withMap bool) {
-	m.reads++
-	m.open(&call{number: m.reads, withMap: withMap, since: m.now, round: m.round})
-	m.out = append(m.out, Read{Number: m.reads, Map: withMap})
+func (m *Member) readEngine(withMap bool) {
+	m.lastReadNumber++
+	m.openCall(&call{number: m.lastReadNumber, withMap: withMap, openedAt: m.now, round: m.round})
+	m.effects = append(m.effects, Read{Number: m.lastReadNumber, Map: withMap})
 }
 
-func (m *Member) open(c *call) {
-	m.assert.That(m.call == nil, OneOrderInFlight, "%s opens a second call", m.self)
+func (m *Member) openCall(c *call) {
+	m.assert.That(m.call == nil, OneOrderInFlight, "%s has an open engine call already", m.self)
 	m.call = c
 }
 
-// reportIdle tells the lead of an engine that can't step and isn't in a round:
-// it is held, or its map is for other ranks than the group's present ones.
+// reportIdle tells the lead of an engine that can't step and isn't in a round: it
+// is held, or its map is for other members than the group's present ones.
 func (m *Member) reportIdle() {
 	limit := m.settings.IdleTimeout
-	quiet := m.now.Sub(m.lastWord) >= limit && m.now.Sub(m.lastReport) >= limit
+	quiet := m.now.Sub(m.lastMessageAt) >= limit && m.now.Sub(m.lastReportAt) >= limit
 	idle := !m.idleSince.IsZero() && m.now.Sub(m.idleSince) >= limit
 	if !idle || !quiet || m.lead == "" || m.members.rank(m.self.Target) < 0 {
 		return
 	}
-	m.lastReport = m.now
+	m.lastReportAt = m.now
 	m.send(m.lead, Message{Report: &Report{
 		Group:    m.members.Group,
 		Members:  m.members.Digest,
@@ -242,42 +248,43 @@
 	}})
 }
 
-// observe takes in what the engine says of itself. A higher ballot there than
-// any promised shows that another incarnation of this agent has promised it.
-func (m *Member) observe(state EngineState) {
+// observeState records a state that the engine reported. If it names a higher
+// ballot than the promised one, another incarnation of this agent has promised
+// that ballot and the member's round is over.
+func (m *Member) observeState(state EngineState) {
 	if !state.Held && state.InForce.Members == m.members.Digest {
 		m.idleSince = time.Time{}
 	} else if m.idleSince.IsZero() {
 		m.idleSince = m.now
 	}
 	m.engine = state
-	m.fresh = true
-	m.lastRead = m.now
-	m.fencing = max(m.fencing, state.Fencing)
+	m.engineFresh = true
+	m.lastReadAt = m.now
+	m.lastFencing = max(m.lastFencing, state.Fencing)
 	if m.variant.ballotAlone {
 		return
 	}
 	for _, v := range []Version{state.InForce, state.Staged, state.Loading} {
 		if v.Ballot.Compare(m.promised) > 0 {
-			m.raise(v.Ballot)
+			m.raisePromised(v.Ballot)
 			m.round = nil
 		}
 	}
 }
 
-// refuse answers a message with the reason for which it is not followed.
+// refuse answers a message with the reason why it is refused.
 func (m *Member) refuse(h Header, op Op, reason btrequest.Reason, detail string) {
-	m.note(reason, detail)
+	m.addDiagnostic(reason, detail)
 	m.send(h.From.Target, Message{Refusal: &Refusal{
-		Header:   m.reply(h),
+		Header:   m.replyHeader(h),
 		Op:       op,
 		Reason:   reason,
 		Promised: m.promised,
 	}})
 }
 
-// reply returns the header of an answer.
-func (m *Member) reply(h Header) Header {
+// replyHeader returns the header of an answer to the header's sender.
+func (m *Member) replyHeader(h Header) Header {
 	h.To = h.From
 	h.From = m.self
 	h.Bundle = m.members.Bundle
@@ -285,15 +292,16 @@
 }
 
 func (m *Member) send(to btid.Target, message Message) {
-	m.out = append(m.out, Send{To: to, Message: message})
+	m.effects = append(m.effects, Send{To: to, Message: message})
 }
 
-func (m *Member) note(reason btrequest.Reason, detail string) {
-	m.out = append(m.out, Diagnostic{Reason: reason, Detail: detail})
+func (m *Member) addDiagnostic(reason btrequest.Reason, detail string) {
+	m.effects = append(m.effects, Diagnostic{Reason: reason, Detail: detail})
 }
 
-// mapOf returns the encoded map in force for a lead that doesn't know it.
-func (m *Member) mapOf(known []btbundle.Digest) []byte {
+// mapUnlessKnown returns the encoded map in force unless the lead has it, and nil if
+// the member doesn't have it either.
+func (m *Member) mapUnlessKnown(known []btbundle.Digest) []byte {
 	for _, d := range known {
 		if d == m.engine.InForce.Map {
 			return nil
--- a/core/btswitch/member_engine.go
+++ b/core/btswitch/member_engine.go
@@ -6,19 +6,19 @@
 	"bilberrytide/core/btrequest"
 )
 
-// takeOrder returns and closes the open order with the number; nil where the
-// answer is for none.
-func (m *Member) takeOrder(fencing uint64) *call {
+// closeOrder closes and returns the open order with the fencing number, or nil if
+// that isn't open. The engine's state as read before is then out of date.
+func (m *Member) closeOrder(fencing uint64) *call {
 	c := m.call
 	if c == nil || c.fencing == 0 || c.fencing != fencing {
 		return nil
 	}
 	m.call = nil
-	m.fresh = false
+	m.engineFresh = false
 	return c
 }
 
-func (m *Member) takeRead(number uint64) *call {
+func (m *Member) closeRead(number uint64) *call {
 	c := m.call
 	if c == nil || c.number == 0 || c.number != number {
 		return nil
@@ -27,75 +27,75 @@
 	return c
 }
 
-// orderDone judges the order by the engine's state after it, which it has read
-// unless the answer told it.
-func (m *Member) orderDone(e OrderDone) {
-	c := m.takeOrder(e.Fencing)
+// handleOrderDone verifies the order by the state in the answer or, if there is
+// none, by the next read.
+func (m *Member) handleOrderDone(e OrderDone) {
+	c := m.closeOrder(e.Fencing)
 	if c == nil {
 		return
 	}
-	m.verify(c)
-	if e.State == nil || c.outdated {
+	m.scheduleVerify(c)
+	if e.State == nil || c.invalidated {
 		return
 	}
-	m.observe(*e.State)
+	m.observeState(*e.State)
 	if r := m.round; r != nil && r == c.round {
-		m.verified(r)
+		m.verifyOrder(r)
 	}
 }
 
-// orderFailed ends the round here if the order holds the engine or stages: only
-// so does each version's Stage stand alone in flight. Other orders may be given
-// again.
-func (m *Member) orderFailed(fencing uint64) {
-	c := m.takeOrder(fencing)
+// handleOrderFailed fails the round at this member if the order must not be
+// repeated: at most one Stage of a version may be in flight. The effect of other
+// orders is read back, and they may be given again.
+func (m *Member) handleOrderFailed(fencing uint64) {
+	c := m.closeOrder(fencing)
 	if c == nil {
 		return
 	}
-	m.quietUntil = m.now.Add(m.settings.SettleDelay)
-	m.unfulfilled(c, ReasonOrderUnknown)
+	m.nextCallAt = m.now.Add(m.settings.SettleDelay)
+	m.orderUnconfirmed(c, ReasonOrderUnknown)
 }
 
-func (m *Member) orderRefused(e OrderRefused) {
-	c := m.takeOrder(e.Fencing)
+func (m *Member) handleOrderRefused(e OrderRefused) {
+	c := m.closeOrder(e.Fencing)
 	if c == nil {
 		return
 	}
 	reason := ReasonEngineDiffers
 	if e.LastFencing >= e.Fencing {
 		reason = ReasonFenced
-		m.fencing = max(m.fencing, e.LastFencing)
+		m.lastFencing = max(m.lastFencing, e.LastFencing)
 	}
-	m.unfulfilled(c, reason)
+	m.orderUnconfirmed(c, reason)
 }
 
-// unfulfilled handles an order that wasn't, or may not have been, carried out.
-func (m *Member) unfulfilled(c *call, reason btrequest.Reason) {
+// orderUnconfirmed handles an order that was refused or whose outcome is unknown.
+func (m *Member) orderUnconfirmed(c *call, reason btrequest.Reason) {
 	if c.round != m.round {
 		return
 	}
-	if once(c.op) {
-		m.fail(c.round, c.op, reason)
+	if givenOnce(c.op) {
+		m.failTask(c.round, c.op, reason)
 		return
 	}
-	m.note(reason, string(c.op))
-	m.verify(c)
+	m.addDiagnostic(reason, string(c.op))
+	m.scheduleVerify(c)
 }
 
-func (m *Member) fail(r *memberRound, op Op, reason btrequest.Reason) {
-	r.drop(op)
-	r.verify = ""
-	r.failed = reason
+func (m *Member) failTask(r *memberRound, op Op, reason btrequest.Reason) {
+	r.dropTask(op)
+	r.unverified = ""
+	r.failure = reason
 	m.refuse(r.header, op, reason, string(op)+" at the engine")
 }
 
-func (m *Member) verify(c *call) {
+func (m *Member) scheduleVerify(c *call) {
 	if c.round == m.round {
-		c.round.verify = c.op
+		c.round.unverified = c.op
 	}
 }
 
-// expireCall gives up a call that was never answered.
+// expireCall gives up a call that wasn't answered within its timeout.
 func (m *Member) expireCall() {
 	if m.call == nil {
 		return
@@ -104,94 +104,95 @@
 	if m.call.op == Stage {
 		limit = m.settings.StageTimeout
 	}
-	if m.now.Sub(m.call.since) < limit {
+	if m.now.Sub(m.call.openedAt) < limit {
 		return
 	}
 	if m.call.fencing != 0 {
-		m.orderFailed(m.call.fencing)
+		m.handleOrderFailed(m.call.fencing)
 		return
 	}
 	m.call = nil
 }
 
-// readFailed waits for the next poll or message before it reads again.
-func (m *Member) readFailed(number uint64) {
-	if m.takeRead(number) != nil {
-		m.quietUntil = m.now.Add(m.settings.RetryInterval)
+// handleReadFailed delays the next call by Settings.RetryInterval.
+func (m *Member) handleReadFailed(number uint64) {
+	if m.closeRead(number) != nil {
+		m.nextCallAt = m.now.Add(m.settings.RetryInterval)
 	}
 }
 
-func (m *Member) engineRead(e EngineRead) {
-	c := m.takeRead(e.Number)
+func (m *Member) handleEngineRead(e EngineRead) {
+	c := m.closeRead(e.Number)
 	if c == nil {
 		return
 	}
 	if c.withMap {
 		m.engineMap = e.Map
 	}
-	m.observe(e.State)
+	m.observeState(e.State)
 	r := m.round
 	if r == nil || c.round != r {
 		return
 	}
-	if r.verify != "" {
-		m.verified(r)
+	if r.unverified != "" {
+		m.verifyOrder(r)
 	}
-	if r.answer && c.withMap {
-		m.answer(r)
+	if r.promiseDue && c.withMap {
+		m.sendPromise(r)
 	}
 }
 
-// answer sends the promise, with the engine's state as read after it was made.
-func (m *Member) answer(r *memberRound) {
-	r.answer = false
+// sendPromise answers a Prepare with the engine's state, which was read after the
+// ballot was promised.
+func (m *Member) sendPromise(r *memberRound) {
+	r.promiseDue = false
 	m.send(r.header.From.Target, Message{Promise: &Promise{
-		Header: m.reply(r.header),
+		Header: m.replyHeader(r.header),
 		State:  m.engine,
-		Map:    m.mapOf(r.known),
+		Map:    m.mapUnlessKnown(r.leadMaps),
 	}})
 }
 
-// verified judges an order by the state read back after it.
-func (m *Member) verified(r *memberRound) {
-	op := r.verify
-	r.verify = ""
+// verifyOrder checks the engine's state for the effect of the last order.
+func (m *Member) verifyOrder(r *memberRound) {
+	op := r.unverified
+	r.unverified = ""
 	switch {
 	case r.achieved(op, m.engine):
-		m.finish(r, op)
+		m.completeTask(r, op)
 	case op == Stage && m.engine.Loading == r.version:
-		r.verify = op
-		m.quietUntil = m.now.Add(m.settings.RetryInterval)
-	case once(op) || !r.achievable(op, m.engine):
-		m.fail(r, op, ReasonEngineDiffers)
+		r.unverified = op
+		m.nextCallAt = m.now.Add(m.settings.RetryInterval)
+	case givenOnce(op) || !r.achievable(op, m.engine):
+		m.failTask(r, op, ReasonEngineDiffers)
 	default:
-		// The lead asks again.
-		r.drop(op)
+		// The lead resends the phase, which gives the order again.
+		r.dropTask(op)
 	}
 }
 
-func (m *Member) finish(r *memberRound, op Op) {
-	r.drop(op)
+func (m *Member) completeTask(r *memberRound, op Op) {
+	r.dropTask(op)
 	if op == Abort {
 		r.aborted = true
 		m.ack(r, op)
 		return
 	}
 	if op == Stage {
-		r.base = m.engine.InForce
+		r.previous = m.engine.InForce
 	}
-	r.done = max(r.done, slices.Index(r.plan, op)+1)
+	r.phasesDone = max(r.phasesDone, slices.Index(r.phases, op)+1)
 	m.ack(r, op)
 }
 
-// drop forgets the task, unless another phase has taken its place.
-func (r *memberRound) drop(op Op) {
+// dropTask clears the task if it is the given phase.
+func (r *memberRound) dropTask(op Op) {
 	if r.task != nil && r.task.Op == op {
 		r.task = nil
 	}
 }
 
-// achieved tells whether the engine's state shows the order carried out.
+// achieved reports whether the engine's state shows the order's effect.
 func (r *memberRound) achieved(op Op, state EngineState) bool {
 	switch op {
 	case Stage:
@@ -210,7 +211,7 @@
 	return false
 }
 
-// achievable tells whether the order can still succeed.
+// achievable reports whether the order can still succeed.
 func (r *memberRound) achievable(op Op, state EngineState) bool {
 	switch op {
 	case Commit, Switch:
@@ -221,7 +222,7 @@
 		if r.members.Barrier {
 			return state.Staged == r.version
 		}
-		return state.InForce == r.base
+		return state.InForce == r.previous
 	}
 	return false
 }
--- a/core/btswitch/member_round.go
+++ b/core/btswitch/member_round.go
@@ -9,38 +9,38 @@
 	"bilberrytide/core/btrequest"
 )
 
-// memberRound is the round that a member has promised last.
+// memberRound is the member's state of the round that it promised last.
 type memberRound struct {
 	header  Header
 	ballot  Ballot
 	members Members
-	plan    []Op
-	// known lists the maps that the lead has; answer tells that it waits for
-	// the promise.
-	known  []btbundle.Digest
-	answer bool
-	// done counts the phases of the plan that are carried out.
-	done int
-	// tried lists the orders given of those that must not be given twice.
-	tried []Op
-	// failed tells why no further phase is carried out; empty while none failed.
-	failed btrequest.Reason
-	// task is the phase asked for and not yet carried out.
+	phases  []Op
+	// leadMaps lists the maps that the lead has. promiseDue is set while a Prepare
+	// is unanswered.
+	leadMaps   []btbundle.Digest
+	promiseDue bool
+	// phasesDone counts the completed entries of phases.
+	phasesDone int
+	// ordersGiven lists the orders given so far that must not be repeated.
+	ordersGiven []Op
+	// failure is the reason why further phases are refused; empty if none failed.
+	failure btrequest.Reason
+	// task is the requested phase that isn't completed yet.
 	task *Instruct
-	// verify is the order whose effect is to be read back; empty for none.
-	verify Op
-	// version is what the round stages; base was in force when it had staged.
-	version Version
-	base    Version
-	aborted bool
+	// unverified is the order whose effect is still to be read back; empty for none.
+	unverified Op
+	// version is what the round stages. previous was in force once it was staged.
+	version  Version
+	previous Version
+	aborted  bool
 }
 
 func newMemberRound(h Header, members Members) *memberRound {
-	return &memberRound{header: h, ballot: h.Ballot, members: members, plan: members.plan()}
+	return &memberRound{header: h, ballot: h.Ballot, members: members, phases: members.phases()}
 }
 
-// instruct takes a phase of the promised round.
-func (m *Member) instruct(i Instruct) {
+// handleInstruct takes a phase or an abort of the promised round.
+func (m *Member) handleInstruct(i Instruct) {
 	h := i.Header
 	if h.Group != m.members.Group || h.To.Target != m.self.Target {
 		return
@@ -57,49 +57,50 @@
 		return
 	}
 	r.header = h
-	m.lastWord = m.now
+	m.lastMessageAt = m.now
 	if i.Op == Abort {
-		m.instructAbort(r, i)
+		m.handleAbort(r, i)
 		return
 	}
-	m.instructPhase(r, i)
+	m.handlePhase(r, i)
 }
 
-// joinByBallot takes part in any round that isn't older than the promise.
+// joinByBallot joins any round that isn't older than the promise, in the
+// ballotAlone variant.
 func (m *Member) joinByBallot(h Header) {
 	if h.Ballot.Compare(m.promised) < 0 || m.round != nil && m.round.ballot == h.Ballot {
 		return
 	}
-	m.promise(h)
+	m.joinRound(h)
 }
 
-func (m *Member) instructPhase(r *memberRound, i Instruct) {
-	phase := slices.Index(r.plan, i.Op)
-	if m.variant.ballotAlone && phase > r.done {
-		r.enterAt(phase, i.Digest)
+func (m *Member) handlePhase(r *memberRound, i Instruct) {
+	phase := slices.Index(r.phases, i.Op)
+	if m.variant.ballotAlone && phase > r.phasesDone {
+		r.joinAtPhase(phase, i.Digest)
 	}
 	switch {
-	case phase < 0 || phase > r.done || r.aborted:
+	case phase < 0 || phase > r.phasesDone || r.aborted:
 		m.refuse(i.Header, i.Op, ReasonPhase, string(i.Op))
-	case phase < r.done:
-		m.ackAgain(r, i)
-	case r.failed != "":
-		m.refuse(i.Header, i.Op, r.failed, "the round failed here")
-	case r.task == nil && r.verify == "":
-		m.accept(r, i)
+	case phase < r.phasesDone:
+		m.repeatAck(r, i)
+	case r.failure != "":
+		m.refuse(i.Header, i.Op, r.failure, "the round failed here")
+	case r.task == nil && r.unverified == "":
+		m.acceptPhase(r, i)
 	}
 }
 
-// enterAt joins the round midway, in the ballotAlone variant.
-func (r *memberRound) enterAt(phase int, digest btbundle.Digest) {
-	r.done = phase
+// joinAtPhase joins the round midway, in the ballotAlone variant.
+func (r *memberRound) joinAtPhase(phase int, digest btbundle.Digest) {
+	r.phasesDone = phase
 	r.version = Version{Map: digest, Members: r.members.Digest, Ballot: r.ballot}
 }
 
-// accept checks a phase and takes it as the next task.
-func (m *Member) accept(r *memberRound, i Instruct) {
-	if reason, detail := m.unacceptable(r, i); reason != "" {
-		r.failed = reason
+// acceptPhase checks a phase and makes it the next task.
+func (m *Member) acceptPhase(r *memberRound, i Instruct) {
+	if reason, detail := m.refusalOf(r, i); reason != "" {
+		r.failure = reason
 		m.refuse(i.Header, i.Op, reason, detail)
 		return
 	}
@@ -109,12 +110,14 @@
 	r.task = &i
 }
 
-func (m *Member) unacceptable(r *memberRound, i Instruct) (btrequest.Reason, string) {
+// refusalOf returns the reason to refuse a phase and its detail, empty if the
+// phase is valid.
+func (m *Member) refusalOf(r *memberRound, i Instruct) (btrequest.Reason, string) {
 	if i.Op != Stage && i.Digest != r.version.Map {
 		return ReasonMap, "another map than was staged"
 	}
-	if i.Op.effective() {
-		if m.proven(r, i.Proof) {
+	if i.Op.takesEffect() {
+		if m.proofValid(r, i.Proof) {
 			return "", ""
 		}
 		return ReasonProof, string(i.Op)
@@ -137,9 +140,9 @@
 	return "", ""
 }
 
-// proven tells whether the proof names every rank's incarnation, this one's own
-// among them.
-func (m *Member) proven(r *memberRound, proof []btid.Incarnation) bool {
+// proofValid reports whether the proof names an incarnation for every rank, and
+// this one for the member's own rank.
+func (m *Member) proofValid(r *memberRound, proof []btid.Incarnation) bool {
 	if m.variant.ballotAlone {
 		return true
 	}
@@ -152,82 +155,82 @@
 		"%v: proof names %v, not %v", r.ballot, proof[rank], m.self.Incarnation)
 }
 
-// instructAbort ends the round's hold. It is accepted only once the round's map
-// was staged: from then on no order of an earlier round can take effect.
-func (m *Member) instructAbort(r *memberRound, i Instruct) {
+// handleAbort takes an abort, which ends the round's hold. It is accepted only
+// after the round's map was staged: from then on no order of an earlier round can
+// take effect.
+func (m *Member) handleAbort(r *memberRound, i Instruct) {
 	switch {
 	case r.aborted:
 		m.ack(r, Abort)
 	case m.variant.releaseOnPromise:
 		r.version = m.engine.Staged
 		r.task = &i
-	case r.done < 1 || r.done > commitPhase:
+	case r.phasesDone < 1 || r.phasesDone > commitPhaseIndex:
 		m.refuse(i.Header, Abort, ReasonPhase, "nothing to abort")
 	case r.task == nil || r.task.Op != Abort:
 		r.task = &i
 	}
 }
 
-// order gives the task's order to the engine.
-func (m *Member) order(r *memberRound) {
+// orderEngine gives the task's order to the engine.
+func (m *Member) orderEngine(r *memberRound) {
 	op, version := m.orderFor(r)
-	holds := m.assert.That(r.ballot == m.promised, BallotMonotonic, "%v ordered under promise of %v", r.ballot, m.promised)
+	holds := m.assert.That(r.ballot == m.promised, BallotMonotonic, "order of ballot %v while %v is promised", r.ballot, m.promised)
 	if !holds {
 		r.task = nil
 		return
 	}
-	m.fencing = max(m.fencing, uint64(m.self.Incarnation)/fencingUnit) + 1
-	m.open(&call{fencing: m.fencing, op: r.task.Op, since: m.now, round: r})
-	order := Order{Fencing: m.fencing, Op: op, Version: version}
+	m.lastFencing = max(m.lastFencing, uint64(m.self.Incarnation)/fencingUnit) + 1
+	m.openCall(&call{fencing: m.lastFencing, op: r.task.Op, openedAt: m.now, round: r})
+	order := Order{Fencing: m.lastFencing, Op: op, Version: version}
 	if op == Stage {
 		order.Map = r.task.Map
 		order.Ranks = r.members.Ranks
 	}
-	if once(op) {
-		m.assert.That(!slices.Contains(r.tried, op), HoldOnce, "%v: %s again", r.ballot, op)
-		r.tried = append(r.tried, op)
+	if givenOnce(op) {
+		m.assert.That(!slices.Contains(r.ordersGiven, op), HoldOnce, "%v: %s given twice", r.ballot, op)
+		r.ordersGiven = append(r.ordersGiven, op)
 	}
-	m.out = append(m.out, order)
+	m.effects = append(m.effects, order)
 }
 
-// fencingUnit divides an incarnation, in nanoseconds, to a number that stays
-// below 2^53, which JSON numbers are exact to. An incarnation's fencing numbers
-// so start above those of every earlier incarnation, also of those still in
-// flight.
+// fencingUnit divides an incarnation, which is in nanoseconds, so that fencing
+// numbers stay below 2^53, up to which JSON numbers are exact. They start above
+// those of every earlier incarnation, including its orders in flight.
 const fencingUnit = 1000
 
-// orderFor returns the engine's order for the task. An engine without a barrier
-// has nothing to abort but its pause.
+// orderFor returns the engine's order for the task. To abort, an engine without a
+// barrier is only resumed on the version that it has.
 func (m *Member) orderFor(r *memberRound) (Op, Version) {
 	if r.task.Op == Abort && !r.members.Barrier {
-		return Resume, r.base
+		return Resume, r.previous
 	}
 	return r.task.Op, r.version
 }
 
-// commitPhase is the index in every plan of the first phase that makes the map
-// take effect.
-const commitPhase = 2
+// commitPhaseIndex is the index of the first phase that makes the map take
+// effect, with and without a barrier.
+const commitPhaseIndex = 2
 
-// once tells whether an order is given at most once in a round. If a Stage were
-// given again, one in flight could bring back a version that a later round has
-// replaced.
-func once(op Op) bool { return op == Stage || op == Arm || op == Pause }
+// givenOnce reports whether an order is given at most once in a round. A second
+// Stage in flight could restore a version that a later round has replaced.
+func givenOnce(op Op) bool { return op == Stage || op == Arm || op == Pause }
 
-// ackAgain answers a repeated message, if the phase still stands.
-func (m *Member) ackAgain(r *memberRound, i Instruct) {
+// repeatAck answers a resent phase that is completed: it acknowledges it if the
+// engine still shows its effect, and else refuses the latest phase.
+func (m *Member) repeatAck(r *memberRound, i Instruct) {
 	if r.achieved(i.Op, m.engine) {
 		m.ack(r, i.Op)
 		return
 	}
-	if r.plan[r.done-1] == i.Op {
+	if r.phases[r.phasesDone-1] == i.Op {
 		m.refuse(i.Header, i.Op, ReasonEngineDiffers, string(i.Op)+" no longer stands")
 	}
 }
 
 func (m *Member) ack(r *memberRound, op Op) {
 	m.send(r.header.From.Target, Message{Ack: &Ack{
-		Header: m.reply(r.header),
+		Header: m.replyHeader(r.header),
 		Op:     op,
 		State:  m.engine,
 	}})
--- a/core/btswitch/members.go
+++ b/core/btswitch/members.go
@@ -9,11 +9,11 @@
 	"bilberrytide/core/btid"
 )
 
-// MaxRanks is the largest group supported.
+// MaxRanks is the maximum number of ranks in a group.
 const MaxRanks = 1024
 
-// Members is a group's membership as one bundle lists it. A round is bound to
-// the digest, so that it survives a bundle that leaves its group alone.
+// Members is a group's membership as listed in a bundle. A round is bound to
+// Digest, so that a new bundle that leaves the group unchanged doesn't end it.
 type Members struct {
 	Bundle  btid.BundleVersion
 	Group   btid.Group
@@ -22,8 +22,9 @@
 	Digest  btbundle.Digest
 }
 
-// NewMembers takes the membership from the bundle of the given version. It
-// fails on a group without ranks, with too many, or with a target twice.
+// NewMembers returns the membership of the group in the bundle of the given
+// version. It fails if the group has no ranks, more than MaxRanks, or a target
+// twice.
 func NewMembers(version btid.BundleVersion, group btbundle.Group) (Members, error) {
 	if len(group.Ranks) == 0 || len(group.Ranks) > MaxRanks {
 		return Members{}, fmt.Errorf("group %q: %d ranks, want 1 to %d", group.Name, len(group.Ranks), MaxRanks)
@@ -41,7 +42,7 @@
 	}, nil
 }
 
-// membersDigest covers all that a map's meaning depends on.
+// membersDigest covers everything that the meaning of a map depends on.
 func membersDigest(g btbundle.Group) btbundle.Digest {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %t %d %d %d", g.Name, g.Barrier, g.Layers, g.Experts, g.SlotsPerRank)
@@ -51,11 +52,11 @@
 	return btbundle.DigestOf([]byte(text.String()))
 }
 
-// rank returns the target's rank, or -1 where it has none.
+// rank returns the target's rank, or -1 if it has none.
 func (m Members) rank(target btid.Target) int { return slices.Index(m.Ranks, target) }
 
-// plan returns the phases of a round after its promises, in order.
-func (m Members) plan() []Op {
+// phases returns the phases of a round after prepare, in order.
+func (m Members) phases() []Op {
 	if m.Barrier {
 		return []Op{Stage, Arm, Commit}
 	}
--- a/core/btswitch/network_test.go
+++ b/core/btswitch/network_test.go
@@ -8,25 +8,25 @@
 	"bilberrytide/core/btswitch"
 )
 
-// delay is usually about a millisecond and, for the given share while there are
-// faults, longer.
-func (s *sim) delay(late float64) time.Duration {
+// delay returns the latency of a message or call: 0.5 to 2 ms and, during faults
+// and for the given share, a long delay on top.
+func (s *sim) delay(longRate float64) time.Duration {
 	d := time.Duration(500+s.random.IntN(1500)) * time.Microsecond
-	if s.happens(late) {
-		d += s.lateness()
+	if s.faultOccurs(longRate) {
+		d += s.longDelay()
 	}
 	return d
 }
 
-// lateness is of any order of magnitude from milliseconds to lateMost.
-func (s *sim) lateness() time.Duration {
-	most := math.Log(float64(s.o.lateMost))
+// longDelay returns a random delay from 10 ms to maxDelay, uniform in its logarithm.
+func (s *sim) longDelay() time.Duration {
+	most := math.Log(float64(s.o.maxDelay))
 	least := math.Log(float64(10 * time.Millisecond))
 	return time.Duration(math.Exp(least + (most-least)*s.random.Float64()))
 }
 
-// weight makes faults commoner where a map takes effect.
-func weight(op btswitch.Op) float64 {
+// faultWeight makes faults more frequent at orders that put a map into effect.
+func faultWeight(op btswitch.Op) float64 {
 	switch op {
 	case btswitch.Commit, btswitch.Switch, btswitch.Resume:
 		return 5
@@ -34,15 +34,15 @@
 	return 1
 }
 
-func (s *sim) happens(share float64) bool { return s.faulty && s.random.Float64() < share }
+func (s *sim) faultOccurs(rate float64) bool { return s.faulty && s.random.Float64() < rate }
 
-// send carries a message to whichever life of the agent it is for.
+// send sends a message and injects the faults of the run.
 func (s *sim) send(from *agent, e btswitch.Send) {
-	share := s.o.killAtSend
+	killRate := s.o.sendKillRate
 	if i := e.Message.Instruct; i != nil {
-		share *= weight(i.Op)
+		killRate *= faultWeight(i.Op)
 	}
-	if s.happens(share) && from == from.host.agent {
+	if s.faultOccurs(killRate) && from == from.host.agent {
 		s.killAgent(from.host, time.Duration(50+s.random.IntN(1000))*time.Millisecond)
 	}
 	if s.o.onSend != nil {
@@ -52,30 +52,30 @@
 		return
 	}
 	if err := e.Message.Validate(); err != nil {
-		s.violated(err.Error())
+		s.recordViolation(err.Error())
 	}
 	s.deliver(from, e)
-	if s.happens(s.o.repeat) {
+	if s.faultOccurs(s.o.duplicateRate) {
 		s.deliver(from, e)
 	}
 }
 
 func (s *sim) deliver(from *agent, e btswitch.Send) {
-	if s.happens(s.o.loss) || s.cut[from.self.Target] != s.cut[e.To] {
+	if s.faultOccurs(s.o.lossRate) || s.partitioned[from.self.Target] != s.partitioned[e.To] {
 		return
 	}
-	s.after(s.delay(s.o.late), func() {
+	s.schedule(s.delay(s.o.delayRate), func() {
 		if to := s.receiver(e); to != nil {
 			to.do(func() { to.receive(e.Message) })
 		}
 	})
 }
 
-// receiver returns the life that the message names, where it still runs, else
-// the newest.
+// receiver returns the incarnation that the message names if it still runs, else the
+// newest.
 func (s *sim) receiver(e btswitch.Send) *agent {
 	h := s.hosts[e.To]
-	for _, a := range h.twins {
+	for _, a := range h.replaced {
 		if a.self == e.Message.To() {
 			return a
 		}
@@ -91,25 +91,25 @@
 	a.memberStep(btswitch.Received{Message: m})
 }
 
-// order carries an order to the engine. It is carried out even if the agent has
-// died meanwhile, and however late it comes.
-func (s *sim) order(a *agent, o btswitch.Order) {
+// sendOrder sends an order to the engine. It is applied even if the agent has died
+// meanwhile, and however late it arrives.
+func (s *sim) sendOrder(a *agent, o btswitch.Order) {
 	h := a.host
-	delay := s.delay(s.o.lateCall)
-	if s.happens(s.o.killAtOrder*weight(o.Op)) && a == h.agent {
+	delay := s.delay(s.o.callDelayRate)
+	if s.faultOccurs(s.o.orderKillRate*faultWeight(o.Op)) && a == h.agent {
 		s.killAgent(h, time.Duration(50+s.random.IntN(1000))*time.Millisecond)
-		delay += s.lateness()
+		delay += s.longDelay()
 	}
-	s.after(delay, func() {
+	s.schedule(delay, func() {
 		if a.dead && s.o.orphanDelay > 0 {
-			s.after(s.o.orphanDelay, func() { s.arrive(a, o) })
+			s.schedule(s.o.orphanDelay, func() { s.applyOrder(a, o) })
 			return
 		}
-		s.arrive(a, o)
+		s.applyOrder(a, o)
 	})
 }
 
-func (s *sim) arrive(a *agent, o btswitch.Order) {
+func (s *sim) applyOrder(a *agent, o btswitch.Order) {
 	e := a.host.engine
 	if !e.up {
 		s.answer(a, btswitch.OrderFailed{Fencing: o.Fencing})
@@ -132,18 +132,19 @@
 	s.answer(a, btswitch.OrderRefused{Fencing: o.Fencing, LastFencing: last})
 }
 
-// load ends an engine's loading at once or, where the run says so, later.
+// load completes the loading of a version, at once or with maxLoadTime after a
+// random time.
 func (s *sim) load(e *engine, v btswitch.Version) {
-	if s.o.loadTime == 0 {
+	if s.o.maxLoadTime == 0 {
 		e.loaded(v)
 		return
 	}
-	s.after(time.Duration(s.random.Int64N(int64(s.o.loadTime))), func() { e.loaded(v) })
+	s.schedule(time.Duration(s.random.Int64N(int64(s.o.maxLoadTime))), func() { e.loaded(v) })
 }
 
-func (s *sim) read(a *agent, r btswitch.Read) {
+func (s *sim) readEngine(a *agent, r btswitch.Read) {
 	h := a.host
-	s.after(s.delay(s.o.lateCall), func() {
+	s.schedule(s.delay(s.o.callDelayRate), func() {
 		if !h.engine.up {
 			s.answer(a, btswitch.ReadFailed{Number: r.Number})
 			return
@@ -153,64 +154,65 @@
 	})
 }
 
-// answer brings an engine's answer to the life that asked, if it isn't lost.
+// answer sends an engine's answer to the incarnation that asked.
 func (s *sim) answer(a *agent, event btswitch.MemberEvent) {
-	if s.happens(s.o.loss) {
+	if s.faultOccurs(s.o.lossRate) {
 		return
 	}
-	s.after(s.delay(s.o.lateCall), func() { a.do(func() { a.memberStep(event) }) })
+	s.schedule(s.delay(s.o.callDelayRate), func() { a.do(func() { a.memberStep(event) }) })
 }
 
-// killAgent ends the agent's life; its orders in flight go on.
+// killAgent kills the agent and starts a new incarnation after the downtime. Orders
+// in flight continue.
 func (s *sim) killAgent(h *host, down time.Duration) {
 	if h.agent == nil {
 		return
 	}
 	h.agent.dead = true
 	h.agent = nil
-	s.after(down, func() {
+	s.schedule(down, func() {
 		if h.agent == nil {
-			s.launch(h)
+			s.startAgent(h)
 		}
 	})
 }
 
 func (s *sim) killEngine(h *host, down time.Duration) {
 	h.engine.up = false
-	s.after(down, h.engine.restart)
+	s.schedule(down, h.engine.restart)
 }
 
-// pauseAgent stops the agent for a while. It may be replaced meanwhile, so that
-// two lives run beside one engine when it wakes.
+// pauseAgent pauses the agent. It may be replaced during the pause, so that two
+// incarnations run beside one engine after it.
 func (s *sim) pauseAgent(h *host, pause time.Duration) {
 	a := h.agent
 	if a == nil || a.paused {
 		return
 	}
 	a.paused = true
-	replaced := !s.o.noTwins && s.random.IntN(2) == 0
+	replaced := !s.o.noOverlap && s.random.IntN(2) == 0
 	if replaced {
-		h.twins = append(h.twins, a)
+		h.replaced = append(h.replaced, a)
 		h.agent = nil
-		s.launch(h)
-		s.after(pause+10*time.Second, func() { a.dead = true })
+		s.startAgent(h)
+		s.schedule(pause+10*time.Second, func() { a.dead = true })
 	}
-	s.after(pause, func() {
+	s.schedule(pause, func() {
 		if !a.dead {
-			a.wake()
+			a.resume()
 		}
 	})
 }
 
-// fault brings about one fault and plans the next.
-func (s *sim) fault() {
+// injectFault injects one fault and schedules the next.
+func (s *sim) injectFault() {
 	if !s.faulty {
 		return
 	}
 	h := s.hosts[s.targets[s.random.IntN(len(s.targets))]]
 	short := time.Duration(50+s.random.IntN(2000)) * time.Millisecond
 	kinds := 12
-	if s.o.onlyKills {
+	if s.o.agentKillsOnly {
 		kinds = 3
 	}
 	switch s.random.IntN(kinds) {
@@ -223,39 +225,40 @@
 	case 6:
 		s.partition(3 * short)
 	case 7:
-		s.rebundle()
+		s.replaceBundle()
 	case 8:
 		s.propose(s.targets[s.random.IntN(len(s.targets))])
 	}
-	s.after(time.Duration(s.random.Int64N(int64(s.o.pace))), s.fault)
+	s.schedule(time.Duration(s.random.Int64N(int64(s.o.maxFaultGap))), s.injectFault)
 }
 
-// drift proposes a map now and then.
-func (s *sim) drift() {
+// proposeRepeatedly proposes maps at random intervals while there are faults.
+func (s *sim) proposeRepeatedly() {
 	if lead := s.lowestLive(); s.faulty && lead != "" {
 		s.propose(lead)
-		s.after(time.Duration(s.random.Int64N(int64(s.o.drift))), s.drift)
+		s.schedule(time.Duration(s.random.Int64N(int64(s.o.maxProposalGap))), s.proposeRepeatedly)
 	}
 }
 
-// partition cuts a random part of the agents from the others.
+// partition cuts a random part of the agents off from the others.
 func (s *sim) partition(d time.Duration) {
 	for _, t := range s.targets {
-		s.cut[t] = s.random.IntN(3) == 0
+		s.partitioned[t] = s.random.IntN(3) == 0
 	}
-	s.after(d, func() { clear(s.cut) })
+	s.schedule(d, func() { clear(s.partitioned) })
 }
 
-// rebundle brings a bundle that replaces a rank, or leaves the group alone.
-func (s *sim) rebundle() {
+// replaceBundle puts a bundle in force that replaces a rank or leaves the group
+// unchanged.
+func (s *sim) replaceBundle() {
 	ranks := append([]btid.Target(nil), s.members.Ranks...)
 	if s.o.spares > 0 && s.random.IntN(2) == 0 {
-		ranks[s.random.IntN(len(ranks))] = s.spare()
+		ranks[s.random.IntN(len(ranks))] = s.unusedTarget()
 	}
 	s.members = s.membership(s.members.Bundle+1, ranks)
 }
 
-func (s *sim) spare() btid.Target {
+func (s *sim) unusedTarget() btid.Target {
 	used := make(map[btid.Target]bool)
 	for _, t := range s.members.Ranks {
 		used[t] = true
--- a/core/btswitch/random_test.go
+++ b/core/btswitch/random_test.go
@@ -13,91 +13,94 @@
 var runs = flag.Int("switch.runs", 20, "randomised runs of each kind of engine")
 
 const (
-	faultyTime = 40 * time.Second
-	lateMost   = 60 * time.Second
+	faultDuration = 40 * time.Second
+	longestDelay  = 60 * time.Second
 )
 
-// mixed returns the faults of a run, of six sorts by the seed.
-func mixed(seed uint64, kind engineKind) simOptions {
-	o := chaos(seed, kind)
+// mixedFaults returns the options of a run with one of six sets of faults, by seed.
+func mixedFaults(seed uint64, kind engineKind) simOptions {
+	o := baseFaults(seed, kind)
 	switch seed / 3 % 4 {
 	case 1:
-		lateCommits(&o)
+		delayedCommits(&o)
 	case 2:
-		lateMessages(&o)
+		delayedMessages(&o)
 	case 3:
-		lateCalls(&o)
+		delayedCalls(&o)
 	}
 	return o
 }
 
-// chaos returns the faults of a run, of three sorts by the seed: all kinds at
-// moderate rates; processes that die with something in flight; late messages.
-func chaos(seed uint64, kind engineKind) simOptions {
+// baseFaults returns the options of a run with one of three sets of faults, by seed:
+// all faults at moderate rates; agents killed with orders or messages in flight;
+// messages delayed and duplicated.
+func baseFaults(seed uint64, kind engineKind) simOptions {
 	o := simOptions{
-		seed: seed, ranks: 2 + int(seed/3%3), spares: 1, kind: kind, lateMost: lateMost,
-		loss: 0.01, repeat: 0.02, late: 0.02, lateCall: 0.01, killAtOrder: 0.01,
-		killAtSend: 0.002, wrongView: 0.2, drift: time.Second, pace: time.Duration(1+seed/3%4) * time.Second,
+		seed: seed, ranks: 2 + int(seed/3%3), spares: 1, kind: kind, maxDelay: longestDelay,
+		lossRate: 0.01, duplicateRate: 0.02, delayRate: 0.02, callDelayRate: 0.01, orderKillRate: 0.01,
+		sendKillRate: 0.002, wrongLeadRate: 0.2, maxProposalGap: time.Second, maxFaultGap: time.Duration(1+seed/3%4) * time.Second,
 	}
 	o.stateInAnswer = seed/2%2 == 0
 	if seed%4 == 3 {
-		o.loadTime = 300 * time.Millisecond
+		o.maxLoadTime = 300 * time.Millisecond
 	}
 	switch seed % 3 {
 	case 1:
-		o.killAtOrder, o.killAtSend, o.wrongView = 0.03, 0.01, 0.05
+		o.orderKillRate, o.sendKillRate, o.wrongLeadRate = 0.03, 0.01, 0.05
 	case 2:
-		o.repeat, o.late, o.wrongView = 0.2, 0.3, 0.05
+		o.duplicateRate, o.delayRate, o.wrongLeadRate = 0.2, 0.3, 0.05
 	}
 	return o
 }
 
-// runFaulty lets the faults happen.
-func runFaulty(o simOptions) *sim {
+// runWithFaults runs a group for 5 s without faults and then with them.
+func runWithFaults(o simOptions) *sim {
 	s := newSim(o)
 	s.run(5 * time.Second)
 	s.faulty = true
-	s.after(0, s.fault)
-	s.after(0, s.drift)
-	s.run(faultyTime)
+	s.schedule(0, s.injectFault)
+	s.schedule(0, s.proposeRepeatedly)
+	s.run(faultDuration)
 	s.faulty = false
-	clear(s.cut)
+	clear(s.partitioned)
 	return s
 }
 
-// checkRecovery asserts that, some time after the last fault, the group steps
-// and a proposed map comes into force.
+// checkRecovery asserts that, some time after the last fault, the group steps and a
+// proposed map comes into force.
 func checkRecovery(t *testing.T, s *sim) {
 	t.Helper()
-	s.run(lateMost + 30*time.Second)
+	s.run(longestDelay + 30*time.Second)
 	assert.Equal(t, s.violation, "")
-	assert.Assert(t, s.now.Sub(s.lastStep) < time.Second, "seed %d: the last step is %v old", s.o.seed, s.now.Sub(s.lastStep))
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < time.Second, "seed %d: the last step is %v old", s.o.seed, s.now.Sub(s.lastStepAt))
 	digest := s.propose(s.lowestLive())
 	s.run(5 * time.Second)
 	assert.Equal(t, s.violation, "")
 	for _, r := range s.members.Ranks {
 		assert.Equal(t, s.hosts[r].engine.state.InForce.Map, digest, "seed %d: %s", s.o.seed, r)
 	}
-	assert.Assert(t, s.now.Sub(s.lastStep) < time.Second)
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < time.Second)
 }
 
-var kinds = map[string]engineKind{
+var engineKinds = map[string]engineKind{
 	"barrier":            {barrier: true, versions: true},
 	"barrier, fencing":   {barrier: true, versions: true, fencing: true},
 	"no barrier":         {versions: true},
 	"no barrier, fenced": {versions: true, fencing: true},
 }
 
-func TestEveryStepHasOneMapUnderFaults(t *testing.T) {
-	for name, kind := range kinds {
+// No combination of loss, delay, kills, pauses, partitions and bundle changes may
+// let a step run on two maps or leave the group held.
+func TestStepsUseOneMapUnderFaults(t *testing.T) {
+	for name, kind := range engineKinds {
 		t.Run(name, func(t *testing.T) {
 			steps, committed, other := 0, 0, 0
 			reasons := make(map[string]int)
 			for seed := range uint64(*runs) {
-				s := runFaulty(mixed(seed, kind))
+				s := runWithFaults(mixedFaults(seed, kind))
 				checkRecovery(t, s)
 				steps += s.steps
-				for _, d := range s.decided {
+				for _, d := range s.results {
 					reasons[string(d.Outcome)+" "+string(d.Reason)]++
 					if d.Outcome == btswitch.Committed {
 						committed++
@@ -107,7 +110,7 @@
 				}
 			}
 			t.Logf("%d runs, %d steps, %d rounds committed, %d not: %v", *runs, steps, committed, other, reasons)
-			assert.Assert(t, committed > *runs, "the runs hardly committed any round")
+			assert.Assert(t, committed > *runs, "too few rounds committed")
 		})
 	}
 }
--- a/core/btswitch/scenario_test.go
+++ b/core/btswitch/scenario_test.go
@@ -13,10 +13,10 @@
 	"bilberrytide/core/btswitch"
 )
 
-// TestAbortReleasesTheGroupWithoutTheMissingAgent: an agent is gone for long
-// when the ranks are being held; its engine is well, so the group goes on.
-func TestAbortReleasesTheGroupWithoutTheMissingAgent(t *testing.T) {
-	for name, kind := range kinds {
+// An agent is gone for long while the ranks are being held, but its engine runs. The
+// round must abort, which releases the group.
+func TestAbortReleasesGroupWhenAgentMissing(t *testing.T) {
+	for name, kind := range engineKinds {
 		o := simOptions{seed: 1, ranks: 3, kind: kind}
 		killed := false
 		o.onSend = func(s *sim, _ *agent, to btid.Target, m btswitch.Message) {
@@ -31,8 +31,8 @@
 		s.propose("t00")
 		s.run(3 * time.Second)
 		assert.Assert(t, killed)
-		assert.Assert(t, s.now.Sub(s.lastStep) < 100*time.Millisecond, "%s: the group is held", name)
-		last := s.decided[len(s.decided)-1]
+		assert.Assert(t, s.now.Sub(s.lastStepAt) < 100*time.Millisecond, "%s: the group is held", name)
+		last := s.results[len(s.results)-1]
 		assert.Equal(t, last.Outcome, btswitch.Aborted)
 		assert.Equal(t, last.Reason, btswitch.ReasonTimeout)
 		assert.Equal(t, last.Rank, btid.Target("t02"))
@@ -40,60 +40,60 @@
 	}
 }
 
-// TestBundleThatReplacesARankIsFollowed: the group steps on with its new rank,
-// and with the old one once that is back.
-func TestBundleThatReplacesARankIsFollowed(t *testing.T) {
-	s := newSim(simOptions{seed: 1, ranks: 3, spares: 1, kind: kinds["barrier"]})
+// After a bundle replaces a rank, the group must step with the new rank, and with the
+// old one once another bundle brings that back.
+func TestBundleReplacesRank(t *testing.T) {
+	s := newSim(simOptions{seed: 1, ranks: 3, spares: 1, kind: engineKinds["barrier"]})
 	s.run(5 * time.Second)
 	s.members = s.membership(2, []btid.Target{"t00", "t03", "t02"})
 	s.run(5 * time.Second)
 	assert.Equal(t, s.hosts["t03"].engine.state.InForce.Members, s.members.Digest)
-	assert.Assert(t, s.now.Sub(s.lastStep) < 100*time.Millisecond)
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < 100*time.Millisecond)
 
 	s.members = s.membership(3, []btid.Target{"t00", "t01", "t02"})
 	s.run(5 * time.Second)
 	for _, r := range s.members.Ranks {
 		assert.Equal(t, s.hosts[r].engine.state.InForce.Members, s.members.Digest)
 	}
-	assert.Assert(t, s.now.Sub(s.lastStep) < 100*time.Millisecond)
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < 100*time.Millisecond)
 	assert.Equal(t, s.violation, "")
 }
 
-// TestLongLoadingEndsWhenARankCeasesToStep: an engine restarts while another
-// loads for minutes; the group must not wait for that.
-func TestLongLoadingEndsWhenARankCeasesToStep(t *testing.T) {
-	s := newSim(simOptions{seed: 1, ranks: 3, kind: kinds["barrier"], stageTimeout: time.Hour})
+// An engine restarts while another takes an hour to load a map. The group must not
+// stay held until the load ends.
+func TestStagingAbortsWhenRankStopsStepping(t *testing.T) {
+	s := newSim(simOptions{seed: 1, ranks: 3, kind: engineKinds["barrier"], stageTimeout: time.Hour})
 	s.run(5 * time.Second)
-	s.o.loadTime = time.Hour
+	s.o.maxLoadTime = time.Hour
 	s.propose("t00")
 	s.run(time.Second)
-	s.o.loadTime = 0
+	s.o.maxLoadTime = 0
 	s.hosts["t01"].engine.loaded(s.hosts["t01"].engine.state.Loading)
 	s.run(time.Second)
 	s.killEngine(s.hosts["t01"], 100*time.Millisecond)
 	s.run(6 * time.Second)
-	assert.Assert(t, s.now.Sub(s.lastStep) < 100*time.Millisecond, "the group is held")
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < 100*time.Millisecond, "the group is held")
 	assert.Equal(t, s.violation, "")
 }
 
-// TestMapIsAskedForWhereNoneIsKnown: the group waits, held, for a proposal.
-func TestMapIsAskedForWhereNoneIsKnown(t *testing.T) {
-	s := newSim(simOptions{seed: 1, ranks: 3, kind: kinds["barrier"]})
+// If no engine has a map, the group stays held until the requested proposal arrives.
+func TestMapRequestedWhenNoneKnown(t *testing.T) {
+	s := newSim(simOptions{seed: 1, ranks: 3, kind: engineKinds["barrier"]})
 	for _, h := range s.hosts {
 		h.engine.state.InForce = btswitch.Version{}
 	}
 	s.run(5 * time.Second)
-	assert.Assert(t, s.needed > 0)
+	assert.Assert(t, s.mapRequests > 0)
 	assert.Equal(t, s.steps, 0)
 	s.propose("t00")
 	s.run(15 * time.Second)
-	assert.Assert(t, s.now.Sub(s.lastStep) < 100*time.Millisecond)
+	assert.Assert(t, s.now.Sub(s.lastStepAt) < 100*time.Millisecond)
 	assert.Equal(t, s.violation, "")
 }
 
-// memberAlone returns a member of a group of one, and a function that steps it
-// at a time after the start and returns its last effect.
-func memberAlone(t *testing.T) (btswitch.Members, func(time.Duration, btswitch.MemberEvent) btswitch.MemberEffect) {
+// newTestMember returns the members of a group of one, and a function that steps its
+// member at a time since the start and returns the last effect.
+func newTestMember(t *testing.T) (btswitch.Members, func(time.Duration, btswitch.MemberEvent) btswitch.MemberEffect) {
 	t.Helper()
 	self := btid.Executor{Target: "t00", Incarnation: 5_000}
 	members, err := btswitch.NewMembers(1, btbundle.Group{Name: "g", Ranks: []btid.Target{"t00"}, Barrier: true})
@@ -115,8 +115,10 @@
 	return btswitch.Header{Group: "g", Ballot: ballot, Members: members.Digest, From: self, To: self}
 }
 
-func TestPausedMemberReadsItsEngineBeforeItOrders(t *testing.T) {
-	members, step := memberAlone(t)
+// The engine's state may have changed while the agent was paused, so it must be read
+// before the next order.
+func TestMemberReadsEngineAfterPause(t *testing.T) {
+	members, step := newTestMember(t)
 	h := header(members, 3)
 	stage := btswitch.Received{Message: btswitch.Message{Instruct: &btswitch.Instruct{
 		Header: h, Op: btswitch.Stage, Digest: btbundle.DigestOf([]byte("map")), Map: []byte("map"),
@@ -132,10 +134,10 @@
 	assert.Assert(t, order.Fencing > 7)
 }
 
-// TestMemberYieldsToABallotThatItsEngineShows: another life of the agent has
-// carried out a later round meanwhile.
-func TestMemberYieldsToABallotThatItsEngineShows(t *testing.T) {
-	members, step := memberAlone(t)
+// If another incarnation of the agent has carried out a later round, the member must
+// refuse the earlier one.
+func TestMemberAdoptsHigherBallotOfEngine(t *testing.T) {
+	members, step := newTestMember(t)
 	h := header(members, 3)
 	digest := btbundle.DigestOf([]byte("map"))
 	read := step(0, btswitch.Received{Message: btswitch.Message{Prepare: &btswitch.Prepare{Header: h}}}).(btswitch.Read)
@@ -148,10 +150,10 @@
 	assert.Equal(t, refused.Promised, later.Ballot)
 }
 
-// TestStageOfUnknownOutcomeIsNotRepeated: a second one in flight could bring its
-// version back after a later round has replaced it.
-func TestStageOfUnknownOutcomeIsNotRepeated(t *testing.T) {
-	members, step := memberAlone(t)
+// A second Stage in flight could restore its version after a later round has replaced
+// it.
+func TestStageWithUnknownOutcomeNotRepeated(t *testing.T) {
+	members, step := newTestMember(t)
 	h := header(members, 3)
 	stage := btswitch.Received{Message: btswitch.Message{Instruct: &btswitch.Instruct{
 		Header: h, Op: btswitch.Stage, Digest: btbundle.DigestOf([]byte("map")), Map: []byte("map"),
@@ -164,9 +166,9 @@
 	assert.Equal(t, step(0, stage).(btswitch.Send).Message.Refusal.Reason, btswitch.ReasonOrderUnknown)
 }
 
-// TestCommitWithoutProofViolatesTheInvariant shows that the assertion can fail.
-func TestCommitWithoutProofViolatesTheInvariant(t *testing.T) {
-	members, step := memberAlone(t)
+// The assertion that a commit carries its proof must be able to fail.
+func TestCommitWithoutProofViolatesInvariant(t *testing.T) {
+	members, step := newTestMember(t)
 	h := header(members, 3)
 	digest := btbundle.DigestOf([]byte("map"))
 	state := btswitch.EngineState{Held: true}
@@ -186,8 +188,8 @@
 	assert.Assert(t, cmp.Panics(func() { step(0, btswitch.Received{Message: btswitch.Message{Instruct: &instruct}}) }))
 }
 
-func TestRefusalsNameTheirReason(t *testing.T) {
-	members, step := memberAlone(t)
+func TestRefusalReasons(t *testing.T) {
+	members, step := newTestMember(t)
 	h := header(members, 3)
 	stale := h
 	stale.To.Incarnation = 4_000
@@ -213,7 +215,7 @@
 	}
 }
 
-func TestMembersNeedDistinctRanks(t *testing.T) {
+func TestNewMembersRejectsEmptyOrDuplicateRanks(t *testing.T) {
 	for _, ranks := range [][]btid.Target{nil, {"a", "b", "a"}} {
 		_, err := btswitch.NewMembers(1, btbundle.Group{Name: "g", Ranks: ranks})
 		assert.ErrorContains(t, err, `group "g"`)
--- a/core/btswitch/sim_test.go
+++ b/core/btswitch/sim_test.go
@@ -15,86 +15,86 @@
 
 const stepTime = 5 * time.Millisecond
 
-// simOptions sets one run.
+// simOptions configures one run.
 type simOptions struct {
 	seed   uint64
 	ranks  int
 	spares int
 	kind   engineKind
-	// lateMost bounds how late a message or an order in flight may arrive.
-	lateMost time.Duration
-	// rates of faults, as shares of messages and calls.
-	loss, repeat, late, lateCall float64
-	settle                       time.Duration
-	// stateInAnswer has engines tell their state when an order is done.
+	// maxDelay bounds the delay of a message or an order in flight.
+	maxDelay time.Duration
+	// Shares of messages and calls that are hit by a fault.
+	lossRate, duplicateRate, delayRate, callDelayRate float64
+	settleDelay                                       time.Duration
+	// stateInAnswer makes engines return their state when an order is done.
 	stateInAnswer bool
-	// stageTimeout is a second where it is zero.
+	// stageTimeout is one second if zero.
 	stageTimeout time.Duration
-	// loadTime is the longest that an engine loads a map.
-	loadTime time.Duration
-	// drift is the longest time between two proposals.
-	drift time.Duration
-	// pace is the longest time between two faults.
-	pace time.Duration
-	// killAtOrder is the share of orders that outlive their agent: it is killed
+	// maxLoadTime is the longest time that an engine takes to load a map.
+	maxLoadTime time.Duration
+	// maxProposalGap is the longest time between two proposals.
+	maxProposalGap time.Duration
+	// maxFaultGap is the longest time between two faults.
+	maxFaultGap time.Duration
+	// orderKillRate is the share of orders that outlive their agent: it is killed
 	// with the order in flight, which arrives late.
-	killAtOrder float64
+	orderKillRate float64
 	// orphanDelay is added to orders whose agent died before they arrived.
 	orphanDelay time.Duration
-	// killAtSend is the share of messages at which their sender is killed.
-	killAtSend float64
-	// wrongView is the share of views that take another agent for the lead.
-	wrongView float64
-	// stepsOnly looks at the steps taken alone, not at the program's assertions.
-	stepsOnly bool
-	// onlyKills leaves out all other faults than the death of agents.
-	onlyKills bool
-	// noTwins: a replaced agent is never left running beside its successor.
-	noTwins bool
-	variant func(*btswitch.Lead, *btswitch.Member)
-	// onSend sees each message before it is sent.
+	// sendKillRate is the share of messages whose sender is killed on sending.
+	sendKillRate float64
+	// wrongLeadRate is the share of agents' views that name a wrong lead.
+	wrongLeadRate float64
+	// ignoreAssertions checks only the steps taken, not the assertions of the code.
+	ignoreAssertions bool
+	// agentKillsOnly limits the faults of injectFault to kills of agents.
+	agentKillsOnly bool
+	// noOverlap: a replaced agent never runs on beside its successor.
+	noOverlap bool
+	variant   func(*btswitch.Lead, *btswitch.Member)
+	// onSend is called with each message before it is sent.
 	onSend func(s *sim, from *agent, to btid.Target, m btswitch.Message)
 }
 
-// timed is one thing to happen.
-type timed struct {
+// simEvent is a function to run at a simulated time.
+type simEvent struct {
 	at  time.Time
 	run func()
 }
 
-// sim is a group with its agents and engines on a network with faults.
+// sim simulates a group's agents and engines on a network with faults.
 type sim struct {
 	o      simOptions
 	random *rand.Rand
 	now    time.Time
 	start  time.Time
-	// events is ordered by time, the next one last.
-	events  []timed
-	targets []btid.Target
-	hosts   map[btid.Target]*host
-	members btswitch.Members
-	cut     map[btid.Target]bool
-	faulty  bool
+	// events is sorted by descending time.
+	events      []simEvent
+	targets     []btid.Target
+	hosts       map[btid.Target]*host
+	members     btswitch.Members
+	partitioned map[btid.Target]bool
+	faulty      bool
 
-	violation string
-	steps     int
-	lastStep  time.Time
-	longest   time.Duration
-	decided   []btswitch.RoundResult
-	needed    int
-	maps      int
-	lives     uint64
+	violation    string
+	steps        int
+	lastStepAt   time.Time
+	longestStall time.Duration
+	results      []btswitch.RoundResult
+	mapRequests  int
+	proposals    int
+	incarnations uint64
 }
 
-// host is one target's slot: its engine, and the agent beside it.
+// host runs a target's engine and the agent beside it.
 type host struct {
-	target btid.Target
-	engine *engine
-	agent  *agent
-	twins  []*agent
+	target   btid.Target
+	engine   *engine
+	agent    *agent
+	replaced []*agent
 }
 
-// agent is one life of the process beside an engine.
+// agent is one incarnation of the agent process beside an engine.
 type agent struct {
 	s      *sim
 	host   *host
@@ -108,11 +108,11 @@
 
 func newSim(o simOptions) *sim {
 	s := &sim{
-		o:      o,
-		random: rand.New(rand.NewPCG(o.seed, 7)),
-		now:    time.Unix(1_000_000, 0),
-		hosts:  make(map[btid.Target]*host),
-		cut:    make(map[btid.Target]bool),
+		o:           o,
+		random:      rand.New(rand.NewPCG(o.seed, 7)),
+		now:         time.Unix(1_000_000, 0),
+		hosts:       make(map[btid.Target]*host),
+		partitioned: make(map[btid.Target]bool),
 	}
 	s.start = s.now
 	for i := range o.ranks + o.spares {
@@ -122,10 +122,10 @@
 	}
 	s.members = s.membership(1, s.targets[:o.ranks])
 	for _, t := range s.targets {
-		s.launch(s.hosts[t])
+		s.startAgent(s.hosts[t])
 	}
-	s.after(0, s.everyTick)
-	s.after(0, s.everyView)
+	s.schedule(0, s.tickAgents)
+	s.schedule(0, s.updateViews)
 	return s
 }
 
@@ -137,15 +137,15 @@
 	return m
 }
 
-func (s *sim) after(d time.Duration, run func()) {
+func (s *sim) schedule(d time.Duration, run func()) {
 	at := s.now.Add(d)
-	i, _ := slices.BinarySearchFunc(s.events, at, func(e timed, at time.Time) int {
+	i, _ := slices.BinarySearchFunc(s.events, at, func(e simEvent, at time.Time) int {
 		return cmp.Or(at.Compare(e.at), 1)
 	})
-	s.events = slices.Insert(s.events, i, timed{at: at, run: run})
+	s.events = slices.Insert(s.events, i, simEvent{at: at, run: run})
 }
 
-// run lets the time pass, or ends early at a violation.
+// run simulates the given time, or less if an invariant is violated.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for s.violation == "" && len(s.events) > 0 {
@@ -171,17 +171,17 @@
 	set.MeanBackoff = 200 * time.Millisecond
 	set.RetryInterval = 100 * time.Millisecond
 	set.IdleTimeout = 500 * time.Millisecond
-	set.SettleDelay = s.o.settle
+	set.SettleDelay = s.o.settleDelay
 	return set
 }
 
-// launch starts a new life of a host's agent.
-func (s *sim) launch(h *host) {
-	s.lives++
-	self := btid.Executor{Target: h.target, Incarnation: btid.Incarnation(s.now.UnixNano()) + btid.Incarnation(s.lives)}
+// startAgent starts a new incarnation of a host's agent.
+func (s *sim) startAgent(h *host) {
+	s.incarnations++
+	self := btid.Executor{Target: h.target, Incarnation: btid.Incarnation(s.now.UnixNano()) + btid.Incarnation(s.incarnations)}
 	asserter := btassert.New(btassert.SinkFunc(func(v btassert.Violation) {
-		if !s.o.stepsOnly {
-			s.violated(v.Error())
+		if !s.o.ignoreAssertions {
+			s.recordViolation(v.Error())
 		}
 	}))
 	a := &agent{s: s, host: h, self: self}
@@ -193,35 +193,35 @@
 	h.agent = a
 }
 
-func (s *sim) violated(what string) {
+func (s *sim) recordViolation(what string) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf("after %v: %s", s.now.Sub(s.start), what)
 	}
 }
 
-func (s *sim) everyTick() {
+func (s *sim) tickAgents() {
 	for _, t := range s.targets {
 		h := s.hosts[t]
-		for _, a := range append(h.twins[:len(h.twins):len(h.twins)], h.agent) {
+		for _, a := range append(h.replaced[:len(h.replaced):len(h.replaced)], h.agent) {
 			if a != nil && !a.paused {
 				a.do(func() { a.memberStep(btswitch.Tick{}); a.leadStep(btswitch.Tick{}) })
 			}
 		}
 	}
 	s.step()
-	s.after(100*time.Millisecond, s.everyTick)
+	s.schedule(100*time.Millisecond, s.tickAgents)
 }
 
-// everyView gives each agent its view of the bundle and of the elected lead,
-// which may be wrong while there are faults.
-func (s *sim) everyView() {
+// updateViews gives each agent its view of the bundle and of the elected lead. During
+// faults, half of the updates are skipped and the lead may be wrong.
+func (s *sim) updateViews() {
 	for _, t := range s.targets {
 		a := s.hosts[t].agent
 		if a == nil || s.faulty && s.random.Float64() < 0.5 {
 			continue
 		}
 		elected := s.lowestLive()
-		if s.faulty && s.random.Float64() < s.o.wrongView {
+		if s.faulty && s.random.Float64() < s.o.wrongLeadRate {
 			elected = t
 		}
 		members := s.members
@@ -232,7 +232,7 @@
 			a.leadStep(btswitch.Elected{Lead: elected})
 		})
 	}
-	s.after(500*time.Millisecond, s.everyView)
+	s.schedule(500*time.Millisecond, s.updateViews)
 }
 
 func (s *sim) lowestLive() btid.Target {
@@ -244,8 +244,8 @@
 	return ""
 }
 
-// do runs the function in the agent's process: never after its death, and only
-// once it wakes while it is paused.
+// do runs the function in the agent's process: never after its death and, while it is
+// paused, only once it resumes.
 func (a *agent) do(run func()) {
 	switch {
 	case a.dead:
@@ -256,7 +256,7 @@
 	}
 }
 
-func (a *agent) wake() {
+func (a *agent) resume() {
 	a.paused = false
 	inbox := a.inbox
 	a.inbox = nil
@@ -271,9 +271,9 @@
 		case btswitch.Send:
 			a.s.send(a, e)
 		case btswitch.Order:
-			a.s.order(a, e)
+			a.s.sendOrder(a, e)
 		case btswitch.Read:
-			a.s.read(a, e)
+			a.s.readEngine(a, e)
 		}
 	}
 }
@@ -284,25 +284,25 @@
 		case btswitch.Send:
 			a.s.send(a, e)
 		case btswitch.RoundResult:
-			a.s.decided = append(a.s.decided, e)
+			a.s.results = append(a.s.results, e)
 		case btswitch.MapNeeded:
-			a.s.needed++
+			a.s.mapRequests++
 		}
 	}
 }
 
-// step lets the group step as often as engines change: each set of ranks that
-// is ready to step together does, and must have one map.
+// step steps each set of ranks that is ready to step together. It is called whenever
+// an engine's state may have changed.
 func (s *sim) step() {
 	for _, t := range s.targets {
 		ranks := s.hosts[t].engine.ready()
-		if len(ranks) > 0 && ranks[0] == t && s.ready(ranks) {
+		if len(ranks) > 0 && ranks[0] == t && s.allReady(ranks) {
 			s.takeStep(ranks)
 		}
 	}
 }
 
-func (s *sim) ready(ranks []btid.Target) bool {
+func (s *sim) allReady(ranks []btid.Target) bool {
 	members := s.hosts[ranks[0]].engine.state.InForce.Members
 	for _, t := range ranks {
 		e := s.hosts[t].engine
@@ -319,20 +319,20 @@
 		e := s.hosts[t].engine
 		e.state.Step++
 		if e.state.InForce.Map != first.Map {
-			s.violated(fmt.Sprintf("step_single_map: %s steps on %.8s, %s on %.8s", ranks[0], first.Map, t, e.state.InForce.Map))
+			s.recordViolation(fmt.Sprintf("step_single_map: %s steps on %.8s, %s on %.8s", ranks[0], first.Map, t, e.state.InForce.Map))
 		}
 	}
 	s.steps++
 	if s.steps > 1 {
-		s.longest = max(s.longest, s.now.Sub(s.lastStep))
+		s.longestStall = max(s.longestStall, s.now.Sub(s.lastStepAt))
 	}
-	s.lastStep = s.now
+	s.lastStepAt = s.now
 }
 
-// propose hands a new map to the agent that the run regards as lead.
+// propose gives a new map to the lead of the target's agent and returns its digest.
 func (s *sim) propose(to btid.Target) btbundle.Digest {
-	s.maps++
-	encoded := fmt.Appendf(nil, "map %d", s.maps)
+	s.proposals++
+	encoded := fmt.Appendf(nil, "map %d", s.proposals)
 	if a := s.hosts[to].agent; a != nil {
 		a.do(func() { a.leadStep(btswitch.Propose{Map: encoded, Cause: "drift"}) })
 	}
--- a/core/btswitch/version.go
+++ b/core/btswitch/version.go
@@ -11,17 +11,17 @@
 	"bilberrytide/core/btid"
 )
 
-// ErrVersion is wrapped by the error of every malformed version text.
+// ErrVersion is wrapped by the error of every malformed version.
 var ErrVersion = errors.New("malformed map version")
 
-// Ballot numbers a round. No two rounds share one: a lead's incarnation never
-// uses a number twice. The zero Ballot is below all others.
+// Ballot identifies a round and orders it among the others. Ballots are unique, as
+// no incarnation of a lead uses a number twice. The zero Ballot is below all others.
 type Ballot struct {
 	Number uint64        `cbor:"number" json:"number"`
 	Lead   btid.Executor `cbor:"lead" json:"lead"`
 }
 
-// Compare orders ballots by number, then by their lead.
+// Compare orders ballots by number, then by lead.
 func (b Ballot) Compare(o Ballot) int {
 	return cmp.Or(
 		cmp.Compare(b.Number, o.Number),
@@ -30,13 +30,13 @@
 	)
 }
 
-// IsZero tells whether the ballot is that of no round.
+// IsZero reports whether the ballot belongs to no round.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// String writes the ballot as it stands in logs.
+// String formats the ballot for logs, as "number/lead".
 func (b Ballot) String() string { return strconv.FormatUint(b.Number, 10) + "/" + b.Lead.String() }
 
-// Validate reports a ballot that no lead could have issued.
+// Validate returns an error for a ballot that no lead can issue.
 func (b Ballot) Validate() error {
 	if b.Number == 0 {
 		return errors.New("ballot: number must not be zero")
@@ -47,31 +47,31 @@
 	return nil
 }
 
-// Version names one staging of a map: the map, the ranks that it is for, and
+// Version identifies one staging of a map: the map, the members that it is for and
 // the ballot of the round that staged it. No two rounds share a version, so an
-// order that names a version can't be mistaken for one of another round.
+// order that names one can't be taken for an order of another round.
 //
-// An engine's own initial map has a version with no ballot.
+// The version of an engine's initial map has no ballot.
 type Version struct {
 	Map     btbundle.Digest `cbor:"map"`
 	Members btbundle.Digest `cbor:"members"`
 	Ballot  Ballot          `cbor:"ballot"`
 }
 
-// IsZero tells whether the version is that of no map.
+// IsZero reports whether the version names no map.
 func (v Version) IsZero() bool { return v == Version{} }
 
-// Agreed tells whether a round put the version in force, in contrast to an
-// engine's own initial map.
+// Agreed reports whether a round staged the version; an engine's initial map has
+// no round.
 func (v Version) Agreed() bool { return !v.Ballot.IsZero() }
 
-// SameMap tells whether two versions have the same map for the same ranks.
+// SameMap reports whether both versions have the same map for the same members.
 func (v Version) SameMap(o Version) bool { return v.Map == o.Map && v.Members == o.Members }
 
 const versionSeparator = "/"
 
-// String writes the version as engines see it: empty for none, the map's digest
-// for an initial map, else "map/members/number/target/incarnation".
+// String formats the version as engines see it: empty for the zero version, the
+// map's digest for an initial map, else "map/members/number/target/incarnation".
 func (v Version) String() string {
 	switch {
 	case v.IsZero():
@@ -88,10 +88,10 @@
 	}, versionSeparator)
 }
 
-// MarshalText writes the version as String does.
+// MarshalText encodes the version in the format of String.
 func (v Version) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// UnmarshalText reads what String writes. The error wraps ErrVersion.
+// UnmarshalText parses the format of String. Its errors wrap ErrVersion.
 func (v *Version) UnmarshalText(text []byte) error {
 	*v = Version{}
 	if len(text) == 0 {
@@ -132,8 +132,8 @@
 	return v.Validate()
 }
 
-// Validate reports a version that no round could have staged. The zero version
-// and an initial map's are valid. The error wraps ErrVersion.
+// Validate returns an error for a version that no round can stage. The zero
+// version and that of an initial map are valid. Its errors wrap ErrVersion.
 func (v Version) Validate() error {
 	if !v.Agreed() {
 		if !v.Members.IsZero() {
