--- a/commands/btstagescmd/btstagescmd.go
+++ b/commands/btstagescmd/btstagescmd.go
@@ -89,7 +89,7 @@
 	for number := 1; scanner.Scan(); number++ {
 		line, err := btstage.DecodeLine(scanner.Text())
 		switch {
-		case errors.Is(err, btstage.ErrOther):
+		case errors.Is(err, btstage.ErrNotRequestEnd):
 		case err != nil:
 			return fmt.Errorf("%s: line %d: %w", name, number, err)
 		case c.service == "" || btid.Service(c.service) == line.Service:
@@ -108,16 +108,16 @@
 func (c *stagesCommand) print(rows []btstage.Row) error {
 	most := 1
 	for _, r := range rows {
-		most = max(most, r.InTime+r.Late+r.Refused+r.Failed)
+		most = max(most, r.OnTime+r.Late+r.Refused+r.Failed)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "time\tin_time\tlate\trefused\tfailed")
-	for s := range btstage.Stages {
+	for s := range btstage.NumStages {
 		fmt.Fprintf(w, "\t%s_ms", s)
 	}
 	fmt.Fprintln(w, "\t")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d", r.From.UTC().Format("15:04:05.000"), r.InTime, r.Late, r.Refused, r.Failed)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d", r.From.UTC().Format("15:04:05.000"), r.OnTime, r.Late, r.Refused, r.Failed)
 		for _, took := range r.Median {
 			fmt.Fprintf(w, "\t%d", took.Milliseconds())
 		}
@@ -129,5 +129,5 @@
 // bar draws a row's requests beside the largest row's.
 func bar(r btstage.Row, most int) string {
 	part := func(count int) int { return count * barWidth / most }
-	return strings.Repeat("#", part(r.InTime)) + strings.Repeat("+", part(r.Late)) + strings.Repeat(".", part(r.Refused+r.Failed))
+	return strings.Repeat("#", part(r.OnTime)) + strings.Repeat("+", part(r.Late)) + strings.Repeat(".", part(r.Refused+r.Failed))
 }
--- a/commands/btstagescmd/btstagescmd_test.go
+++ b/commands/btstagescmd/btstagescmd_test.go
@@ -42,7 +42,7 @@
 
 func TestStagesNamesWhatItCannotRead(t *testing.T) {
 	_, err := run(t, log+`{"time":"2026-01-02T03:04:08Z","msg":"request served","begin_ms":-1}`)
-	assert.ErrorIs(t, err, btstage.ErrLine)
+	assert.ErrorIs(t, err, btstage.ErrMalformed)
 	assert.ErrorContains(t, err, "edge.log: line 6")
 	_, err = run(t, "started\n")
 	assert.ErrorIs(t, err, btstagescmd.ErrNothing)
--- a/core/btstage/btstage.go
+++ b/core/btstage/btstage.go
@@ -21,18 +21,18 @@
 	// GroupWait is the wait for a broken group, PlaceWait the wait for a place.
 	GroupWait Stage = iota
 	PlaceWait
-	// Begin is from the place to the first event: the way, the target's queue and the
+	// TimeToFirstEvent is from the place to the first event: the way, the target's queue and the
 	// reading of the prompt.
-	Begin
-	// Pause is the longest pause between two events.
-	Pause
-	// Stages is how many there are.
-	Stages
+	TimeToFirstEvent
+	// LongestPause is the longest pause between two events.
+	LongestPause
+	// NumStages is how many there are.
+	NumStages
 )
 
 // String is the stage's name in tables.
 func (s Stage) String() string {
-	return [Stages]string{"group_wait", "place_wait", "begin", "longest_pause"}[s]
+	return [NumStages]string{"group_wait", "place_wait", "begin", "longest_pause"}[s]
 }
 
 // Line is what is read of a log line about a request that has ended.
@@ -44,21 +44,21 @@
 	// Sample is how many requests of its kind the line stands for; none means one.
 	Sample int  `json:"sample"`
 	Late   bool `json:"late"`
-	// LeftOut is how many lines of the same message are missing before this one.
-	LeftOut int `json:"left_out"`
+	// Omitted is how many lines of the same message are missing before this one.
+	Omitted int `json:"left_out"`
 
-	GroupWaitMillis    int64 `json:"group_wait_ms"`
-	PlaceWaitMillis    int64 `json:"place_wait_ms"`
-	BeginMillis        int64 `json:"begin_ms"`
-	LongestPauseMillis int64 `json:"longest_pause_ms"`
+	GroupWaitMillis        int64 `json:"group_wait_ms"`
+	PlaceWaitMillis        int64 `json:"place_wait_ms"`
+	TimeToFirstEventMillis int64 `json:"begin_ms"`
+	LongestPauseMillis     int64 `json:"longest_pause_ms"`
 }
 
 // Errors of lines that are passed over.
 var (
-	// ErrOther is the error of a line that is not about the end of a request.
-	ErrOther = errors.New("not the end of a request")
-	// ErrLine is the error of a line that can't be read.
-	ErrLine = errors.New("malformed line")
+	// ErrNotRequestEnd is the error of a line that is not about the end of a request.
+	ErrNotRequestEnd = errors.New("not the end of a request")
+	// ErrMalformed is the error of a line that can't be read.
+	ErrMalformed = errors.New("malformed line")
 )
 
 // ends are the messages of the lines that are counted. A request that failed and was told
@@ -72,18 +72,19 @@
 )
 
 // DecodeLine decodes and checks a line. What stands before its object, such as a
-// collector's own prefix, is passed over. Every error wraps ErrOther or ErrLine.
+// collector's own prefix, is passed over. Every error wraps
+// ErrNotRequestEnd or ErrMalformed.
 func DecodeLine(text string) (Line, error) {
 	begin := strings.IndexByte(text, '{')
 	if begin < 0 {
-		return Line{}, ErrOther
+		return Line{}, ErrNotRequestEnd
 	}
 	var l Line
 	if err := json.Unmarshal([]byte(text[begin:]), &l); err != nil {
-		return Line{}, fmt.Errorf("%w: %w", ErrLine, err)
+		return Line{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if !slices.Contains(ends, l.Message) {
-		return Line{}, ErrOther
+		return Line{}, ErrNotRequestEnd
 	}
 	return l, l.validate()
 }
@@ -91,35 +92,35 @@
 // validate reports a line that no entry writes.
 func (l *Line) validate() error {
 	if l.Time.IsZero() {
-		return fmt.Errorf("%w: no time", ErrLine)
+		return fmt.Errorf("%w: no time", ErrMalformed)
 	}
-	if l.Sample < 0 || l.LeftOut < 0 {
-		return fmt.Errorf("%w: sample %d, %d left out", ErrLine, l.Sample, l.LeftOut)
+	if l.Sample < 0 || l.Omitted < 0 {
+		return fmt.Errorf("%w: sample %d, %d left out", ErrMalformed, l.Sample, l.Omitted)
 	}
 	for s, millis := range l.millis() {
 		if millis < 0 {
-			return fmt.Errorf("%w: %s of %d ms", ErrLine, Stage(s), millis)
+			return fmt.Errorf("%w: %s of %d ms", ErrMalformed, Stage(s), millis)
 		}
 	}
 	return nil
 }
 
-func (l *Line) millis() [Stages]int64 {
-	return [Stages]int64{l.GroupWaitMillis, l.PlaceWaitMillis, l.BeginMillis, l.LongestPauseMillis}
+func (l *Line) millis() [NumStages]int64 {
+	return [NumStages]int64{l.GroupWaitMillis, l.PlaceWaitMillis, l.TimeToFirstEventMillis, l.LongestPauseMillis}
 }
 
 // weight is how many requests the line stands for, those of missing lines among them.
-func (l *Line) weight() int { return max(l.Sample, 1) * (1 + l.LeftOut) }
+func (l *Line) weight() int { return max(l.Sample, 1) * (1 + l.Omitted) }
 
 // Row is what is told of the requests that ended within one span of time.
 type Row struct {
 	// From is when the span began.
 	From time.Time
-	// InTime, Late, Refused and Failed count requests; a line of a sample counts for all
+	// OnTime, Late, Refused and Failed count requests; a line of a sample counts for all
 	// that it stands for.
-	InTime, Late, Refused, Failed int
+	OnTime, Late, Refused, Failed int
 	// Median is what each stage took of those that were served, in the middle.
-	Median [Stages]time.Duration
+	Median [NumStages]time.Duration
 }
 
 // Table tells of spans of equal length.
@@ -132,7 +133,7 @@
 // counted is a row in the making.
 type counted struct {
 	Row
-	took [Stages][]weighted
+	took [NumStages][]weighted
 }
 
 type weighted struct {
@@ -171,7 +172,7 @@
 	if l.Late {
 		c.Late += l.weight()
 	} else {
-		c.InTime += l.weight()
+		c.OnTime += l.weight()
 	}
 	for s, millis := range l.millis() {
 		c.took[s] = append(c.took[s], weighted{millis: millis, weight: l.weight()})
--- a/core/btstage/btstage_test.go
+++ b/core/btstage/btstage_test.go
@@ -22,13 +22,13 @@
 		text string
 		want error
 	}{
-		"no object":       {`started`, btstage.ErrOther},
-		"another message": {`{"time":"2026-01-02T03:04:05Z","msg":"request retried"}`, btstage.ErrOther},
-		"not JSON":        {`{"msg"`, btstage.ErrLine},
-		"of another type": {`{"time":"2026-01-02T03:04:05Z","msg":"request served","begin_ms":"5"}`, btstage.ErrLine},
-		"no time":         {`{"msg":"request served"}`, btstage.ErrLine},
-		"negative":        {`{"time":"2026-01-02T03:04:05Z","msg":"request served","begin_ms":-1}`, btstage.ErrLine},
-		"negative sample": {`{"time":"2026-01-02T03:04:05Z","msg":"request served","sample":-1}`, btstage.ErrLine},
+		"no object":       {`started`, btstage.ErrNotRequestEnd},
+		"another message": {`{"time":"2026-01-02T03:04:05Z","msg":"request retried"}`, btstage.ErrNotRequestEnd},
+		"not JSON":        {`{"msg"`, btstage.ErrMalformed},
+		"of another type": {`{"time":"2026-01-02T03:04:05Z","msg":"request served","begin_ms":"5"}`, btstage.ErrMalformed},
+		"no time":         {`{"msg":"request served"}`, btstage.ErrMalformed},
+		"negative":        {`{"time":"2026-01-02T03:04:05Z","msg":"request served","begin_ms":-1}`, btstage.ErrMalformed},
+		"negative sample": {`{"time":"2026-01-02T03:04:05Z","msg":"request served","sample":-1}`, btstage.ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := btstage.DecodeLine(c.text)
@@ -51,8 +51,8 @@
 		table.Add(decode(t, text))
 	}
 	at := time.Date(2026, 1, 2, 3, 4, 4, 0, time.UTC)
-	first := btstage.Row{From: at, InTime: 50, Late: 1, Failed: 1}
-	first.Median[btstage.Begin] = 100 * time.Millisecond
+	first := btstage.Row{From: at, OnTime: 50, Late: 1, Failed: 1}
+	first.Median[btstage.TimeToFirstEvent] = 100 * time.Millisecond
 	assert.DeepEqual(t, table.Rows(), []btstage.Row{first, {From: at.Add(2 * time.Second), Refused: 5}})
 }
 
@@ -62,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		l, err := btstage.DecodeLine(text)
 		if err != nil {
-			assert.Assert(t, errors.Is(err, btstage.ErrOther) || errors.Is(err, btstage.ErrLine))
+			assert.Assert(t, errors.Is(err, btstage.ErrNotRequestEnd) || errors.Is(err, btstage.ErrMalformed))
 			return
 		}
 		table := btstage.New(time.Second)
