--- a/core/btstage/btstage.go
+++ b/core/btstage/btstage.go
@@ -1,5 +1,6 @@
-// Package btstage tells from entries' log lines where the time of requests went: waiting
-// for a group, waiting for a place, until the answer began, and in its pauses.
+// Package btstage breaks the time of requests down into stages, by the log lines
+// of entries: the wait for a group, the wait for a place, the time to the first
+// event and the longest pause between events.
 package btstage
 
 import (
@@ -21,30 +22,32 @@
 	// GroupWait is the wait for a broken group, PlaceWait the wait for a place.
 	GroupWait Stage = iota
 	PlaceWait
-	// TimeToFirstEvent is from the place to the first event: the way, the target's queue and the
-	// reading of the prompt.
+	// TimeToFirstEvent is from the place to the first event. It includes the
+	// network, the target's queue and the processing of the prompt.
 	TimeToFirstEvent
-	// LongestPause is the longest pause between two events.
+	// LongestPause is the longest time between two events.
 	LongestPause
-	// NumStages is how many there are.
+	// NumStages is the number of stages.
 	NumStages
 )
 
-// String is the stage's name in tables.
+// String returns the stage's name in tables.
 func (s Stage) String() string {
 	return [NumStages]string{"group_wait", "place_wait", "begin", "longest_pause"}[s]
 }
 
-// Line is what is read of a log line about a request that has ended.
+// Line has the fields used of a log line about the end of a request.
 type Line struct {
 	Time    time.Time    `json:"time"`
 	Message string       `json:"msg"`
 	Service btid.Service `json:"service"`
 	Request string       `json:"request"`
-	// Sample is how many requests of its kind the line stands for; none means one.
+	// Sample is the number of requests of the same kind that a sampled line stands
+	// for; zero means one.
 	Sample int  `json:"sample"`
 	Late   bool `json:"late"`
-	// Omitted is how many lines of the same message are missing before this one.
+	// Omitted is the number of lines with the same message that were left out
+	// before this one.
 	Omitted int `json:"left_out"`
 
 	GroupWaitMillis        int64 `json:"group_wait_ms"`
@@ -53,17 +56,20 @@
 	LongestPauseMillis     int64 `json:"longest_pause_ms"`
 }
 
-// Errors of lines that are passed over.
+// Errors of lines that are skipped.
 var (
-	// ErrNotRequestEnd is the error of a line that is not about the end of a request.
+	// ErrNotRequestEnd is the error of a line that is not about the end of a
+	// request.
 	ErrNotRequestEnd = errors.New("not the end of a request")
-	// ErrMalformed is the error of a line that can't be read.
+	// ErrMalformed is the error of a line that can't be parsed or has invalid
+	// fields.
 	ErrMalformed = errors.New("malformed line")
 )
 
-// ends are the messages of the lines that are counted. A request that failed and was told
-// so has two, of which the refusal is the one.
-var ends = []string{served, failed, refused}
+// endMessages are the messages of lines that are counted. A failed request whose
+// caller was told so has two lines, "request failed" and "request refused", which
+// count as one end.
+var endMessages = []string{served, failed, refused}
 
 const (
 	served  = "request served"
@@ -71,25 +77,25 @@
 	refused = "request refused"
 )
 
-// DecodeLine decodes and checks a line. What stands before its object, such as a
-// collector's own prefix, is passed over. Every error wraps
-// ErrNotRequestEnd or ErrMalformed.
+// DecodeLine decodes and validates a line. It skips any prefix before the JSON
+// object, such as a log collector's. Every error wraps ErrNotRequestEnd or
+// ErrMalformed.
 func DecodeLine(text string) (Line, error) {
-	begin := strings.IndexByte(text, '{')
-	if begin < 0 {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, ErrNotRequestEnd
 	}
 	var l Line
-	if err := json.Unmarshal([]byte(text[begin:]), &l); err != nil {
+	if err := json.Unmarshal([]byte(text[start:]), &l); err != nil {
 		return Line{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if !slices.Contains(ends, l.Message) {
+	if !slices.Contains(endMessages, l.Message) {
 		return Line{}, ErrNotRequestEnd
 	}
 	return l, l.validate()
 }
 
-// validate reports a line that no entry writes.
+// validate returns an error for a line that no entry writes.
 func (l *Line) validate() error {
 	if l.Time.IsZero() {
 		return fmt.Errorf("%w: no time", ErrMalformed)
@@ -109,82 +115,84 @@
 	return [NumStages]int64{l.GroupWaitMillis, l.PlaceWaitMillis, l.TimeToFirstEventMillis, l.LongestPauseMillis}
 }
 
-// weight is how many requests the line stands for, those of missing lines among them.
+// weight returns the number of requests that the line stands for, including those
+// of omitted lines.
 func (l *Line) weight() int { return max(l.Sample, 1) * (1 + l.Omitted) }
 
-// Row is what is told of the requests that ended within one span of time.
+// Row sums up the requests that ended within one interval.
 type Row struct {
-	// From is when the span began.
+	// From is the start of the interval.
 	From time.Time
-	// OnTime, Late, Refused and Failed count requests; a line of a sample counts for all
-	// that it stands for.
+	// OnTime, Late, Refused and Failed are numbers of requests. A line counts with
+	// the number of requests that it stands for.
 	OnTime, Late, Refused, Failed int
-	// Median is what each stage took of those that were served, in the middle.
+	// Median is the median duration of each stage of the served requests.
 	Median [NumStages]time.Duration
 }
 
-// Table tells of spans of equal length.
+// Table sums up requests by intervals of equal length.
 type Table struct {
-	span  time.Duration
-	rows  map[time.Time]*counted
-	ended map[string]time.Time
+	interval       time.Duration
+	rows           map[time.Time]*rowBuilder
+	failedRequests map[string]time.Time
 }
 
-// counted is a row in the making.
-type counted struct {
+// rowBuilder collects the values of a row.
+type rowBuilder struct {
 	Row
-	took [NumStages][]weighted
+	durations [NumStages][]weightedMillis
 }
 
-type weighted struct {
+type weightedMillis struct {
 	millis int64
 	weight int
 }
 
-// New returns an empty table of spans of the length, which is at least a millisecond.
-func New(span time.Duration) *Table {
-	return &Table{span: max(span, time.Millisecond), rows: make(map[time.Time]*counted), ended: make(map[string]time.Time)}
+// New returns an empty table with intervals of the given length, at least a
+// millisecond.
+func New(interval time.Duration) *Table {
+	return &Table{interval: max(interval, time.Millisecond), rows: make(map[time.Time]*rowBuilder), failedRequests: make(map[string]time.Time)}
 }
 
-// Add counts a line. The refusal of a request whose failure has been counted is the same
-// end.
+// Add counts a line. A request whose failure was counted isn't counted again as
+// refused.
 func (t *Table) Add(l Line) {
-	from := l.Time.Truncate(t.span)
+	from := l.Time.Truncate(t.interval)
 	row, found := t.rows[from]
 	if !found {
-		row = &counted{Row: Row{From: from}}
+		row = &rowBuilder{Row: Row{From: from}}
 		t.rows[from] = row
 	}
 	switch l.Message {
 	case refused:
-		if _, counted := t.ended[l.Request]; !counted {
+		if _, counted := t.failedRequests[l.Request]; !counted {
 			row.Refused += l.weight()
 		}
 	case failed:
-		t.ended[l.Request] = l.Time
+		t.failedRequests[l.Request] = l.Time
 		row.Failed += l.weight()
 	case served:
-		row.served(l)
+		row.addServed(l)
 	}
 }
 
-func (c *counted) served(l Line) {
+func (c *rowBuilder) addServed(l Line) {
 	if l.Late {
 		c.Late += l.weight()
 	} else {
 		c.OnTime += l.weight()
 	}
 	for s, millis := range l.millis() {
-		c.took[s] = append(c.took[s], weighted{millis: millis, weight: l.weight()})
+		c.durations[s] = append(c.durations[s], weightedMillis{millis: millis, weight: l.weight()})
 	}
 }
 
-// Rows returns the spans in which any request ended, the earliest first.
+// Rows returns the intervals in which any request ended, earliest first.
 func (t *Table) Rows() []Row {
 	var rows []Row
 	for _, c := range t.rows {
-		for s := range c.took {
-			c.Median[s] = median(c.took[s])
+		for s := range c.durations {
+			c.Median[s] = median(c.durations[s])
 		}
 		rows = append(rows, c.Row)
 	}
@@ -192,9 +200,9 @@
 	return rows
 }
 
-// median returns the value at the middle of all weights, zero without any.
-func median(list []weighted) time.Duration {
-	slices.SortFunc(list, func(a, b weighted) int { return int(a.millis - b.millis) })
+// median returns the weighted median, zero for an empty list.
+func median(list []weightedMillis) time.Duration {
+	slices.SortFunc(list, func(a, b weightedMillis) int { return int(a.millis - b.millis) })
 	total := 0
 	for _, w := range list {
 		total += w.weight
--- a/core/btstage/btstage_test.go
+++ b/core/btstage/btstage_test.go
@@ -17,7 +17,7 @@
 	return l
 }
 
-func TestLinesThatAreNotCounted(t *testing.T) {
+func TestDecodeLineErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want error
@@ -37,9 +37,10 @@
 	}
 }
 
-// A served line stands for its sample, a line for those that were left out before it, a failed request that was told so is one end, and
-// medians go by what lines stand for.
-func TestTheTableCountsWhatLinesStandFor(t *testing.T) {
+// A sampled line counts for its sample, and a line after omitted ones for these as
+// well. A failed request that was also refused is one end, and medians use the
+// same weights.
+func TestTableCountsByWeight(t *testing.T) {
 	table := btstage.New(2 * time.Second)
 	for _, text := range []string{
 		`edge-1 {"time":"2026-01-02T03:04:04.1Z","msg":"request served","request":"a","sample":50,"begin_ms":100}`,
