--- a/core/btstop/btstop.go
+++ b/core/btstop/btstop.go
@@ -1,23 +1,25 @@
-// Package btstop plans the planned stop of an entry: what it takes and refuses at
-// which moment, so that nothing that it has read is cut at the end.
+// Package btstop plans the graceful shutdown of an entry: which requests it accepts
+// and refuses at what time, so that no request that it has read is cut off at the
+// end.
 package btstop
 
 import "time"
 
 const (
-	// BalancerLag is how long the balancer may send new connections after the
-	// readiness check began to fail: it asks each second and acts on the second
-	// miss.
+	// BalancerLag is how long the external load balancer may send new connections
+	// after the readiness check starts to fail: it checks each second and acts on
+	// the second failure.
 	BalancerLag = 2500 * time.Millisecond
-	// ExitMargin is kept of the grace for the end of the process itself.
+	// ExitMargin is the part of the grace period reserved for the exit of the
+	// process itself.
 	ExitMargin = 500 * time.Millisecond
-	// AnswerReserve is how long before the end the last request is taken. Short
-	// requests have deadlines of 1 to 1.5 s on the deployments known, so that one
-	// taken in the last moment is answered before the connections are closed.
+	// AnswerReserve is how long before the end the last request is accepted. Short
+	// requests have deadlines of 1 to 1.5 s in the known deployments, so that one
+	// accepted last is answered before the connections are closed.
 	AnswerReserve = 1500 * time.Millisecond
-	// maxReserve is the part of the grace that the reserve may take: a short grace
-	// is to leave time to serve.
-	maxReserve = 0.25
+	// maxReserveShare bounds AnswerReserve as a share of the grace period, so that a
+	// short one leaves time to serve.
+	maxReserveShare = 0.25
 )
 
 // Phase is what a stopping entry does with a request that it has just read.
@@ -26,44 +28,45 @@
 const (
 	// Serving: every request is served.
 	Serving Phase = "serving"
-	// NoStreams: streams are refused, with the time to come back; others are
-	// served.
+	// NoStreams: streams are refused with the time after which to retry; other
+	// requests are served.
 	NoStreams Phase = "no_streams"
-	// Refusing: every request is refused as not run, with the time to come back,
-	// while those that were taken are answered.
+	// Refusing: every request is refused as not run, with the time after which to
+	// retry. Accepted ones are still answered.
 	Refusing Phase = "refusing"
-	// Ended: all that is left is cut.
+	// Ended: whatever is still open is cut off.
 	Ended Phase = "ended"
 )
 
-// Plan holds the moments of a stop, as times since it began.
+// Plan has the times of a shutdown, relative to its start.
 type Plan struct {
-	// LastStream is until when streams are taken.
-	LastStream time.Duration
-	// LastRequest is until when requests are taken while streams are at work.
-	LastRequest time.Duration
-	// End is until when what was taken is answered.
+	// StreamCutoff is until when streams are accepted.
+	StreamCutoff time.Duration
+	// RequestCutoff is until when other requests are accepted while streams are
+	// open.
+	RequestCutoff time.Duration
+	// End is until when accepted requests are answered.
 	End time.Duration
 }
 
-// New returns the plan for a process that is killed after the grace.
+// New returns the plan for a process that is killed after the grace period.
 func New(grace time.Duration) Plan {
 	end := max(grace-ExitMargin, 0)
-	reserve := min(AnswerReserve, time.Duration(maxReserve*float64(grace)))
+	reserve := min(AnswerReserve, time.Duration(maxReserveShare*float64(grace)))
 	last := max(end-reserve, 0)
-	return Plan{LastStream: min(BalancerLag, last), LastRequest: last, End: end}
+	return Plan{StreamCutoff: min(BalancerLag, last), RequestCutoff: last, End: end}
 }
 
-// Phase returns the phase of a moment since the stop began. Streams tells whether
-// any is at work: without one the stop goes on to its end once the balancer has
-// turned away.
-func (p Plan) Phase(since time.Duration, streams bool) Phase {
+// Phase returns the phase at a time since the start of the shutdown. streams tells
+// whether any stream is open: without one, the entry refuses all requests as soon
+// as the load balancer has stopped sending connections.
+func (p Plan) Phase(elapsed time.Duration, streams bool) Phase {
 	switch {
-	case since >= p.End:
+	case elapsed >= p.End:
 		return Ended
-	case since >= p.LastRequest:
+	case elapsed >= p.RequestCutoff:
 		return Refusing
-	case since < p.LastStream:
+	case elapsed < p.StreamCutoff:
 		return Serving
 	case streams:
 		return NoStreams
--- a/core/btstop/btstop_test.go
+++ b/core/btstop/btstop_test.go
@@ -12,30 +12,30 @@
 
 const grace = 8 * time.Second
 
-func TestWithoutStreamsTheStopEndsOnceTheBalancerHasTurnedAway(t *testing.T) {
+func TestPhaseWithoutStreamsRefusesAfterBalancerLag(t *testing.T) {
 	p := btstop.New(grace)
 	assert.Equal(t, p.Phase(0, false), btstop.Serving)
 	assert.Equal(t, p.Phase(btstop.BalancerLag-1, false), btstop.Serving)
 	assert.Equal(t, p.Phase(btstop.BalancerLag, false), btstop.Refusing)
 }
 
-// Streams that outlast the grace must not leave a request that was just read
-// without the time to be answered.
-func TestStreamsThatOutlastTheGraceLeaveTimeForAnswers(t *testing.T) {
+// While streams outlast the grace period, a request that was just read must still
+// have time to be answered.
+func TestPhaseWithStreamsKeepsAnswerReserve(t *testing.T) {
 	p := btstop.New(grace)
 	assert.Equal(t, p.Phase(btstop.BalancerLag, true), btstop.NoStreams)
-	assert.Equal(t, p.Phase(p.LastRequest-1, true), btstop.NoStreams)
-	assert.Equal(t, p.Phase(p.LastRequest, true), btstop.Refusing)
+	assert.Equal(t, p.Phase(p.RequestCutoff-1, true), btstop.NoStreams)
+	assert.Equal(t, p.Phase(p.RequestCutoff, true), btstop.Refusing)
 	assert.Equal(t, p.Phase(p.End, true), btstop.Ended)
-	assert.Equal(t, p.End-p.LastRequest, btstop.AnswerReserve)
+	assert.Equal(t, p.End-p.RequestCutoff, btstop.AnswerReserve)
 	assert.Equal(t, p.End, grace-btstop.ExitMargin)
 }
 
-// Whatever the grace, the moments are in order and inside it.
-func TestPlansAreInOrder(t *testing.T) {
+// For any grace period, the times of the plan are in order and within it.
+func TestPlanIsOrderedWithinGrace(t *testing.T) {
 	for grace := time.Duration(0); grace <= 12*time.Second; grace += 100 * time.Millisecond {
 		p := btstop.New(grace)
-		assert.Assert(t, 0 <= p.LastStream && p.LastStream <= p.LastRequest && p.LastRequest <= p.End && p.End <= grace, "grace %s: %+v", grace, p)
+		assert.Assert(t, 0 <= p.StreamCutoff && p.StreamCutoff <= p.RequestCutoff && p.RequestCutoff <= p.End && p.End <= grace, "grace %s: %+v", grace, p)
 	}
 }
 
