--- a/core/btround/acceptor.go
+++ b/core/btround/acceptor.go
@@ -19,12 +19,12 @@
 // no ballot lower than the highest that it has heard. It is not safe for
 // concurrent use.
 type Acceptor struct {
-	heard  Ballot
-	record *Record
+	promised Ballot
+	record   *Record
 }
 
-// Heard returns the highest ballot heard.
-func (a *Acceptor) Heard() Ballot { return a.heard }
+// Promised returns the highest ballot heard.
+func (a *Acceptor) Promised() Ballot { return a.promised }
 
 // Accept tells whether a command is to be carried out: its lead isn't outranked.
 //
@@ -32,45 +32,45 @@
 // round. Any other command of a higher ballot voids it, as its lead may have had
 // ranks armed of which the record knows nothing.
 func (a *Acceptor) Accept(c Command) bool {
-	if c.Ballot < a.heard {
+	if c.Ballot < a.promised {
 		return false
 	}
 	claim := c.Kind == Hold && c.Force
-	if c.Ballot > a.heard && !(claim && a.record != nil && a.record.Ballot == a.heard) {
+	if c.Ballot > a.promised && !(claim && a.record != nil && a.record.Ballot == a.promised) {
 		a.record = nil
 	}
-	a.heard = c.Ballot
+	a.promised = c.Ballot
 	return true
 }
 
-// Raise notes a ballot that was heard of otherwise.
-func (a *Acceptor) Raise(b Ballot) {
-	if b > a.heard {
-		a.heard = b
+// RaisePromise notes a ballot that was heard of otherwise.
+func (a *Acceptor) RaisePromise(b Ballot) {
+	if b > a.promised {
+		a.promised = b
 		a.record = nil
 	}
 }
 
-// Note keeps or commits the record of an accepted command's round.
-func (a *Acceptor) Note(c Command) Verdict {
+// UpdateRecord keeps or commits the record of an accepted command's round.
+func (a *Acceptor) UpdateRecord(c Command) Verdict {
 	switch {
-	case c.Kind == Witness && a.keeps(c):
+	case c.Kind == StoreRecord && a.hasRecordFor(c):
 		// A relay that stood still delivers a command twice. Taken for a new one it would
 		// undo the commit, and the round would be ended without its lead's rank, which is
 		// armed by then.
 		return Reached
-	case c.Kind == Witness:
+	case c.Kind == StoreRecord:
 		a.record = &Record{Ballot: c.Ballot, Lead: c.Lead, Epoch: c.Epoch, Version: c.Version}
 		return Reached
-	case c.Kind == Commit && a.keeps(c):
+	case c.Kind == Commit && a.hasRecordFor(c):
 		a.record.Committed = true
 		return Reached
 	}
 	return Refused
 }
 
-// keeps tells whether the record is of the command's round.
-func (a *Acceptor) keeps(c Command) bool {
+// hasRecordFor tells whether the record is of the command's round.
+func (a *Acceptor) hasRecordFor(c Command) bool {
 	return a.record != nil && a.record.Ballot == c.Ballot && a.record.Version == c.Version
 }
 
--- a/core/btround/btround_test.go
+++ b/core/btround/btround_test.go
@@ -24,8 +24,8 @@
 // step for which all were armed could begin.
 var regressions = []uint64{5026, 5127, 5229, 5371, 20298}
 
-// run lists the seeds of a randomised run.
-func run() []uint64 {
+// seedRange lists the seeds of a randomised seedRange.
+func seedRange() []uint64 {
 	list := make([]uint64, *seeds)
 	for i := range list {
 		list[i] = *first + uint64(i)
@@ -35,11 +35,11 @@
 
 func TestRoundsFollowEachOther(t *testing.T) {
 	w := newWorld(1, 16, 0, 0)
-	w.leadBy(0)
+	w.startLead(0)
 	w.run(20 * time.Second)
 	assert.Equal(t, w.split, int64(0))
 	assert.Assert(t, w.switches >= 15, "%d switches", w.switches)
-	assert.Assert(t, w.longest <= 100*time.Millisecond, "held for %s", w.longest)
+	assert.Assert(t, w.longestHold <= 100*time.Millisecond, "held for %s", w.longestHold)
 }
 
 // TestNoStepOnTwoMaps has orders lost or carried out late, leads frozen, killed
@@ -47,25 +47,25 @@
 //
 // In seed 51408 two lives of one rank's lead had the same ballot, and were both obeyed.
 func TestNoStepOnTwoMaps(t *testing.T) {
-	for _, seed := range append([]uint64{51408}, run()...) {
+	for _, seed := range append([]uint64{51408}, seedRange()...) {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		disturb(w)
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
 		assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
-		assert.Assert(t, w.longest < longestHold, "seed %d: held for %s", seed, w.longest)
+		assert.Assert(t, w.longestHold < maxHold, "seed %d: held for %s", seed, w.longestHold)
 	}
 }
 
-// longestHold is for how long a group may be held while leads are replaced every
+// maxHold is for how long a group may be held while leads are replaced every
 // few seconds and a third of the orders are carried out late: two leads that go
 // on outranking each other hold it for the whole run.
-const longestHold = 15 * time.Second
+const maxHold = 15 * time.Second
 
 // TestNoStepOnTwoMapsWithHostsOutOfReach has besides hosts that can't be reached
 // while their engines go on in the group, and agents that start with nothing.
 func TestNoStepOnTwoMapsWithHostsOutOfReach(t *testing.T) {
-	for _, seed := range append(regressions, run()...) {
+	for _, seed := range append(regressions, seedRange()...) {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		disturb(w)
 		isolate(w)
@@ -83,7 +83,7 @@
 // 21323 a lead that saw no rank armed, and not all ready, let the group go on, and an
 // order to arm one was carried out late.
 func TestNoStepOnTwoMapsThroughRelays(t *testing.T) {
-	for _, seed := range append([]uint64{9098, 21323}, run()...) {
+	for _, seed := range append([]uint64{9098, 21323}, seedRange()...) {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		w.relayed = true
 		disturb(w)
@@ -97,7 +97,7 @@
 // TestNoStepOnTwoMapsThroughSuspensions has reports that were read before their hosts were
 // suspended and arrive after newer states that the leads have read themselves.
 func TestNoStepOnTwoMapsThroughSuspensions(t *testing.T) {
-	for _, seed := range run() {
+	for _, seed := range seedRange() {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		w.suspended = true
 		disturb(w)
@@ -111,43 +111,43 @@
 
 // disturb changes who leads every few seconds.
 func disturb(w *world) {
-	w.leadBy(0)
+	w.startLead(0)
 	var again func()
 	again = func() {
-		if w.settled {
+		if w.calm {
 			return
 		}
-		w.after(w.millis(500, 4000), again)
+		w.schedule(w.millis(500, 4000), again)
 		current := w.leads[len(w.leads)-1]
 		switch w.random.IntN(5) {
 		case 0:
 			current.frozen = w.now.Add(w.millis(300, 4000))
-			w.leadBy(btexpert.Rank(w.random.IntN(len(w.engines))))
+			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		case 1:
 			current.dead = true
-			w.leadBy(btexpert.Rank(w.random.IntN(len(w.engines))))
+			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		case 2:
 			// The agents no longer report to it, but it still thinks it leads.
-			current.hears = false
-			w.leadBy(btexpert.Rank(w.random.IntN(len(w.engines))))
+			current.receivesReports = false
+			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		case 3:
-			w.leadBy(btexpert.Rank(w.random.IntN(len(w.engines))))
+			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		case 4:
 			w.busy = !w.busy
-			w.after(w.millis(100, 3000), func() { w.busy = true })
+			w.schedule(w.millis(100, 3000), func() { w.busy = true })
 		}
 	}
-	w.after(time.Second, again)
+	w.schedule(time.Second, again)
 }
 
 // isolate takes hosts out of reach, mostly those of leads, and starts agents anew.
 func isolate(w *world) {
 	var again func()
 	again = func() {
-		if w.settled {
+		if w.calm {
 			return
 		}
-		w.after(w.millis(500, 6000), again)
+		w.schedule(w.millis(500, 6000), again)
 		any := w.engines[w.random.IntN(len(w.engines))]
 		switch w.random.IntN(3) {
 		case 0:
@@ -157,10 +157,10 @@
 		case 2:
 			current := w.leads[len(w.leads)-1]
 			w.engines[current.self].frozen = w.now.Add(w.millis(300, 4000))
-			w.leadBy(btexpert.Rank(w.random.IntN(len(w.engines))))
+			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		}
 	}
-	w.after(time.Second, again)
+	w.schedule(time.Second, again)
 }
 
 // TestNaiveSwitchSplits shows that the run finds a switch without a hold: arm
@@ -183,17 +183,17 @@
 	found := 0
 	for seed := range uint64(60) {
 		w := newWorld(seed, 8, 0, 0)
-		l := w.leadBy(0)
+		l := w.startLead(0)
 		for l.lead.Phase() != btround.Arming && w.now.Sub(w.start) < 20*time.Second {
 			w.run(5 * time.Millisecond)
 		}
 		l.dead = true
-		w.leadBy(3)
+		w.startLead(3)
 		w.run(3 * time.Second)
-		if w.longest > 200*time.Millisecond {
+		if w.longestHold > 200*time.Millisecond {
 			found++
 		}
-		assert.Assert(t, w.longest < 1500*time.Millisecond, "seed %d: held for %s", seed, w.longest)
+		assert.Assert(t, w.longestHold < 1500*time.Millisecond, "seed %d: held for %s", seed, w.longestHold)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
 	}
 	assert.Assert(t, found > 0, "no lead died while the group was held")
@@ -204,17 +204,17 @@
 func freezeWhileHeld(t *testing.T, seed uint64, own bool, phase btround.Phase) time.Duration {
 	t.Helper()
 	w := newWorld(seed, 8, 0, 0)
-	w.own, w.other = own, !own
-	l := w.leadBy(0)
+	w.ownHolder, w.otherHolder = own, !own
+	l := w.startLead(0)
 	for l.lead.Phase() != phase && w.now.Sub(w.start) < 20*time.Second {
 		w.run(5 * time.Millisecond)
 	}
 	w.engines[0].frozen = w.now.Add(4 * time.Second)
-	w.leadBy(3)
+	w.startLead(3)
 	w.run(8 * time.Second)
 	assert.Equal(t, w.split, int64(0), "seed %d", seed)
 	assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
-	return w.longest
+	return w.longestHold
 }
 
 // TestALeadOutOfReachHoldsNobody: a lead whose host can't be reached while the
@@ -247,14 +247,14 @@
 }
 
 func TestRecords(t *testing.T) {
-	witness := btround.Command{Kind: btround.Witness, Ballot: 5, Lead: 2, Epoch: 1, Version: 9}
+	witness := btround.Command{Kind: btround.StoreRecord, Ballot: 5, Lead: 2, Epoch: 1, Version: 9}
 	commit := btround.Command{Kind: btround.Commit, Ballot: 5, Version: 9}
 	claim := btround.Command{Kind: btround.Hold, Force: true, Ballot: 6}
 	recorded := func(commands ...btround.Command) *btround.Record {
 		var a btround.Acceptor
 		for _, c := range commands {
-			if a.Accept(c) && (c.Kind == btround.Witness || c.Kind == btround.Commit) {
-				a.Note(c)
+			if a.Accept(c) && (c.Kind == btround.StoreRecord || c.Kind == btround.Commit) {
+				a.UpdateRecord(c)
 			}
 		}
 		return a.Record()
@@ -293,14 +293,14 @@
 func TestOtherGroupsArePassedOver(t *testing.T) {
 	l := btround.NewLead(btround.Defaults(), "g", 0, 0, btassert.New(btassert.Panic()))
 	now := time.Unix(1000, 0)
-	state := btround.State{Rank: 0, Size: 2, Group: "g", Epoch: 3, Open: true, Step: 9, Reader: 1, Reading: 1}
-	l.Report(now, state, 0)
+	state := btround.State{Rank: 0, Size: 2, Group: "g", Epoch: 3, Open: true, Step: 9, Reader: 1, ReadCount: 1}
+	l.HandleReport(now, state, 0)
 	other := state
 	other.Group, other.Rank, other.Epoch = "h", 1, 5
-	l.Report(now, other, 0)
+	l.HandleReport(now, other, 0)
 	assert.Equal(t, l.Epoch(), uint64(3))
-	assert.Assert(t, !l.Whole(now))
+	assert.Assert(t, !l.AllRanksOpen(now))
 	state.Rank, state.Reader = 1, 2
-	l.Report(now, state, 0)
-	assert.Assert(t, l.Whole(now))
+	l.HandleReport(now, state, 0)
+	assert.Assert(t, l.AllRanksOpen(now))
 }
--- a/core/btround/calm_test.go
+++ b/core/btround/calm_test.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// lastOrder is when the last order that was to be carried out late has been.
-	lastOrder = 12 * time.Second
+	// orderDrain is when the last order that was to be carried out late has been.
+	orderDrain = 12 * time.Second
 	// resumesWithin bounds the time to the next step once nothing disturbs the group.
 	resumesWithin = 2 * time.Second
 )
 
-// calm ends all disturbances: one lead is left, all hosts can be reached, and no order or
+// endDisturbances ends all disturbances: one lead is left, all hosts can be reached, and no order or
 // message is lost. Orders given before may still be carried out.
-func (w *world) calm() {
-	w.settled = true
-	w.late, w.lost = 0, 0
+func (w *world) endDisturbances() {
+	w.calm = true
+	w.delayedShare, w.lostShare = 0, 0
 	w.busy = true
 	for _, e := range w.engines {
 		e.frozen = time.Time{}
 	}
 	for i, l := range w.leads {
 		l.frozen = time.Time{}
-		l.hears = i == len(w.leads)-1
-		l.dead = l.dead && !l.hears
+		l.receivesReports = i == len(w.leads)-1
+		l.dead = l.dead && !l.receivesReports
 	}
 }
 
@@ -44,27 +44,27 @@
 		},
 		"duelling": func(seed uint64) *world {
 			w := newWorld(seed, 3, 0.35, 0.05)
-			duel(w)
+			compete(w)
 			return w
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			phases := make(map[btround.Phase]int)
-			for _, seed := range run() {
+			for _, seed := range seedRange() {
 				w := begin(seed)
 				w.run(w.millis(20000, 30000))
 				phases[w.leads[len(w.leads)-1].lead.Phase()]++
-				w.calm()
-				w.run(lastOrder)
-				w.resumes(t, seed)
+				w.endDisturbances()
+				w.run(orderDrain)
+				w.assertResumes(t, seed)
 			}
 			t.Logf("phases of the last lead as disturbances ended: %v", phases)
 		})
 	}
 }
 
-// resumes checks that the group begins a step in each of three spells.
-func (w *world) resumes(t *testing.T, seed uint64) {
+// assertResumes checks that the group begins a step in each of three spells.
+func (w *world) assertResumes(t *testing.T, seed uint64) {
 	t.Helper()
 	for range 3 {
 		step := w.step
--- a/core/btround/duel_test.go
+++ b/core/btround/duel_test.go
@@ -9,33 +9,33 @@
 	"bilberrytide/core/btexpert"
 )
 
-// duel has two leads of a group that both receive all reports, and freezes the host of one
+// compete has two leads of a group that both receive all reports, and freezes the host of one
 // or the other.
-func duel(w *world) {
+func compete(w *world) {
 	for r := range btexpert.Rank(2) {
-		w.leadBy(r)
+		w.startLead(r)
 	}
 	for _, l := range w.leads {
-		l.stays = true
+		l.keepsReports = true
 	}
 	var again func()
 	again = func() {
-		if w.settled {
+		if w.calm {
 			return
 		}
-		w.after(w.millis(300, 3000), again)
+		w.schedule(w.millis(300, 3000), again)
 		w.engines[w.random.IntN(2)].frozen = w.now.Add(w.millis(50, 3500))
 	}
-	w.after(time.Second, again)
+	w.schedule(time.Second, again)
 }
 
 // TestNoStepOnTwoMapsWithDuellingLeads guards against a lead that learns of another's hold
 // only from the engines' answers and disarms ranks without having fenced the held rank.
 func TestNoStepOnTwoMapsWithDuellingLeads(t *testing.T) {
 	switches := 0
-	for _, seed := range append([]uint64{60}, run()...) {
+	for _, seed := range append([]uint64{60}, seedRange()...) {
 		w := newWorld(seed, 3, 0.35, 0.05)
-		duel(w)
+		compete(w)
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
 		switches += w.switches
--- a/core/btround/hold_test.go
+++ b/core/btround/hold_test.go
@@ -22,7 +22,7 @@
 // holdsAnotherStep has a claim of another lead hold the group from the first command of a
 // kind on, and checks that the lead ends that hold after so many refused ones at most.
 func holdsAnotherStep(t *testing.T, seen btround.Kind, most int) {
-	s := newStale(t)
+	s := newScriptedGroup(t)
 	for r := range btexpert.Rank(3) {
 		s.report(s.state(r))
 	}
@@ -32,19 +32,19 @@
 	var held, ended bool
 	for range 100 {
 		s.now = s.now.Add(20 * time.Millisecond)
-		for _, c := range s.lead.Step(s.now) {
+		for _, c := range s.lead.Poll(s.now) {
 			held = held || c.Kind == seen
-			ended = ended || c.Kind == btround.Go
+			ended = ended || c.Kind == btround.Release
 			state := s.obeyed(c)
 			verdict := btround.Reached
 			if c.Rank == 1 && held && !ended {
-				state.Held, state.HeldStep = true, steps+1
+				state.Held, state.HeldStep = true, lastStep+1
 			}
-			if c.Kind == btround.Hold && held && c.Step != steps+1 {
+			if c.Kind == btround.Hold && held && c.Step != lastStep+1 {
 				verdict = btround.Refused
 				refused++
 			}
-			s.lead.Result(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: verdict, Ballot: c.Ballot, State: state})
+			s.lead.HandleResult(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: verdict, Ballot: c.Ballot, State: state})
 		}
 	}
 	assert.Assert(t, refused <= most, "%d holds refused", refused)
@@ -77,7 +77,7 @@
 // TestARefusedArmClaimsTheHoldBeforeItDisarms guards against ranks that are disarmed while
 // another lead ends the hold: the group would begin the step on two maps.
 func TestARefusedArmClaimsTheHoldBeforeItDisarms(t *testing.T) {
-	s := newStale(t)
+	s := newScriptedGroup(t)
 	for r := range btexpert.Rank(3) {
 		s.report(s.state(r))
 	}
@@ -86,13 +86,13 @@
 	seen := claims{t: t}
 	for range 20 {
 		s.now = s.now.Add(20 * time.Millisecond)
-		for _, c := range s.lead.Step(s.now) {
+		for _, c := range s.lead.Poll(s.now) {
 			seen.given(c)
 			verdict, state := btround.Reached, s.obeyed(c)
 			if c.Kind == btround.Arm && c.Rank == 2 {
 				verdict, state = btround.Refused, s.state(2)
 			}
-			s.lead.Result(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: verdict, Ballot: c.Ballot, State: state})
+			s.lead.HandleResult(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: verdict, Ballot: c.Ballot, State: state})
 		}
 	}
 	assert.Equal(t, seen.disarmed, 3)
@@ -101,8 +101,8 @@
 // TestAHoldFoundWhileLookingIsClaimed guards against a takeover that has seen armed ranks
 // before the hold, and disarms them as if it had claimed a hold at its own rank.
 func TestAHoldFoundWhileLookingIsClaimed(t *testing.T) {
-	s := newStale(t)
-	const version, step = btround.Version(1 << 20), int64(steps + 1)
+	s := newScriptedGroup(t)
+	const version, step = btround.Version(1 << 20), int64(lastStep + 1)
 	state := func(r btexpert.Rank, held bool) btround.State {
 		state := s.state(r)
 		if r == 1 {
@@ -119,9 +119,9 @@
 		for r := range btexpert.Rank(3) {
 			s.report(state(r, false))
 		}
-		for _, c := range s.lead.Step(s.now) {
+		for _, c := range s.lead.Poll(s.now) {
 			seen.given(c)
-			s.lead.Result(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Reached, Ballot: c.Ballot, State: state(c.Rank, true)})
+			s.lead.HandleResult(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Reached, Ballot: c.Ballot, State: state(c.Rank, true)})
 		}
 		if seen.disarmed > 0 {
 			break
--- a/core/btround/lead.go
+++ b/core/btround/lead.go
@@ -9,9 +9,9 @@
 
 // Invariants of a round.
 const (
-	// GoesOnWhole: a group goes on only when all of its ranks are armed for the
+	// InvariantOneMap: a group goes on only when all of its ranks are armed for the
 	// same map and step, or none is armed.
-	GoesOnWhole btassert.Name = "round_goes_on_whole"
+	InvariantOneMap btassert.Name = "round_goes_on_whole"
 )
 
 // Phase is how far a round has come.
@@ -22,9 +22,9 @@
 	Idle Phase = "idle"
 	// Preparing: ranks load the map's experts.
 	Preparing Phase = "preparing"
-	// Witnessing: the agent of the rank that will hold the group is asked to keep
+	// StoringRecord: the agent of the rank that will hold the group is asked to keep
 	// a record of the round.
-	Witnessing Phase = "witnessing"
+	StoringRecord Phase = "witnessing"
 	// Holding: a rank is asked to hold the group.
 	Holding Phase = "holding"
 	// Arming: ranks are armed while the group is held.
@@ -35,52 +35,52 @@
 	ArmingLast Phase = "arming_last"
 	// Disarming: ranks are disarmed, as some can't be armed.
 	Disarming Phase = "disarming"
-	// Going: the hold is ended.
-	Going Phase = "going"
+	// Releasing: the hold is ended.
+	Releasing Phase = "going"
 	// Claiming: the rank that holds the group is fenced against another lead.
 	Claiming Phase = "claiming"
-	// Looking: all ranks' states are read to take over another lead's round.
-	Looking Phase = "looking"
+	// ReadingStates: all ranks' states are read to take over another lead's round.
+	ReadingStates Phase = "looking"
 )
 
 // Settings are the times of a round.
 type Settings struct {
-	// Prepare bounds the loading of experts; a round that takes longer is given
+	// PrepareTimeout bounds the loading of experts; a round that takes longer is given
 	// up, which harms nothing.
-	Prepare time.Duration
-	// Again is when a command without a final answer is repeated.
-	Again time.Duration
-	// Ahead is how many steps ahead of the last one the group is held;
+	PrepareTimeout time.Duration
+	// RetryInterval is when a command without a final answer is repeated.
+	RetryInterval time.Duration
+	// HoldAhead is how many steps ahead of the last one the group is held;
 	// RanksPerStep is for how many ranks it is one more, as it takes longer to
 	// arm them all.
-	Ahead        int64
-	RanksPerStep int
-	// Yield is for how long a lead that was outranked leaves the group to the
+	HoldAhead         int64
+	RanksPerExtraStep int
+	// Backoff is for how long a lead that was outranked leaves the group to the
 	// other; YieldPerRank makes it differ, so that two leads don't go on
 	// outranking each other.
-	Yield        time.Duration
-	YieldPerRank time.Duration
-	// MaxYield bounds the doubling of Yield while leads preempt each other.
-	MaxYield time.Duration
-	// Grace is how long another lead's round is left to it, which takes tens of
+	Backoff        time.Duration
+	BackoffPerRank time.Duration
+	// MaxBackoff bounds the doubling of Yield while leads preempt each other.
+	MaxBackoff time.Duration
+	// TakeoverDelay is how long another lead's round is left to it, which takes tens of
 	// milliseconds where it isn't disturbed; FirstGrace is the same for a lead that has
 	// only begun to receive reports, as the lead before it is most likely gone.
-	Grace      time.Duration
-	FirstGrace time.Duration
-	// Deferred is how long a lead whose agent reports to another leaves a round to it.
-	Deferred time.Duration
-	// Witness bounds the wait for the agent that is to keep a record, which answers
+	TakeoverDelay        time.Duration
+	NewLeadTakeoverDelay time.Duration
+	// DeferredTakeoverDelay is how long a lead whose agent reports to another leaves a round to it.
+	DeferredTakeoverDelay time.Duration
+	// RecordTimeout bounds the wait for the agent that is to keep a record, which answers
 	// within a few milliseconds.
-	Witness time.Duration
-	// Fresh is how old a member's state may be for a round to begin.
-	Fresh time.Duration
+	RecordTimeout time.Duration
+	// MaxStateAge is how old a member's state may be for a round to begin.
+	MaxStateAge time.Duration
 }
 
-// maxDoublings bounds how often Yield is doubled.
-const maxDoublings = 8
+// maxBackoffDoublings bounds how often Yield is doubled.
+const maxBackoffDoublings = 8
 
-// pendingPause is the wait before a command is repeated whose end isn't known.
-const pendingPause = 20 * time.Millisecond
+// pendingRetryDelay is the wait before a command is repeated whose end isn't known.
+const pendingRetryDelay = 20 * time.Millisecond
 
 // Defaults returns the settings in use. A step of a group takes some 60 to 100
 // ms and an order within the host about 1 ms, so that a hold two steps ahead is
@@ -88,18 +88,18 @@
 // about half a second. An agent works on a command for up to 400 ms.
 func Defaults() Settings {
 	return Settings{
-		Prepare:      3 * time.Second,
-		Again:        600 * time.Millisecond,
-		Ahead:        2,
-		RanksPerStep: 100,
-		Yield:        400 * time.Millisecond,
-		YieldPerRank: 20 * time.Millisecond,
-		MaxYield:     1600 * time.Millisecond,
-		Grace:        200 * time.Millisecond,
-		FirstGrace:   100 * time.Millisecond,
-		Deferred:     2 * time.Second,
-		Witness:      200 * time.Millisecond,
-		Fresh:        time.Second,
+		PrepareTimeout:        3 * time.Second,
+		RetryInterval:         600 * time.Millisecond,
+		HoldAhead:             2,
+		RanksPerExtraStep:     100,
+		Backoff:               400 * time.Millisecond,
+		BackoffPerRank:        20 * time.Millisecond,
+		MaxBackoff:            1600 * time.Millisecond,
+		TakeoverDelay:         200 * time.Millisecond,
+		NewLeadTakeoverDelay:  100 * time.Millisecond,
+		DeferredTakeoverDelay: 2 * time.Second,
+		RecordTimeout:         200 * time.Millisecond,
+		MaxStateAge:           time.Second,
 	}
 }
 
@@ -108,16 +108,16 @@
 	settings Settings
 	asserter *btassert.Asserter
 	self     btexpert.Rank
-	life     Life
+	instance Instance
 	group    string
 
 	size  int
 	epoch uint64
-	// over tells that a rank has started anew in the epoch, so that the group can't
+	// epochEnded tells that a rank has started anew in the epoch, so that the group can't
 	// go on in it.
-	over    bool
-	ballot  Ballot
-	members map[btexpert.Rank]*member
+	epochEnded bool
+	ballot     Ballot
+	members    map[btexpert.Rank]*member
 
 	phase   Phase
 	round   uint64
@@ -126,26 +126,26 @@
 	step    int64
 	// holder is the rank that holds the group; witnessed tells that its agent keeps
 	// a record of the round, so that the own rank is armed last.
-	holder    btexpert.Rank
-	witnessed bool
+	holder       btexpert.Rank
+	recordStored bool
 	// claimed tells that the holder has accepted the hold under this lead's ballot, secured
 	// that this keeps the group from the step for which ranks are armed: only then may a
 	// rank be disarmed.
 	claimed, secured bool
 	// afterClaim is the phase that follows once the holder has accepted the hold again.
 	afterClaim Phase
-	// holds counts the holds that were refused in the round.
-	holds int
-	// absent is the rank of another lead, out of reach, without which its round is
+	// refusedHolds counts the refusedHolds that were refused in the round.
+	refusedHolds int
+	// unreachable is the rank of another lead, out of reach, without which its round is
 	// ended; record is what is known of that round.
-	absent *btexpert.Rank
-	record *Record
-	began  time.Time
-	// quiet is until when another lead has the group to itself. preempted counts how often
+	unreachable *btexpert.Rank
+	record      *Record
+	startedAt   time.Time
+	// backoffUntil is until when another lead has the group to itself. preempted counts how often
 	// in a row this lead was outranked while the group was at step preemptedAt.
-	quiet       time.Time
-	preempted   int
-	preemptedAt int64
+	backoffUntil    time.Time
+	outrankedCount  int
+	outrankedAtStep int64
 	// deferred tells that the agent reports to another lead, foreignSince when this one
 	// first saw what is left of another lead's round.
 	deferred     bool
@@ -165,29 +165,29 @@
 	// The fields below belong to the round.
 	reached bool
 	refused bool
-	asked   time.Time
-	// answered is the state with which the rank last answered an order to arm or disarm,
+	askedAt time.Time
+	// confirmed is the state with which the rank last confirmed an order to arm or disarm,
 	// or a look. It was read after the order, as a report that a frozen host sends late
 	// need not be.
-	answered *State
+	confirmed *State
 }
 
 // Outcome is how a round ended.
 type Outcome struct {
 	Version  Version
 	Switched bool
-	// Adopted tells that another lead had begun the round.
-	Adopted bool
-	Reason  string
-	Took    time.Duration
-	// Held is for how long the group was held.
-	Held time.Duration
+	// TakenOver tells that another lead had begun the round.
+	TakenOver bool
+	Reason    string
+	Duration  time.Duration
+	// HeldFor is for how long the group was held.
+	HeldFor time.Duration
 }
 
 // NewLead returns the lead of the named group at the agent of rank self, in a life of
 // its own.
-func NewLead(s Settings, group string, self btexpert.Rank, life Life, asserter *btassert.Asserter) *Lead {
-	return &Lead{settings: s, group: group, self: self, life: life, asserter: asserter, phase: Idle, members: make(map[btexpert.Rank]*member)}
+func NewLead(s Settings, group string, self btexpert.Rank, instance Instance, asserter *btassert.Asserter) *Lead {
+	return &Lead{settings: s, group: group, self: self, instance: instance, asserter: asserter, phase: Idle, members: make(map[btexpert.Rank]*member)}
 }
 
 // Phase returns how far the round has come.
@@ -203,26 +203,26 @@
 	return o
 }
 
-// Report takes a member's state in, and the highest ballot that it has heard. A
+// HandleReport takes a member's state in, and the highest ballot that it has heard. A
 // service may have several groups with the same ranks; those of others are passed
 // over.
-func (l *Lead) Report(now time.Time, s State, heard Ballot) {
+func (l *Lead) HandleReport(now time.Time, s State, heard Ballot) {
 	if s.Validate() != nil || s.Group != l.group {
 		return
 	}
-	l.noteReport(now)
+	l.trackReports(now)
 	if s.Epoch > l.epoch || s.Epoch == l.epoch && s.Size != l.size {
-		l.restart(now, s)
+		l.resetForEpoch(now, s)
 	}
 	if s.Epoch < l.epoch {
 		return
 	}
 	m := l.member(s.Rank)
-	anew := s.startedAnew(m.state)
-	if anew {
-		l.restarted(now)
+	restarted := s.differentStart(m.state)
+	if restarted {
+		l.endEpoch(now)
 	}
-	if anew || s.newer(m.state) {
+	if restarted || s.notOlderThan(m.state) {
 		m.state = s
 		m.at = now
 		// What an agent reports is what it would answer: the command need not be
@@ -230,13 +230,13 @@
 		m.reached = m.reached || l.phase == Preparing && l.version != 0 && s.Prepared == l.version
 	}
 	if heard > l.ballot {
-		l.outranked(now, heard)
+		l.handleOutranked(now, heard)
 	}
 }
 
-// noteReport notes when a report came, and since when they have come without a break.
-func (l *Lead) noteReport(now time.Time) {
-	if now.Sub(l.reportedAt) > l.settings.Fresh {
+// trackReports notes when a report came, and since when they have come without a break.
+func (l *Lead) trackReports(now time.Time) {
+	if now.Sub(l.reportedAt) > l.settings.MaxStateAge {
 		l.reportsSince = now
 	}
 	if now.After(l.reportedAt) {
@@ -253,26 +253,26 @@
 	return m
 }
 
-// Whole tells whether every rank has reported of late and the group is open.
-func (l *Lead) Whole(now time.Time) bool {
-	return l.size > 0 && len(l.missing(now)) == 0
+// AllRanksOpen tells whether every rank has reported of late and the group is open.
+func (l *Lead) AllRanksOpen(now time.Time) bool {
+	return l.size > 0 && len(l.missingRanks(now)) == 0
 }
 
-// missing lists the ranks that have not reported of late, or not that the group
+// missingRanks lists the ranks that have not reported of late, or not that the group
 // is open.
-func (l *Lead) missing(now time.Time) []btexpert.Rank {
+func (l *Lead) missingRanks(now time.Time) []btexpert.Rank {
 	var ranks []btexpert.Rank
 	for r := range l.size {
 		m, found := l.members[btexpert.Rank(r)]
-		if !found || !m.state.Open || now.Sub(m.at) > l.settings.Fresh {
+		if !found || !m.state.Open || now.Sub(m.at) > l.settings.MaxStateAge {
 			ranks = append(ranks, btexpert.Rank(r))
 		}
 	}
 	return ranks
 }
 
-// InForce returns the version of the map in force; false while ranks differ.
-func (l *Lead) InForce() (Version, bool) {
+// ActiveVersion returns the version of the map in force; false while ranks differ.
+func (l *Lead) ActiveVersion() (Version, bool) {
 	var version Version
 	for r := range l.size {
 		m, found := l.members[btexpert.Rank(r)]
@@ -284,8 +284,8 @@
 	return version, l.size > 0
 }
 
-// newest returns the highest version that any rank has heard of.
-func (l *Lead) newest() Version {
+// newestVersion returns the highest version that any rank has heard of.
+func (l *Lead) newestVersion() Version {
 	var newest Version
 	for _, m := range l.members {
 		newest = max(newest, m.state.Map, m.state.Prepared, m.state.Armed)
@@ -306,41 +306,41 @@
 // Begin starts a round for a new map and returns its version. The group must be
 // whole and the lead idle; Step returns the commands.
 func (l *Lead) Begin(now time.Time, p Proposal) (Version, bool) {
-	if l.over || l.deferred || l.phase != Idle || now.Before(l.quiet) || !l.Whole(now) || l.foreign() || !noneArmed(l.states()) {
+	if l.epochEnded || l.deferred || l.phase != Idle || now.Before(l.backoffUntil) || !l.AllRanksOpen(now) || l.hasForeignRound() || !noneArmed(l.knownStates()) {
 		return 0, false
 	}
-	l.enter(Preparing)
-	l.began = now
+	l.enterPhase(Preparing)
+	l.startedAt = now
 	l.heldAt = time.Time{}
-	l.version = max(l.newest(), l.version).Next(p.Nonce)
+	l.version = max(l.newestVersion(), l.version).Next(p.Nonce)
 	l.layers = p.Layers
 	l.holder = p.Holder
-	l.forget()
+	l.clearConfirmed()
 	return l.version, true
 }
 
-// forget drops what ranks have answered in a round before.
-func (l *Lead) forget() {
+// clearConfirmed drops what ranks have answered in a round before.
+func (l *Lead) clearConfirmed() {
 	for _, m := range l.members {
-		m.answered = nil
+		m.confirmed = nil
 	}
 }
 
-// answered lists the states that ranks have answered with in this round.
-func (l *Lead) answered() []State {
+// confirmedStates lists the states that ranks have confirmedStates with in this round.
+func (l *Lead) confirmedStates() []State {
 	var states []State
 	for r := range l.size {
-		if m := l.member(btexpert.Rank(r)); m.answered != nil {
-			states = append(states, *m.answered)
+		if m := l.member(btexpert.Rank(r)); m.confirmed != nil {
+			states = append(states, *m.confirmed)
 		}
 	}
 	return states
 }
 
-// foreign tells whether a rank holds the group, or some ranks and not all are
+// hasForeignRound tells whether a rank holds the group, or some ranks and not all are
 // armed, though this lead has no round.
-func (l *Lead) foreign() bool {
-	if l.over {
+func (l *Lead) hasForeignRound() bool {
+	if l.epochEnded {
 		return false
 	}
 	var armed Version
@@ -350,39 +350,39 @@
 		}
 		armed = max(armed, m.state.Armed)
 	}
-	return armed != 0 && !allOn(l.states(), armed)
+	return armed != 0 && !allArmedOrActive(l.knownStates(), armed)
 }
 
-// enter goes to a phase in which every rank is asked anew.
-func (l *Lead) enter(p Phase) {
+// enterPhase goes to a phase in which every rank is asked anew.
+func (l *Lead) enterPhase(p Phase) {
 	if l.ballot == 0 {
-		l.ballot = Ballot(0).Next(l.self, l.life)
+		l.ballot = Ballot(0).Next(l.self, l.instance)
 	}
 	l.phase = p
 	l.round++
 	for _, m := range l.members {
 		m.reached = false
 		m.refused = false
-		m.asked = time.Time{}
+		m.askedAt = time.Time{}
 	}
 }
 
-// end leaves the round.
-func (l *Lead) end(now time.Time, switched bool, reason string) {
+// endRound leaves the round.
+func (l *Lead) endRound(now time.Time, switched bool, reason string) {
 	if l.phase == Idle {
 		return
 	}
-	o := &Outcome{Version: l.version, Switched: switched, Reason: reason, Took: now.Sub(l.began), Adopted: l.layers == nil}
+	o := &Outcome{Version: l.version, Switched: switched, Reason: reason, Duration: now.Sub(l.startedAt), TakenOver: l.layers == nil}
 	if !l.heldAt.IsZero() {
-		o.Held = now.Sub(l.heldAt)
+		o.HeldFor = now.Sub(l.heldAt)
 	}
 	l.outcome = o
 	l.phase = Idle
 	l.layers = nil
-	l.witnessed = false
+	l.recordStored = false
 	l.claimed = false
 	l.secured = false
-	l.holds = 0
-	l.absent = nil
+	l.refusedHolds = 0
+	l.unreachable = nil
 	l.record = nil
 }
--- a/core/btround/leader_test.go
+++ b/core/btround/leader_test.go
@@ -15,26 +15,26 @@
 	self   btexpert.Rank
 	frozen time.Time
 	dead   bool
-	// hears tells whether the agents report to it.
-	hears bool
-	// stays has the agents go on reporting to it after another has begun to lead.
-	stays bool
+	// receivesReports tells whether the agents report to it.
+	receivesReports bool
+	// keepsReports has the agents go on reporting to it after another has begun to lead.
+	keepsReports bool
 	// outcomes counts how rounds ended.
 	outcomes map[string]int
 }
 
-// leadBy adds a lead at a rank's agent.
-func (w *world) leadBy(r btexpert.Rank) *leader {
+// startLead adds a lead at a rank's agent.
+func (w *world) startLead(r btexpert.Rank) *leader {
 	assert := btassert.New(btassert.SinkFunc(func(v btassert.Violation) { w.violations = append(w.violations, v.Name) }))
 	for _, other := range w.leads {
 		// Agents report to one lead, and change over one by one.
-		w.after(w.millis(0, 1500), func() { other.hears = other.stays })
+		w.schedule(w.millis(0, 1500), func() { other.receivesReports = other.keepsReports })
 	}
-	l := &leader{world: w, self: r, lead: btround.NewLead(btround.Defaults(), "g", r, btround.Life(len(w.leads)), assert), hears: true, outcomes: make(map[string]int)}
+	l := &leader{world: w, self: r, lead: btround.NewLead(btround.Defaults(), "g", r, btround.Instance(len(w.leads)), assert), receivesReports: true, outcomes: make(map[string]int)}
 	w.leads = append(w.leads, l)
-	w.after(0, l.tick)
+	w.schedule(0, l.tick)
 	for _, e := range w.engines {
-		w.after(w.millis(0, 150), func() { l.reports(e) })
+		w.schedule(w.millis(0, 150), func() { l.scheduleReport(e) })
 	}
 	return l
 }
@@ -48,29 +48,29 @@
 // part in the group's steps all the same.
 func (e *engine) unreachable() bool { return e.world.now.Before(e.frozen) }
 
-// reports has a rank's agent report, again and again.
-func (l *leader) reports(e *engine) {
+// scheduleReport has a rank's agent report, again and again.
+func (l *leader) scheduleReport(e *engine) {
 	w := l.world
 	if l.dead {
 		return
 	}
-	w.after(150*time.Millisecond, func() { l.reports(e) })
-	if !l.hears || e.unreachable() || w.random.Float64() < w.lost {
+	w.schedule(150*time.Millisecond, func() { l.scheduleReport(e) })
+	if !l.receivesReports || e.unreachable() || w.random.Float64() < w.lostShare {
 		return
 	}
-	s, heard := e.state(), e.agent.Heard()
+	s, heard := e.state(), e.agent.Promised()
 	read := w.now
 	arrives := func() {
 		if !l.away() {
-			l.lead.Report(read, s, heard)
+			l.lead.HandleReport(read, s, heard)
 		}
 	}
-	w.after(w.millis(1, 30), arrives)
-	if w.suspended && w.random.Float64() < slept {
-		w.after(w.millis(30, 3000), arrives)
+	w.schedule(w.millis(1, 30), arrives)
+	if w.suspended && w.random.Float64() < suspendedShare {
+		w.schedule(w.millis(30, 3000), arrives)
 	}
 	if w.relayed {
-		w.after(w.millis(1, 450), arrives)
+		w.schedule(w.millis(1, 450), arrives)
 	}
 }
 
@@ -80,12 +80,12 @@
 	if l.dead {
 		return
 	}
-	w.after(20*time.Millisecond, l.tick)
+	w.schedule(20*time.Millisecond, l.tick)
 	if l.away() {
 		return
 	}
-	l.lead.Defer(!l.hears)
-	if l.lead.Phase() == btround.Idle && l.hears && w.random.IntN(15) == 0 {
+	l.lead.SetDeferred(!l.receivesReports)
+	if l.lead.Phase() == btround.Idle && l.receivesReports && w.random.IntN(15) == 0 {
 		l.lead.Begin(w.now, btround.Proposal{
 			Layers: []btexpert.Layer{{Ranks: make([][]btexpert.Expert, len(w.engines))}},
 			Holder: l.holder(),
@@ -97,9 +97,9 @@
 
 // step has the lead take the steps that are due.
 func (l *leader) step() {
-	l.lead.Defer(!l.hears)
-	for _, c := range l.lead.Step(l.world.now) {
-		l.give(c)
+	l.lead.SetDeferred(!l.receivesReports)
+	for _, c := range l.lead.Poll(l.world.now) {
+		l.send(c)
 	}
 	if o := l.lead.Outcome(); o != nil {
 		l.outcomes[o.Reason]++
@@ -109,46 +109,46 @@
 // holder chooses the rank that is to hold the group: mostly another.
 func (l *leader) holder() btexpert.Rank {
 	w := l.world
-	if w.own || !w.other && w.random.IntN(4) == 0 {
+	if w.ownHolder || !w.otherHolder && w.random.IntN(4) == 0 {
 		return l.self
 	}
 	return btexpert.Rank((int(l.self) + 1 + w.random.IntN(len(w.engines)-1)) % len(w.engines))
 }
 
-// give sends a command, which may be lost, late, or have its answer lost.
-func (l *leader) give(c btround.Command) {
+// send sends a command, which may be lost, late, or have its answer lost.
+func (l *leader) send(c btround.Command) {
 	w := l.world
 	if w.naive && c.Kind == btround.Hold {
 		// The naive variant takes the hold for granted.
 		e := w.engines[c.Rank]
 		s := e.state()
 		s.Held, s.HeldStep = true, c.Step
-		w.after(time.Millisecond, func() {
-			l.lead.Result(w.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Reached, Ballot: c.Ballot, State: s})
+		w.schedule(time.Millisecond, func() {
+			l.lead.HandleResult(w.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Reached, Ballot: c.Ballot, State: s})
 		})
 		return
 	}
-	if w.relayed && w.random.Float64() < repeated {
-		w.after(w.millis(1, 3000), func() { l.send(c) })
+	if w.relayed && w.random.Float64() < duplicatedShare {
+		w.schedule(w.millis(1, 3000), func() { l.deliver(c) })
 	}
-	l.send(c)
+	l.deliver(c)
 }
 
-// repeated is the share of commands that a relay delivers twice, up to three seconds
+// duplicatedShare is the share of commands that a relay delivers twice, up to three seconds
 // later.
-const repeated = 0.1
+const duplicatedShare = 0.1
 
 const (
-	// slept is the share of reports that their hosts send once they have woken up, and
+	// suspendedShare is the share of reports that their hosts send once they have woken up, and
 	// fromAfar that of orders which the lead gives itself.
-	slept    = 0.1
-	fromAfar = 0.3
+	suspendedShare = 0.1
+	directShare    = 0.3
 )
 
-// send delivers a command to its rank, and the result to the lead.
-func (l *leader) send(c btround.Command) {
+// deliver delivers a command to its rank, and the result to the lead.
+func (l *leader) deliver(c btround.Command) {
 	w := l.world
-	if w.random.Float64() < w.lost {
+	if w.random.Float64() < w.lostShare {
 		return
 	}
 	e := w.engines[c.Rank]
@@ -157,20 +157,20 @@
 		// The own agent is in the same process.
 		most = 2
 	}
-	w.after(w.millis(1, most), func() {
+	w.schedule(w.millis(1, most), func() {
 		if l.away() || e.unreachable() {
 			return
 		}
-		result := e.directly(c)
-		if w.suspended && w.random.Float64() < fromAfar {
-			result.State.Reader, result.State.Reading = far, 0
+		result := e.handle(c)
+		if w.suspended && w.random.Float64() < directShare {
+			result.State.Reader, result.State.ReadCount = directReader, 0
 		}
-		if w.random.Float64() < w.lost {
+		if w.random.Float64() < w.lostShare {
 			return
 		}
-		w.after(w.millis(1, most), func() {
+		w.schedule(w.millis(1, most), func() {
 			if !l.away() {
-				l.lead.Result(w.now, result)
+				l.lead.HandleResult(w.now, result)
 				// The answer wakes the lead, which doesn't know the others' yet.
 				l.step()
 			}
--- a/core/btround/memory_test.go
+++ b/core/btround/memory_test.go
@@ -15,7 +15,7 @@
 // the changes of the next still refer to the map in force.
 func TestTheMapInForceIsRemembered(t *testing.T) {
 	const inForce = 7
-	m := btround.NewMemory()
+	m := btround.NewMapCache()
 	layers := []btexpert.Layer{{Ranks: [][]btexpert.Expert{{3}}}}
 	m.Put(inForce, layers, 0)
 	for v := btround.Version(8); v < 100; v++ {
@@ -43,18 +43,18 @@
 	lead := btround.NewLead(btround.Defaults(), "g", 0, 0, asserter)
 	now := time.Unix(1000, 0)
 	for r := range 2 {
-		lead.Report(now, btround.State{Rank: btexpert.Rank(r), Size: 2, Group: "g", Epoch: 1, Open: true, Pace: 1}, 0)
+		lead.HandleReport(now, btround.State{Rank: btexpert.Rank(r), Size: 2, Group: "g", Epoch: 1, Open: true, Pace: 1}, 0)
 	}
 	_, begun := lead.Begin(now, btround.Proposal{Layers: []btexpert.Layer{{Ranks: make([][]btexpert.Expert, 2)}}})
 	assert.Assert(t, begun)
-	commands := lead.Step(now)
+	commands := lead.Poll(now)
 	assert.Equal(t, len(commands), 2)
 	now = now.Add(10 * time.Millisecond)
-	assert.Equal(t, len(lead.Step(now)), 0)
-	lead.Repeat(commands[1].Round+1, 1)
-	assert.Equal(t, len(lead.Step(now)), 0, "of another round")
-	lead.Repeat(commands[1].Round, 1)
-	again := lead.Step(now)
+	assert.Equal(t, len(lead.Poll(now)), 0)
+	lead.RetryNow(commands[1].Round+1, 1)
+	assert.Equal(t, len(lead.Poll(now)), 0, "of another round")
+	lead.RetryNow(commands[1].Round, 1)
+	again := lead.Poll(now)
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Rank, btexpert.Rank(1))
 }
--- a/core/btround/message.go
+++ b/core/btround/message.go
@@ -50,19 +50,19 @@
 
 const (
 	// rankBits and lifeBits are the sizes of the rank and of the lead's life in a ballot.
-	rankBits = 13
-	lifeBits = 16
+	rankBits     = 13
+	instanceBits = 16
 )
 
-// Life tells one life of a lead from another of the same rank: a number that each one
+// Instance tells one life of a lead from another of the same rank: a number that each one
 // draws as it begins. A lead that starts anew doesn't know what the one before it had sent,
 // and orders of both with one ballot would both be obeyed.
-type Life uint16
+type Instance uint16
 
 // Next returns a ballot above b, of the lead of the rank in its life.
-func (b Ballot) Next(r btexpert.Rank, life Life) Ballot {
-	counter := b>>(rankBits+lifeBits) + 1
-	return counter<<(rankBits+lifeBits) | Ballot(life)<<rankBits | Ballot(r)&(1<<rankBits-1)
+func (b Ballot) Next(r btexpert.Rank, instance Instance) Ballot {
+	counter := b>>(rankBits+instanceBits) + 1
+	return counter<<(rankBits+instanceBits) | Ballot(instance)<<rankBits | Ballot(r)&(1<<rankBits-1)
 }
 
 // State is what an engine tells of itself.
@@ -94,8 +94,8 @@
 	HeldStep int64 `cbor:"held_step"`
 	// Reader is the process that read the state, Reading counts its readings, so
 	// that one which arrives late is told from a newer one.
-	Reader  uint64 `cbor:"reader"`
-	Reading uint64 `cbor:"reading"`
+	Reader    uint64 `cbor:"reader"`
+	ReadCount uint64 `cbor:"reading"`
 	// Running and Waiting are requests, Pace is above 1 where the engine is slow.
 	Running int     `cbor:"running"`
 	Waiting int     `cbor:"waiting"`
@@ -125,12 +125,12 @@
 	Arm Kind = "arm"
 	// Disarm takes an Arm back.
 	Disarm Kind = "disarm"
-	// Go ends a Hold.
-	Go Kind = "go"
-	// Look only reads the engine's state.
-	Look Kind = "look"
-	// Witness has the agent keep a record of the round.
-	Witness Kind = "witness"
+	// Release ends a Hold.
+	Release Kind = "go"
+	// ReadState only reads the engine's state.
+	ReadState Kind = "look"
+	// StoreRecord has the agent keep a record of the round.
+	StoreRecord Kind = "witness"
 	// Commit has the agent commit its record of the round.
 	Commit Kind = "commit"
 )
@@ -159,7 +159,7 @@
 // Validate reports a command that no lead gives. The error wraps ErrMessage.
 func (c Command) Validate() error {
 	switch c.Kind {
-	case Prepare, Hold, Arm, Disarm, Go, Look, Witness, Commit:
+	case Prepare, Hold, Arm, Disarm, Release, ReadState, StoreRecord, Commit:
 		return nil
 	}
 	return fmt.Errorf("%w: command %q", ErrMessage, c.Kind)
@@ -212,7 +212,7 @@
 		return s.Armed == c.Version && s.ArmedStep == c.Step || s.Map == c.Version
 	case Disarm:
 		return s.Armed != c.Version && s.Map != c.Version
-	case Go:
+	case Release:
 		return !s.Held || s.HeldStep != c.Step
 	}
 	return true
--- a/core/btround/reason.go
+++ b/core/btround/reason.go
@@ -12,18 +12,18 @@
 // Reasons of rounds that end as a rank refuses what the round rests on. What is held or
 // armed by then is taken over from the ranks' states after a pause.
 const (
-	HoldRefused   = "hold refused"
-	GoRefused     = "go refused"
-	DisarmRefused = "disarm refused"
-	LookRefused   = "look refused"
+	HoldRefused    = "hold refused"
+	ReleaseRefused = "go refused"
+	DisarmRefused  = "disarm refused"
+	ReadRefused    = "look refused"
 	// HeldByAnother: the rank that is to hold the group holds it for another round.
 	HeldByAnother = "held by another round"
 	// NotSecured: ranks can't be armed, and nothing keeps the group from the step.
 	NotSecured = "step not secured"
 )
 
-// giveUp ends the round and leaves the group alone for a while.
-func (l *Lead) giveUp(now time.Time, reason string) {
-	l.end(now, false, reason)
-	l.quiet = now.Add(l.settings.Yield)
+// abortWithBackoff ends the round and leaves the group alone for a while.
+func (l *Lead) abortWithBackoff(now time.Time, reason string) {
+	l.endRound(now, false, reason)
+	l.backoffUntil = now.Add(l.settings.Backoff)
 }
--- a/core/btround/stale_test.go
+++ b/core/btround/stale_test.go
@@ -22,46 +22,46 @@
 // with one rank armed.
 
 const (
-	// steps is the last step that all ranks have begun.
-	steps = 10
-	// far is the reader's number of a lead that reads an engine itself.
-	far = 0
+	// lastStep is the last step that all ranks have begun.
+	lastStep = 10
+	// directReader is the reader's number of a lead that reads an engine itself.
+	directReader = 0
 )
 
-// stale is a group of three ranks whose lead is at rank 0.
-type stale struct {
+// scriptedGroup is a group of three ranks whose lead is at rank 0.
+type scriptedGroup struct {
 	t       *testing.T
 	lead    *btround.Lead
 	now     time.Time
 	reading uint64
 }
 
-func newStale(t *testing.T) *stale {
-	s := &stale{t: t, now: time.Unix(1000, 0)}
+func newScriptedGroup(t *testing.T) *scriptedGroup {
+	s := &scriptedGroup{t: t, now: time.Unix(1000, 0)}
 	s.lead = btround.NewLead(btround.Defaults(), "g", 0, 0, btassert.New(btassert.Panic()))
 	return s
 }
 
 // state is what a rank's agent reads of its engine.
-func (s *stale) state(r btexpert.Rank) btround.State {
+func (s *scriptedGroup) state(r btexpert.Rank) btround.State {
 	s.reading++
-	return btround.State{Rank: r, Size: 3, Group: "g", Epoch: 1, Open: true, Step: steps, Reader: uint64(r) + 1, Reading: s.reading}
+	return btround.State{Rank: r, Size: 3, Group: "g", Epoch: 1, Open: true, Step: lastStep, Reader: uint64(r) + 1, ReadCount: s.reading}
 }
 
-func (s *stale) report(state btround.State) { s.lead.Report(s.now, state, 0) }
+func (s *scriptedGroup) report(state btround.State) { s.lead.HandleReport(s.now, state, 0) }
 
 // answer has the ranks answer the commands that are due, the last rank first, as the
 // function tells; then is called after each.
-func (s *stale) answer(state func(btround.Command) btround.State, then func(btround.Command)) {
+func (s *scriptedGroup) answer(state func(btround.Command) btround.State, then func(btround.Command)) {
 	s.now = s.now.Add(20 * time.Millisecond)
-	for _, c := range slices.Backward(s.lead.Step(s.now)) {
-		s.lead.Result(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Reached, Ballot: c.Ballot, State: state(c)})
+	for _, c := range slices.Backward(s.lead.Poll(s.now)) {
+		s.lead.HandleResult(s.now, btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Reached, Ballot: c.Ballot, State: state(c)})
 		then(c)
 	}
 }
 
 // obeyed is the state of a rank that has done what a command says.
-func (s *stale) obeyed(c btround.Command) btround.State {
+func (s *scriptedGroup) obeyed(c btround.Command) btround.State {
 	state := s.state(c.Rank)
 	state.Prepared = c.Version
 	switch c.Kind {
@@ -71,14 +71,14 @@
 		state.Armed, state.ArmedStep = c.Version, c.Step
 		if c.Rank == 2 {
 			// Its agent doesn't answer, and the lead orders the engine.
-			state.Reader, state.Reading = far, 0
+			state.Reader, state.ReadCount = directReader, 0
 		}
 	}
 	return state
 }
 
 func TestAStaleReportDoesNotFailARound(t *testing.T) {
-	s := newStale(t)
+	s := newScriptedGroup(t)
 	for r := range btexpert.Rank(3) {
 		s.report(s.state(r))
 	}
@@ -105,8 +105,8 @@
 }
 
 func TestAStaleReportDoesNotHideAnArmedRank(t *testing.T) {
-	s := newStale(t)
-	const version, step = btround.Version(1 << 20), int64(steps + 1)
+	s := newScriptedGroup(t)
+	const version, step = btround.Version(1 << 20), int64(lastStep + 1)
 	states := func(r btexpert.Rank) btround.State {
 		state := s.state(r)
 		switch r {
@@ -126,17 +126,17 @@
 	looks := 0
 	for range 20 {
 		s.answer(func(c btround.Command) btround.State {
-			if c.Kind == btround.Look {
+			if c.Kind == btround.ReadState {
 				looks++
 			}
-			assert.Assert(t, c.Kind != btround.Go, "the group goes on with one rank armed")
+			assert.Assert(t, c.Kind != btround.Release, "the group goes on with one rank armed")
 			state := states(c.Rank)
 			if c.Rank == 2 {
-				state.Reader, state.Reading = far, 0
+				state.Reader, state.ReadCount = directReader, 0
 			}
 			return state
 		}, func(c btround.Command) {
-			if c.Kind == btround.Look && c.Rank == 2 {
+			if c.Kind == btround.ReadState && c.Rank == 2 {
 				s.report(read)
 			}
 		})
@@ -153,16 +153,16 @@
 // without the lead's rank, which was armed ("57 steps on two maps").
 func TestARepeatedCommandDoesNotUndoACommit(t *testing.T) {
 	var a btround.Acceptor
-	witness := btround.Command{Kind: btround.Witness, Ballot: 1 << 13, Version: 1 << 20, Epoch: 1}
+	witness := btround.Command{Kind: btround.StoreRecord, Ballot: 1 << 13, Version: 1 << 20, Epoch: 1}
 	commit := witness
 	commit.Kind = btround.Commit
 	for _, c := range []btround.Command{witness, commit, witness} {
 		assert.Assert(t, a.Accept(c))
-		assert.Equal(t, a.Note(c), btround.Reached)
+		assert.Equal(t, a.UpdateRecord(c), btround.Reached)
 	}
 	assert.Assert(t, a.Record().Committed)
 	// Another round of the lead has a record of its own.
 	witness.Version++
-	assert.Equal(t, a.Note(witness), btround.Reached)
+	assert.Equal(t, a.UpdateRecord(witness), btround.Reached)
 	assert.Assert(t, !a.Record().Committed)
 }
--- a/core/btround/step.go
+++ b/core/btround/step.go
@@ -7,16 +7,16 @@
 	"bilberrytide/core/btexpert"
 )
 
-// Step returns the commands that are due.
-func (l *Lead) Step(now time.Time) []Command {
-	if l.phase == Idle && l.foreignDue(now) {
+// Poll returns the commands that are due.
+func (l *Lead) Poll(now time.Time) []Command {
+	if l.phase == Idle && l.takeoverDue(now) {
 		l.takeOver(now)
 	}
 	l.advance(now)
 	var commands []Command
 	for r := range l.size {
 		if l.asks(btexpert.Rank(r)) {
-			commands = l.ask(now, commands, btexpert.Rank(r))
+			commands = l.appendCommand(now, commands, btexpert.Rank(r))
 		}
 	}
 	return commands
@@ -25,9 +25,9 @@
 // asks tells whether the phase has a command for a rank.
 func (l *Lead) asks(r btexpert.Rank) bool {
 	switch l.phase {
-	case Preparing, Arming, Disarming, Looking:
-		return l.takesPart(r)
-	case Witnessing, Holding, Committing, Going, Claiming:
+	case Preparing, Arming, Disarming, ReadingStates:
+		return l.participates(r)
+	case StoringRecord, Holding, Committing, Releasing, Claiming:
 		return r == l.holder
 	case ArmingLast:
 		return r == l.self
@@ -35,59 +35,59 @@
 	return false
 }
 
-// takesPart tells whether a rank is asked in a phase that asks all: one that is
+// participates tells whether a rank is asked in a phase that asks all: one that is
 // out of reach is not, and the own one is armed last where there is a record.
-func (l *Lead) takesPart(r btexpert.Rank) bool {
-	if l.absent != nil && *l.absent == r {
+func (l *Lead) participates(r btexpert.Rank) bool {
+	if l.unreachable != nil && *l.unreachable == r {
 		return false
 	}
-	return l.phase != Arming || !l.witnessed || r != l.self
+	return l.phase != Arming || !l.recordStored || r != l.self
 }
 
 // allReached tells whether every rank of the phase is in the state asked for.
-func (l *Lead) allReached() bool { return l.count(reached) == l.asked() }
+func (l *Lead) allReached() bool { return l.count(reached) == l.countAsked() }
 
-// asked returns how many ranks the phase asks.
-func (l *Lead) asked() int {
+// countAsked returns how many ranks the phase asks.
+func (l *Lead) countAsked() int {
 	n := 0
 	for r := range l.size {
-		if l.takesPart(btexpert.Rank(r)) {
+		if l.participates(btexpert.Rank(r)) {
 			n++
 		}
 	}
 	return n
 }
 
-// ask adds the phase's command for a rank, unless it was asked just now or has
+// appendCommand adds the phase's command for a rank, unless it was asked just now or has
 // answered.
-func (l *Lead) ask(now time.Time, commands []Command, r btexpert.Rank) []Command {
+func (l *Lead) appendCommand(now time.Time, commands []Command, r btexpert.Rank) []Command {
 	m := l.member(r)
-	if m.reached || m.refused || !m.asked.IsZero() && now.Sub(m.asked) < l.settings.Again {
+	if m.reached || m.refused || !m.askedAt.IsZero() && now.Sub(m.askedAt) < l.settings.RetryInterval {
 		return commands
 	}
-	m.asked = now
-	return append(commands, l.command(r))
+	m.askedAt = now
+	return append(commands, l.commandFor(r))
 }
 
-// command returns what the phase wants of a rank.
-func (l *Lead) command(r btexpert.Rank) Command {
+// commandFor returns what the phase wants of a rank.
+func (l *Lead) commandFor(r btexpert.Rank) Command {
 	c := Command{Ballot: l.ballot, Round: l.round, Rank: r, Epoch: l.epoch, Version: l.version, Step: l.step}
 	switch l.phase {
 	case Preparing:
 		c.Kind = Prepare
 		c.Layers = l.layers
-	case Witnessing:
-		c.Kind = Witness
+	case StoringRecord:
+		c.Kind = StoreRecord
 		c.Lead = l.self
 	case Committing:
 		c.Kind = Commit
 	case Holding:
 		c.Kind = Hold
-		c.Direct = l.witnessed
+		c.Direct = l.recordStored
 	case Claiming:
 		c.Kind = Hold
 		c.Force = true
-		c.Direct = l.witnessed
+		c.Direct = l.recordStored
 	case Arming, ArmingLast:
 		c.Kind = Arm
 		// In another lead's round the order is given also where the rank is armed:
@@ -97,53 +97,53 @@
 	case Disarming:
 		c.Kind = Disarm
 		c.Force = true
-	case Going:
-		c.Kind = Go
-		c.Direct = l.witnessed
-	case Looking:
-		c.Kind = Look
+	case Releasing:
+		c.Kind = Release
+		c.Direct = l.recordStored
+	case ReadingStates:
+		c.Kind = ReadState
 	}
 	return c
 }
 
-// Repeat has a rank asked again at the next step: it could not follow what it was
+// RetryNow has a rank asked again at the next step: it could not follow what it was
 // sent.
-func (l *Lead) Repeat(round uint64, r btexpert.Rank) {
+func (l *Lead) RetryNow(round uint64, r btexpert.Rank) {
 	if round == l.round {
-		l.member(r).asked = time.Time{}
+		l.member(r).askedAt = time.Time{}
 	}
 }
 
-// Result takes the answer to a command in.
-func (l *Lead) Result(now time.Time, r Result) {
-	l.Report(now, r.State, r.Ballot)
+// HandleResult takes the answer to a command in.
+func (l *Lead) HandleResult(now time.Time, r Result) {
+	l.HandleReport(now, r.State, r.Ballot)
 	if r.Round != l.round || l.phase == Idle || r.State.Epoch != l.epoch {
 		return
 	}
-	if l.phase == Claiming && l.afterClaim == Looking {
+	if l.phase == Claiming && l.afterClaim == ReadingStates {
 		l.record = r.Record
 	}
 	m := l.member(r.State.Rank)
 	switch r.Verdict {
 	case Reached:
 		m.reached = true
-		l.answer(m, r)
+		l.storeConfirmed(m, r)
 	case Refused:
 		m.refused = true
 	case Outranked:
-		l.outranked(now, r.Ballot)
+		l.handleOutranked(now, r.Ballot)
 		return
 	case Pending:
-		m.asked = now.Add(pendingPause - l.settings.Again)
+		m.askedAt = now.Add(pendingRetryDelay - l.settings.RetryInterval)
 	}
 	l.advance(now)
 }
 
-// answer keeps the state of a rank that is armed, disarmed or looked at.
-func (l *Lead) answer(m *member, r Result) {
+// storeConfirmed keeps the state of a rank that is armed, disarmed or looked at.
+func (l *Lead) storeConfirmed(m *member, r Result) {
 	switch l.phase {
-	case Arming, ArmingLast, Disarming, Looking:
-		m.answered = &r.State
+	case Arming, ArmingLast, Disarming, ReadingStates:
+		m.confirmed = &r.State
 	}
 }
 
@@ -151,56 +151,56 @@
 func (l *Lead) advance(now time.Time) {
 	switch l.phase {
 	case Preparing:
-		l.prepared(now)
-	case Witnessing:
-		l.recorded(now)
+		l.advancePreparing(now)
+	case StoringRecord:
+		l.advanceStoringRecord(now)
 	case Holding:
-		l.held(now)
+		l.advanceHolding(now)
 	case Arming:
-		l.armed(now)
+		l.advanceArming(now)
 	case Committing:
-		l.oneReached(now, l.holder, ArmingLast)
+		l.advanceSingle(now, l.holder, ArmingLast)
 	case ArmingLast:
-		l.oneReached(now, l.self, Going)
+		l.advanceSingle(now, l.self, Releasing)
 	case Disarming:
-		l.disarmed(now)
-	case Going:
-		l.going(now)
+		l.advanceDisarming(now)
+	case Releasing:
+		l.advanceReleasing(now)
 	case Claiming:
-		l.claim(now)
-	case Looking:
-		l.looked(now)
+		l.advanceClaiming(now)
+	case ReadingStates:
+		l.advanceReading(now)
 	}
 }
 
-// oneReached goes on to the next phase once the one rank that is asked is in the
+// advanceSingle goes on to the next phase once the one rank that is asked is in the
 // state asked for; where it can't be, all ranks are disarmed.
-func (l *Lead) oneReached(now time.Time, r btexpert.Rank, next Phase) {
+func (l *Lead) advanceSingle(now time.Time, r btexpert.Rank, next Phase) {
 	switch m := l.member(r); {
 	case m.reached:
-		l.enter(next)
+		l.enterPhase(next)
 	case m.refused:
-		l.disarm(now)
+		l.startDisarm(now)
 	}
 }
 
-// looked decides once all ranks have reported their states.
-func (l *Lead) looked(now time.Time) {
+// advanceReading decides once all ranks have reported their states.
+func (l *Lead) advanceReading(now time.Time) {
 	switch {
 	case l.count(refused) > 0:
-		l.giveUp(now, LookRefused)
+		l.abortWithBackoff(now, ReadRefused)
 	case l.allReached():
-		l.decide(now)
+		l.resolveTakeover(now)
 	}
 }
 
-// going ends the round once the holder lets the group go on.
-func (l *Lead) going(now time.Time) {
+// advanceReleasing ends the round once the holder lets the group go on.
+func (l *Lead) advanceReleasing(now time.Time) {
 	switch m := l.member(l.holder); {
 	case m.reached:
-		l.gone(now)
+		l.finishRound(now)
 	case m.refused:
-		l.giveUp(now, GoRefused)
+		l.abortWithBackoff(now, ReleaseRefused)
 	}
 }
 
@@ -218,53 +218,53 @@
 	return n
 }
 
-// prepared goes on to the hold when every rank has the map's experts.
-func (l *Lead) prepared(now time.Time) {
+// advancePreparing goes on to the hold when every rank has the map's experts.
+func (l *Lead) advancePreparing(now time.Time) {
 	if l.count(refused) > 0 {
-		l.end(now, false, "prepare refused")
+		l.endRound(now, false, "prepare refused")
 		return
 	}
-	if now.Sub(l.began) > l.settings.Prepare {
-		l.end(now, false, "prepare took too long")
+	if now.Sub(l.startedAt) > l.settings.PrepareTimeout {
+		l.endRound(now, false, "prepare took too long")
 		return
 	}
-	if _, held := l.heldRank(); held {
-		l.end(now, false, HeldByAnother)
+	if _, held := l.holdingRank(); held {
+		l.endRound(now, false, HeldByAnother)
 		return
 	}
 	if l.count(reached) < l.size {
 		return
 	}
 	if l.holder == l.self {
-		l.hold(l.self)
+		l.startHold(l.self)
 		return
 	}
-	l.enter(Witnessing)
+	l.enterPhase(StoringRecord)
 }
 
-// recorded goes on to the hold once the holder's agent keeps a record. Where it
+// advanceStoringRecord goes on to the hold once the holder's agent keeps a record. Where it
 // doesn't answer the round is given up, as it may keep one all the same.
-func (l *Lead) recorded(now time.Time) {
+func (l *Lead) advanceStoringRecord(now time.Time) {
 	m := l.member(l.holder)
 	switch {
 	case m.reached:
-		l.witnessed = true
-		l.hold(l.holder)
-	case m.refused, !m.asked.IsZero() && now.Sub(m.asked) > l.settings.Witness:
-		l.end(now, false, NoRecord)
+		l.recordStored = true
+		l.startHold(l.holder)
+	case m.refused, !m.askedAt.IsZero() && now.Sub(m.askedAt) > l.settings.RecordTimeout:
+		l.endRound(now, false, NoRecord)
 	}
 }
 
-// hold goes on to hold the group at a rank, before a step that none has begun.
-func (l *Lead) hold(r btexpert.Rank) {
+// startHold goes on to startHold the group at a rank, before a step that none has begun.
+func (l *Lead) startHold(r btexpert.Rank) {
 	l.holder = r
-	l.step = max(l.lastStep()+l.ahead(), l.step+1)
-	l.enter(Holding)
+	l.step = max(l.lastStep()+l.holdDistance(), l.step+1)
+	l.enterPhase(Holding)
 }
 
-// ahead is how many steps after the last the group is held.
-func (l *Lead) ahead() int64 {
-	return l.settings.Ahead + int64(l.size/l.settings.RanksPerStep)
+// holdDistance is how many steps after the last the group is held.
+func (l *Lead) holdDistance() int64 {
+	return l.settings.HoldAhead + int64(l.size/l.settings.RanksPerExtraStep)
 }
 
 // lastStep returns the latest step that any rank has begun.
@@ -276,92 +276,92 @@
 	return last
 }
 
-// maxHolds bounds the holds of one round that come too late for their steps.
-const maxHolds = 8
+// maxRefusedHolds bounds the holds of one round that come too late for their steps.
+const maxRefusedHolds = 8
 
-// held goes on to arm once the group is held. A step that began too soon is
+// advanceHolding goes on to arm once the group is advanceHolding. A step that began too soon is
 // given up for a later one.
-func (l *Lead) held(now time.Time) {
+func (l *Lead) advanceHolding(now time.Time) {
 	m := l.member(l.holder)
 	switch {
 	case m.reached:
 		l.heldAt = now
 		l.claimed = true
 		l.secured = true
-		l.enter(Arming)
+		l.enterPhase(Arming)
 	case !m.refused:
 	case m.state.Held && m.state.HeldStep != l.step:
 		// A rank holds one step at a time, so that it refuses every other one.
-		l.end(now, false, HeldByAnother)
-	case l.holds >= maxHolds:
-		l.giveUp(now, HoldRefused)
+		l.endRound(now, false, HeldByAnother)
+	case l.refusedHolds >= maxRefusedHolds:
+		l.abortWithBackoff(now, HoldRefused)
 	default:
 		// The refused step has begun, so that an order for it which is carried
 		// out late does nothing.
-		l.holds++
-		l.hold(l.holder)
+		l.refusedHolds++
+		l.startHold(l.holder)
 	}
 }
 
-// armed lets the group go on once all ranks are armed. Where one can't be, the
+// advanceArming lets the group go on once all ranks are advanceArming. Where one can't be, the
 // others are disarmed before.
-func (l *Lead) armed(now time.Time) {
+func (l *Lead) advanceArming(now time.Time) {
 	answered := l.count(reached) + l.count(refused)
-	if answered < l.asked() {
+	if answered < l.countAsked() {
 		return
 	}
 	switch {
 	case l.count(refused) > 0:
-		l.disarm(now)
-	case l.witnessed:
-		l.enter(Committing)
+		l.startDisarm(now)
+	case l.recordStored:
+		l.enterPhase(Committing)
 	default:
-		l.enter(Going)
+		l.enterPhase(Releasing)
 	}
 }
 
-// gone ends the round after the group goes on.
-func (l *Lead) gone(now time.Time) {
-	whole := l.wholeState()
-	l.asserter.That(whole, GoesOnWhole, "version %d, step %d", l.version, l.step)
-	states := l.answered()
-	switched := len(states) == l.size && allOn(states, l.version)
-	l.end(now, switched, "complete")
+// finishRound ends the round after the group goes on.
+func (l *Lead) finishRound(now time.Time) {
+	whole := l.mapConsistent()
+	l.asserter.That(whole, InvariantOneMap, "version %d, step %d", l.version, l.step)
+	states := l.confirmedStates()
+	switched := len(states) == l.size && allArmedOrActive(states, l.version)
+	l.endRound(now, switched, "complete")
 }
 
-// disarmed lets the group go on once no rank is armed. One that was armed for another
-// version meanwhile, by an order carried out late, is disarmed in turn.
-func (l *Lead) disarmed(now time.Time) {
+// advanceDisarming lets the group go on once no rank is armed. One that was armed for another
+// version meanwhile, by an order carried out late, is advanceDisarming in turn.
+func (l *Lead) advanceDisarming(now time.Time) {
 	if l.count(refused) > 0 {
-		l.giveUp(now, DisarmRefused)
+		l.abortWithBackoff(now, DisarmRefused)
 		return
 	}
 	if !l.allReached() {
 		return
 	}
-	for _, s := range l.answered() {
+	for _, s := range l.confirmedStates() {
 		if s.Armed != 0 {
 			l.version = s.Armed
-			l.enter(Disarming)
+			l.enterPhase(Disarming)
 			return
 		}
 	}
-	l.enter(Going)
+	l.enterPhase(Releasing)
 }
 
-// wholeState tells whether all ranks have answered in this round that they are armed for
+// mapConsistent tells whether all ranks have answered in this round that they are armed for
 // or on one map, or that they aren't armed. One that is out of reach isn't.
-func (l *Lead) wholeState() bool {
-	states := l.answered()
+func (l *Lead) mapConsistent() bool {
+	states := l.confirmedStates()
 	all := l.size
-	if l.absent != nil {
+	if l.unreachable != nil {
 		all--
 	}
-	return len(states) == all && (len(states) == l.size && allOn(states, l.version) || noneArmed(states))
+	return len(states) == all && (len(states) == l.size && allArmedOrActive(states, l.version) || noneArmed(states))
 }
 
-// states lists the last known states of the ranks that have reported.
-func (l *Lead) states() []State {
+// knownStates lists the last known knownStates of the ranks that have reported.
+func (l *Lead) knownStates() []State {
 	var states []State
 	for _, m := range l.members {
 		states = append(states, m.state)
@@ -369,8 +369,8 @@
 	return states
 }
 
-// allOn tells whether every rank is armed for the version or has it in force.
-func allOn(states []State, v Version) bool {
+// allArmedOrActive tells whether every rank is armed for the version or has it in force.
+func allArmedOrActive(states []State, v Version) bool {
 	return !slices.ContainsFunc(states, func(s State) bool { return s.Armed != v && s.Map != v })
 }
 
--- a/core/btround/view.go
+++ b/core/btround/view.go
@@ -6,14 +6,14 @@
 	"bilberrytide/core/btexpert"
 )
 
-// Began returns when the round began, or was taken over.
-func (l *Lead) Began() time.Time { return l.began }
+// StartedAt returns when the round began, or was taken over.
+func (l *Lead) StartedAt() time.Time { return l.startedAt }
 
 // Holder returns the rank that is to hold the group in the round.
 func (l *Lead) Holder() btexpert.Rank { return l.holder }
 
-// Waiting lists the ranks whose answers the round waits for.
-func (l *Lead) Waiting() []btexpert.Rank {
+// UnansweredRanks lists the ranks whose answers the round waits for.
+func (l *Lead) UnansweredRanks() []btexpert.Rank {
 	var ranks []btexpert.Rank
 	for r := range l.size {
 		rank := btexpert.Rank(r)
@@ -25,24 +25,24 @@
 	return ranks
 }
 
-// Stale lists the ranks without a state of late.
-func (l *Lead) Stale(now time.Time) []btexpert.Rank {
+// StaleRanks lists the ranks without a state of late.
+func (l *Lead) StaleRanks(now time.Time) []btexpert.Rank {
 	var ranks []btexpert.Rank
 	for r := range l.size {
 		m, found := l.members[btexpert.Rank(r)]
-		if !found || now.Sub(m.at) > l.settings.Fresh/2 {
+		if !found || now.Sub(m.at) > l.settings.MaxStateAge/2 {
 			ranks = append(ranks, btexpert.Rank(r))
 		}
 	}
 	return ranks
 }
 
-// States lists the states of late, by rank.
-func (l *Lead) States(now time.Time) []State {
+// RecentStates lists the states of late, by rank.
+func (l *Lead) RecentStates(now time.Time) []State {
 	var states []State
 	for r := range l.size {
 		m, found := l.members[btexpert.Rank(r)]
-		if found && now.Sub(m.at) <= l.settings.Fresh {
+		if found && now.Sub(m.at) <= l.settings.MaxStateAge {
 			states = append(states, m.state)
 		}
 	}
--- a/core/btround/world_test.go
+++ b/core/btround/world_test.go
@@ -45,21 +45,21 @@
 	busy    bool
 	nextAt  time.Time
 	leads   []*leader
-	// late is the share of orders that are carried out late, lost that of
+	// delayedShare is the share of orders that are carried out delayedShare, lostShare that of
 	// messages that don't arrive.
-	late, lost float64
-	split      int64
-	switches   int
-	heldSince  time.Time
-	longest    time.Duration
-	epoch      uint64
-	// broken tells that a rank has started anew and the group not yet formed.
-	broken bool
-	// settled ends what disturbs the world.
-	settled bool
+	delayedShare, lostShare float64
+	split                   int64
+	switches                int
+	heldSince               time.Time
+	longestHold             time.Duration
+	epoch                   uint64
+	// forming tells that a rank has started anew and the group not yet formed.
+	forming bool
+	// calm ends what disturbs the world.
+	calm bool
 	// naive lets the naive variant arm without a hold. Own has each lead hold the
-	// group at its own rank, other at another's.
-	naive, own, other bool
+	// group at its ownHolder rank, otherHolder at another's.
+	naive, ownHolder, otherHolder bool
 	// relayed has reports and commands go by relays, which delay, reorder and repeat
 	// them.
 	relayed bool
@@ -97,12 +97,12 @@
 
 func newWorld(seed uint64, ranks int, late, lost float64) *world {
 	w := &world{
-		random: rand.New(rand.NewPCG(seed, 1)),
-		now:    time.Unix(1000, 0),
-		late:   late,
-		lost:   lost,
-		busy:   true,
-		epoch:  1,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		now:          time.Unix(1000, 0),
+		delayedShare: late,
+		lostShare:    lost,
+		busy:         true,
+		epoch:        1,
 	}
 	w.start = w.now
 	for r := range ranks {
@@ -112,7 +112,7 @@
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *world) schedule(d time.Duration, do func()) {
 	heap.Push(&w.events, event{at: w.now.Add(d), do: do, seq: int(w.random.Int64N(1 << 40))})
 }
 
@@ -128,14 +128,14 @@
 		for len(w.events) > 0 && !w.events[0].at.After(w.now) {
 			heap.Pop(&w.events).(event).do()
 		}
-		w.pass()
+		w.advanceStep()
 		w.now = w.now.Add(tick)
 	}
 }
 
-// pass begins the next step where it is due and nobody holds the group.
-func (w *world) pass() {
-	if !w.busy || w.broken || w.now.Before(w.nextAt) {
+// advanceStep begins the next step where it is due and nobody holds the group.
+func (w *world) advanceStep() {
+	if !w.busy || w.forming || w.now.Before(w.nextAt) {
 		return
 	}
 	next := w.step + 1
@@ -144,7 +144,7 @@
 			if w.heldSince.IsZero() {
 				w.heldSince = w.now
 			}
-			w.longest = max(w.longest, w.now.Sub(w.heldSince))
+			w.longestHold = max(w.longestHold, w.now.Sub(w.heldSince))
 			return
 		}
 	}
@@ -172,9 +172,9 @@
 func (e *engine) state() btround.State {
 	e.reads++
 	return btround.State{
-		Rank: e.rank, Size: len(e.world.engines), Group: "g", Epoch: e.world.epoch, Start: e.started, Open: !e.world.broken,
+		Rank: e.rank, Size: len(e.world.engines), Group: "g", Epoch: e.world.epoch, Start: e.started, Open: !e.world.forming,
 		Step: e.world.step, Map: e.mapVersion, Prepared: e.prepared, Armed: e.armed, ArmedStep: e.armedStep,
-		Held: e.held, HeldStep: e.heldStep, Reader: uint64(e.rank) + 1, Reading: e.reads, Pace: 1,
+		Held: e.held, HeldStep: e.heldStep, Reader: uint64(e.rank) + 1, ReadCount: e.reads, Pace: 1,
 	}
 }
 
@@ -220,7 +220,7 @@
 			return false
 		}
 		e.held, e.heldStep = true, c.Step
-	case btround.Go:
+	case btround.Release:
 		if e.held && e.heldStep == c.Step {
 			e.held = false
 		}
@@ -238,7 +238,7 @@
 	e.highest = v
 	e.preparing = v
 	e.prepared = 0
-	e.world.after(e.world.millis(50, 300), func() {
+	e.world.schedule(e.world.millis(50, 300), func() {
 		if e.preparing == v {
 			e.prepared = v
 		}
@@ -246,27 +246,27 @@
 	return true
 }
 
-// carryOut is what an agent does with a command.
-func (e *engine) carryOut(c btround.Command) btround.Result {
+// handleCommand is what an agent does with a command.
+func (e *engine) handleCommand(c btround.Command) btround.Result {
 	result := btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Pending, Ballot: c.Ballot}
 	if !e.agent.Accept(c) {
 		result.Verdict = btround.Outranked
-		result.Ballot = e.agent.Heard()
+		result.Ballot = e.agent.Promised()
 		result.State = e.state()
 		return result
 	}
-	if c.Kind == btround.Witness || c.Kind == btround.Commit {
-		result.Verdict = e.agent.Note(c)
+	if c.Kind == btround.StoreRecord || c.Kind == btround.Commit {
+		result.Verdict = e.agent.UpdateRecord(c)
 		result.State = e.state()
 		return result
 	}
-	result = e.obey(c)
+	result = e.execute(c)
 	result.Record = e.agent.Record()
 	return result
 }
 
-// obey carries a command out at the engine.
-func (e *engine) obey(c btround.Command) btround.Result {
+// execute carries a command out at the engine.
+func (e *engine) execute(c btround.Command) btround.Result {
 	result := btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Pending, Ballot: c.Ballot}
 	if c.Satisfied(e.state()) && !c.Force {
 		result.Verdict = btround.Reached
@@ -277,8 +277,8 @@
 		result.State = e.state()
 		return result
 	}
-	if e.world.random.Float64() < e.world.late {
-		e.world.after(e.world.millis(2000, 12000), func() { e.order(c) })
+	if e.world.random.Float64() < e.world.delayedShare {
+		e.world.schedule(e.world.millis(2000, 12000), func() { e.order(c) })
 		result.State = e.state()
 		return result
 	}
@@ -296,10 +296,10 @@
 	return result
 }
 
-// directly has the engine or its agent carry a command out, as the command says.
-func (e *engine) directly(c btround.Command) btround.Result {
+// handle has the engine or its agent carry a command out, as the command says.
+func (e *engine) handle(c btround.Command) btround.Result {
 	if c.Direct {
-		return e.obey(c)
+		return e.execute(c)
 	}
-	return e.carryOut(c)
+	return e.handleCommand(c)
 }
--- a/io/btrank/agent.go
+++ b/io/btrank/agent.go
@@ -81,7 +81,7 @@
 	// countedAt is when the counts were told.
 	countedAt time.Time
 	// maps are the maps that instructions may refer to, by version.
-	maps *btround.Memory
+	maps *btround.MapCache
 	// wantHeld is the lead's wish for the experts that the rank holds.
 	wantHeld bool
 	// tree chooses the relay and the lead.
@@ -105,7 +105,7 @@
 		calls:   calls,
 		reader:  rand.Uint64(),
 		kick:    make(chan struct{}, 1),
-		maps:    btround.NewMemory(),
+		maps:    btround.NewMapCache(),
 		tree:    btrelay.New(o.Address),
 	}
 	a.directory = newDirectory(o, calls)
@@ -222,7 +222,7 @@
 	reading := a.readings.Add(1)
 	s, err := report(ctx, a.options.Engine)
 	s.Reader = a.reader
-	s.Reading = reading
+	s.ReadCount = reading
 	if err != nil {
 		a.lost(err)
 		return false
@@ -304,7 +304,7 @@
 	r := Report{
 		Engine: a.options.Settings.Engine,
 		State:  a.state,
-		Ballot: a.acceptor.Heard(),
+		Ballot: a.acceptor.Promised(),
 	}
 	return r, a.wantHeld
 }
--- a/io/btrank/batch.go
+++ b/io/btrank/batch.go
@@ -83,7 +83,7 @@
 func (l *lead) refused(c btround.Command) {
 	l.whole[c.Rank] = true
 	delete(l.prepares, c.Rank)
-	l.machine.Repeat(c.Round, c.Rank)
+	l.machine.RetryNow(c.Round, c.Rank)
 }
 
 // relayOf returns the relay that a command goes by; false where it goes straight to
@@ -187,7 +187,7 @@
 		l.prepares[c.Rank] = c.Version
 		delete(l.whole, c.Rank)
 	}
-	l.machine.Result(l.options.Clock(), r)
+	l.machine.HandleResult(l.options.Clock(), r)
 }
 
 // engineOf returns the address of a rank's engine.
--- a/io/btrank/budget_test.go
+++ b/io/btrank/budget_test.go
@@ -72,7 +72,7 @@
 func state(rank, size int) btround.State {
 	return btround.State{
 		Rank: btexpert.Rank(rank), Size: size, Group: "group-of-the-service", Epoch: 1 << 20, Start: 1 << 60, Open: true, Step: 100_000,
-		Map: 1 << 32, Prepared: 1 << 33, Armed: 1 << 33, ArmedStep: 100_002, Reader: 1 << 63, Reading: 10_000, Running: 6, Waiting: 3, Pace: 1,
+		Map: 1 << 32, Prepared: 1 << 33, Armed: 1 << 33, ArmedStep: 100_002, Reader: 1 << 63, ReadCount: 10_000, Running: 6, Waiting: 3, Pace: 1,
 	}
 }
 
--- a/io/btrank/command.go
+++ b/io/btrank/command.go
@@ -27,14 +27,14 @@
 	if heard, accepted := a.accept(c); !accepted {
 		return btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Outranked, Ballot: heard, State: a.own()}, nil
 	}
-	if c.Kind == btround.Witness || c.Kind == btround.Commit {
+	if c.Kind == btround.StoreRecord || c.Kind == btround.Commit {
 		return a.note(ctx, c), nil
 	}
 	result := carryOut(ctx, a.options.Engine, c)
 	result.State.Reader = a.reader
-	result.State.Reading = a.readings.Add(1)
+	result.State.ReadCount = a.readings.Add(1)
 	a.mu.Lock()
-	a.acceptor.Raise(result.Ballot)
+	a.acceptor.RaisePromise(result.Ballot)
 	result.Record = a.acceptor.Record()
 	a.mu.Unlock()
 	if c.Kind == btround.Arm && result.Verdict == btround.Reached {
@@ -52,24 +52,24 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	accepted := a.acceptor.Accept(c)
-	return a.acceptor.Heard(), accepted
+	return a.acceptor.Promised(), accepted
 }
 
 // note keeps or commits the record of a round, and answers with the engine's
 // state of now, by whose step the lead chooses the one to hold.
 func (a *Agent) note(ctx context.Context, c btround.Command) btround.Result {
 	result := btround.Result{Round: c.Round, Kind: c.Kind, Ballot: c.Ballot, State: a.own()}
-	if c.Kind == btround.Witness && a.read(ctx) {
+	if c.Kind == btround.StoreRecord && a.read(ctx) {
 		result.State = a.own()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if c.Ballot < a.acceptor.Heard() {
+	if c.Ballot < a.acceptor.Promised() {
 		result.Verdict = btround.Outranked
-		result.Ballot = a.acceptor.Heard()
+		result.Ballot = a.acceptor.Promised()
 		return result
 	}
-	result.Verdict = a.acceptor.Note(c)
+	result.Verdict = a.acceptor.UpdateRecord(c)
 	a.log.Info("round recorded", "kind", c.Kind, "verdict", result.Verdict, "lead", c.Lead, "version", c.Version, "ballot", c.Ballot)
 	return result
 }
--- a/io/btrank/engine.go
+++ b/io/btrank/engine.go
@@ -147,7 +147,7 @@
 	case btround.Hold:
 		s.Held = true
 		s.HeldStep = c.Step
-	case btround.Go:
+	case btround.Release:
 		s.Held = s.Held && s.HeldStep != c.Step
 	case btround.Disarm:
 		// Engines accept this for any version and disarm the named one only.
--- a/io/btrank/engine_test.go
+++ b/io/btrank/engine_test.go
@@ -29,7 +29,7 @@
 	state := btround.State{Size: 2, Epoch: 1, Step: 4, Armed: 9, ArmedStep: 6, Held: true, HeldStep: 6}
 	for _, c := range []btround.Command{
 		{Kind: btround.Disarm, Epoch: 1, Version: 8, Force: true},
-		{Kind: btround.Go, Epoch: 1, Step: 5, Force: true},
+		{Kind: btround.Release, Epoch: 1, Step: 5, Force: true},
 	} {
 		got := btrank.CarryOut(context.Background(), scripted{state: state}, c).State
 		assert.Equal(t, got.Armed, btround.Version(9), "%s", c.Kind)
--- a/io/btrank/give.go
+++ b/io/btrank/give.go
@@ -79,7 +79,7 @@
 // lookAfterRefusal reads the state that an engine's refusal is due to.
 func (l *lead) lookAfterRefusal(ctx context.Context, c btround.Command, engine netip.AddrPort) btround.Result {
 	look := c
-	look.Kind = btround.Look
+	look.Kind = btround.ReadState
 	look.Direct = false
 	to := agentOf(engine, l.options.Address.Port())
 	result, err := btcall.Call[btround.Result](ctx, l.calls, to, pathCommand, Instruction{Command: look})
--- a/io/btrank/lead.go
+++ b/io/btrank/lead.go
@@ -113,7 +113,7 @@
 		return BundleReply{}, errNotKnown
 	}
 	if l.machine == nil || l.machine.Self() != own.Rank || l.machine.Group() != own.Group {
-		l.machine = btround.NewLead(btround.Defaults(), own.Group, own.Rank, btround.Life(rand.Uint32()), l.options.Assert)
+		l.machine = btround.NewLead(btround.Defaults(), own.Group, own.Rank, btround.Instance(rand.Uint32()), l.options.Assert)
 	}
 	var reply BundleReply
 	for _, r := range b.Reports {
@@ -122,7 +122,7 @@
 		}
 	}
 	l.planner.count(now, b.Counts)
-	if l.machine.Whole(now) != l.open {
+	if l.machine.AllRanksOpen(now) != l.open {
 		l.wake()
 	}
 	return reply, nil
@@ -137,7 +137,7 @@
 	}
 	at := now.Add(-aged.Age)
 	epoch := l.machine.Epoch()
-	l.machine.Report(at, r.State, r.Ballot)
+	l.machine.HandleReport(at, r.State, r.Ballot)
 	if l.machine.Epoch() != epoch {
 		l.planner.restart(now, l.machine.Size())
 		l.log.Info("group formed", "group", r.State.Group, "epoch", r.State.Epoch, "size", r.State.Size)
@@ -199,9 +199,9 @@
 		l.leading = true
 		l.log.Info("leads", "group", l.agent.own().Group, "epoch", l.machine.Epoch(), "ballot", l.machine.Ballot())
 	}
-	l.machine.Defer(l.agent.reportsToOther())
+	l.machine.SetDeferred(l.agent.reportsToOther())
 	l.lookAtStale(ctx, now)
-	if whole := l.machine.Whole(now); whole != l.open {
+	if whole := l.machine.AllRanksOpen(now); whole != l.open {
 		l.open = whole
 		l.told = time.Time{}
 	}
@@ -209,7 +209,7 @@
 	if l.machine.Phase() == btround.Idle {
 		l.plan(now)
 	}
-	l.dispatch(ctx, l.machine.Step(now))
+	l.dispatch(ctx, l.machine.Poll(now))
 	l.note()
 	l.watch(now)
 	if l.machine.Phase() == btround.Idle {
@@ -221,8 +221,8 @@
 // plan begins a round where a better map is worth its price.
 func (l *lead) plan(now time.Time) {
 	group, found := l.agent.directory.shape()
-	version, one := l.machine.InForce()
-	if !found || !one || !l.machine.Whole(now) {
+	version, one := l.machine.ActiveVersion()
+	if !found || !one || !l.machine.AllRanksOpen(now) {
 		return
 	}
 	plan, reason := l.planner.plan(now, group, l.paces(now), version, l.strain(now))
@@ -263,7 +263,7 @@
 // paces returns how slow each rank is.
 func (l *lead) paces(now time.Time) []float64 {
 	paces := make([]float64, l.machine.Size())
-	for _, s := range l.machine.States(now) {
+	for _, s := range l.machine.RecentStates(now) {
 		paces[s.Rank] = s.Pace
 	}
 	return paces
@@ -281,6 +281,6 @@
 		l.unrecorded = now.Add(leadFor)
 	}
 	l.options.Meter.Counter("rounds." + string(o.Reason)).Inc(1)
-	l.options.Meter.Duration("round_held_us", o.Held)
-	l.log.Info("map round ended", "version", o.Version, "switched", o.Switched, "adopted", o.Adopted, "reason", o.Reason, "took_ms", o.Took.Milliseconds(), "held_ms", o.Held.Milliseconds())
+	l.options.Meter.Duration("round_held_us", o.HeldFor)
+	l.log.Info("map round ended", "version", o.Version, "switched", o.Switched, "adopted", o.TakenOver, "reason", o.Reason, "took_ms", o.Duration.Milliseconds(), "held_ms", o.HeldFor.Milliseconds())
 }
--- a/io/btrank/planner.go
+++ b/io/btrank/planner.go
@@ -214,7 +214,7 @@
 
 // ended takes the outcome of a round in: a map that is in force is known.
 func (p *planner) ended(now time.Time, o btround.Outcome) {
-	p.holds.Held(now, o.Held)
+	p.holds.Held(now, o.HeldFor)
 	if !o.Switched {
 		p.failed = now
 		p.next = nil
--- a/io/btrank/remote.go
+++ b/io/btrank/remote.go
@@ -14,7 +14,7 @@
 // lookAtStale reads the states of engines whose agents are away. An agent that
 // has only just begun to lead doesn't know their ranks, so it goes by the list.
 func (l *lead) lookAtStale(ctx context.Context, now time.Time) {
-	if len(l.machine.Stale(now)) == 0 {
+	if len(l.machine.StaleRanks(now)) == 0 {
 		return
 	}
 	heard := make(map[netip.AddrPort]bool, len(l.engines))
@@ -45,7 +45,7 @@
 func (l *lead) takeRemote(engine netip.AddrPort, s btround.State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.machine.Report(l.options.Clock(), s, 0)
+	l.machine.HandleReport(l.options.Clock(), s, 0)
 	if s.Group != l.machine.Group() || s.Epoch != l.machine.Epoch() {
 		return false
 	}
--- a/io/btrank/tell.go
+++ b/io/btrank/tell.go
@@ -59,13 +59,13 @@
 		Service:  l.options.Settings.Service,
 		Group:    l.machine.Group(),
 		Epoch:    l.machine.Epoch(),
-		Open:     l.machine.Whole(now),
+		Open:     l.machine.AllRanksOpen(now),
 		Requests: make([]byte, l.machine.Size()),
 	}
 	for r := range load.Requests {
 		load.Requests[r] = btdirect.LoadUnknown
 	}
-	for _, s := range l.machine.States(now) {
+	for _, s := range l.machine.RecentStates(now) {
 		load.Requests[s.Rank] = byte(min(s.Running+s.Waiting, btdirect.LoadUnknown-1))
 		if s.Pace >= toldPace {
 			load.Paces = append(load.Paces, btdirect.RankPace{Rank: int(s.Rank), Pace: float32(min(s.Pace, math.MaxFloat32))})
