--- a/core/btround/acceptor.go
+++ b/core/btround/acceptor.go
@@ -2,35 +2,36 @@
 
 import "bilberrytide/core/btexpert"
 
-// Record is what the agent of a held rank keeps of the round that holds it. The
-// round's lead arms its own rank last, and only once the record is committed. So
-// while it isn't, the lead's rank is known not to be armed, also where the lead's
-// host can't be reached, and the round can be ended without that rank.
+// Record describes the round that holds a rank's group. The held rank's agent stores
+// it. The lead arms its own rank last, and only after the record is committed, so an
+// uncommitted record proves that the lead's rank isn't armed. Another lead can then end
+// the round without that rank, even if the lead's host is unreachable.
 type Record struct {
 	Ballot Ballot        `cbor:"ballot"`
 	Lead   btexpert.Rank `cbor:"lead"`
 	Epoch  uint64        `cbor:"epoch"`
-	// Version is the map of the round.
+	// Version is the map that the round switches to.
 	Version   Version `cbor:"version"`
 	Committed bool    `cbor:"committed"`
 }
 
-// Acceptor is an agent's part in the agreement on who leads. It promises to obey
-// no ballot lower than the highest that it has heard. It is not safe for
+// Acceptor is an agent's part in the agreement on which lead is obeyed. It promises to
+// reject every ballot lower than the highest that it has seen. It is not safe for
 // concurrent use.
 type Acceptor struct {
 	promised Ballot
 	record   *Record
 }
 
-// Promised returns the highest ballot heard.
+// Promised returns the highest ballot seen; commands with a lower one are rejected.
 func (a *Acceptor) Promised() Ballot { return a.promised }
 
-// Accept tells whether a command is to be carried out: its lead isn't outranked.
+// Accept reports whether a command may be carried out, and raises the promised ballot
+// to the command's. A command with a ballot below the promised one is rejected.
 //
-// The record of a round outlives one claim of the held rank, by whoever ends the
-// round. Any other command of a higher ballot voids it, as its lead may have had
-// ranks armed of which the record knows nothing.
+// The record survives one claim of the held rank under a higher ballot, since the
+// claiming lead needs it to end the round. Any other command with a higher ballot drops
+// it, as that lead may have armed ranks of which the record says nothing.
 func (a *Acceptor) Accept(c Command) bool {
 	if c.Ballot < a.promised {
 		return false
@@ -43,7 +44,8 @@
 	return true
 }
 
-// RaisePromise notes a ballot that was heard of otherwise.
+// RaisePromise raises the promised ballot to one learned other than from a command, and
+// drops the record if the ballot is higher.
 func (a *Acceptor) RaisePromise(b Ballot) {
 	if b > a.promised {
 		a.promised = b
@@ -51,13 +53,14 @@
 	}
 }
 
-// UpdateRecord keeps or commits the record of an accepted command's round.
+// UpdateRecord stores or commits the record for an accepted StoreRecord or Commit
+// command. It refuses a Commit without a matching record, and every other command.
 func (a *Acceptor) UpdateRecord(c Command) Verdict {
 	switch {
 	case c.Kind == StoreRecord && a.hasRecordFor(c):
-		// A relay that stood still delivers a command twice. Taken for a new one it would
-		// undo the commit, and the round would be ended without its lead's rank, which is
-		// armed by then.
+		// A relay whose host was suspended may deliver the command twice. Storing the
+		// record again would undo the commit, and another lead would end the round
+		// without this lead's rank, which is armed by then.
 		return Reached
 	case c.Kind == StoreRecord:
 		a.record = &Record{Ballot: c.Ballot, Lead: c.Lead, Epoch: c.Epoch, Version: c.Version}
@@ -69,12 +72,12 @@
 	return Refused
 }
 
-// hasRecordFor tells whether the record is of the command's round.
+// hasRecordFor reports whether the stored record belongs to the command's round.
 func (a *Acceptor) hasRecordFor(c Command) bool {
 	return a.record != nil && a.record.Ballot == c.Ballot && a.record.Version == c.Version
 }
 
-// Record returns the record, or nil.
+// Record returns a copy of the stored record, or nil.
 func (a *Acceptor) Record() *Record {
 	if a.record == nil {
 		return nil
--- a/core/btround/preempt_test.go
+++ b/core/btround/backoff_test.go
@@ -11,7 +11,8 @@
 	"bilberrytide/core/btround"
 )
 
-// takeoverGroup is a lead of a group of two that another lead's round holds.
+// takeoverGroup is a group of two ranks held by another lead's round, with a lead that
+// observes it.
 type takeoverGroup struct {
 	lead    *btround.Lead
 	now     time.Time
@@ -26,8 +27,8 @@
 	}
 }
 
-// takeoverDelay has both ranks report each 20 ms, and returns how long the lead leaves
-// the hold to whoever placed it; it gives up after five seconds.
+// takeoverDelay has both ranks report every 20 ms, and returns how long the lead waits
+// before it takes over the hold, at most five seconds.
 func (w *takeoverGroup) takeoverDelay() time.Duration {
 	began := w.now
 	for w.now.Sub(began) < 5*time.Second {
@@ -48,7 +49,7 @@
 	}
 }
 
-// settle has the lead receive reports of a group that nobody holds for over a second.
+// settle has the lead receive reports for more than a second, and then places a hold.
 func (w *takeoverGroup) settle() {
 	for range 80 {
 		w.advance()
@@ -57,9 +58,10 @@
 	w.held = true
 }
 
-// TestALeadLeavesARoundItsTime guards against leads that preempt a round which needs some
-// tens of milliseconds more, and against one that leaves a dead lead's round too long.
-func TestALeadLeavesARoundItsTime(t *testing.T) {
+// TestTakeoverDelay guards against leads that interrupt a round which needs only some
+// tens of milliseconds more, and against leaving a dead lead's round alone for too
+// long.
+func TestTakeoverDelay(t *testing.T) {
 	s := btround.Defaults()
 	const late = 60 * time.Millisecond
 	settled := newTakeoverGroup()
@@ -73,9 +75,9 @@
 	assert.Assert(t, took >= s.NewLeadTakeoverDelay && took <= s.NewLeadTakeoverDelay+late, "%s", took)
 }
 
-// TestADeferredLeadBeginsNothing guards against a lead that goes on to lead though its own
-// agent reports to another; one that nobody replaces takes over in the end.
-func TestADeferredLeadBeginsNothing(t *testing.T) {
+// TestDeferredLeadBeginsNoRound guards against a lead that stays active although its
+// own agent reports to another. It still takes a round over if no other lead does.
+func TestDeferredLeadBeginsNoRound(t *testing.T) {
 	s := btround.Defaults()
 	w := newTakeoverGroup()
 	w.lead.SetDeferred(true)
@@ -86,9 +88,9 @@
 	assert.Assert(t, took >= s.DeferredTakeoverDelay && took < s.DeferredTakeoverDelay+100*time.Millisecond, "%s", took)
 }
 
-// TestAPreemptedLeadWaitsLongerEachTime guards against two leads that preempt each other in
-// turn, each before the other's takeover is complete.
-func TestAPreemptedLeadWaitsLongerEachTime(t *testing.T) {
+// TestOutrankedLeadBacksOffExponentially guards against two leads that outrank each
+// other in turn, each before the other's takeover is complete.
+func TestOutrankedLeadBacksOffExponentially(t *testing.T) {
 	w := newTakeoverGroup()
 	w.settle()
 	w.takeoverDelay()
@@ -105,8 +107,8 @@
 	}
 }
 
-// TestAGroupIsNotHeldForLongByALateHold guards against a lead's own claim that is carried
-// out after its go, under the same ballot, and holds an idle group again.
+// TestAGroupIsNotHeldForLongByALateHold guards against a lead's own claim that is
+// carried out after its release, under the same ballot, and holds an idle group again.
 func TestAGroupIsNotHeldForLongByALateHold(t *testing.T) {
 	w := newWorld(90087, 8, 0.35, 0.05)
 	disturb(w)
--- a/core/btround/btround_test.go
+++ b/core/btround/btround_test.go
@@ -17,14 +17,14 @@
 	first = flag.Uint64("round.first", 0, "the first seed")
 )
 
-// regressions are seeds that once put a step on two maps: an order to disarm that
-// was carried out late, after another lead had taken the rank for armed (5229,
-// 5371, 5127), and a round ended without its lead's rank though its record was
-// committed (5026). In 20298 a lead that held a later step had ranks disarmed while the
-// step for which all were armed could begin.
+// regressions are seeds that once ran a step on two maps. In 5127, 5229 and 5371 an
+// order to disarm was carried out late, after another lead had counted the rank as
+// armed. In 5026 a round was ended without its lead's rank although its record was
+// committed. In 20298 a lead that held a later step had ranks disarmed while the step
+// for which all were armed could begin.
 var regressions = []uint64{5026, 5127, 5229, 5371, 20298}
 
-// seedRange lists the seeds of a randomised seedRange.
+// seedRange lists the seeds of a randomised run.
 func seedRange() []uint64 {
 	list := make([]uint64, *seeds)
 	for i := range list {
@@ -33,7 +33,7 @@
 	return list
 }
 
-func TestRoundsFollowEachOther(t *testing.T) {
+func TestConsecutiveRounds(t *testing.T) {
 	w := newWorld(1, 16, 0, 0)
 	w.startLead(0)
 	w.run(20 * time.Second)
@@ -42,46 +42,47 @@
 	assert.Assert(t, w.longestHold <= 100*time.Millisecond, "held for %s", w.longestHold)
 }
 
-// TestNoStepOnTwoMaps has orders lost or carried out late, leads frozen, killed
-// and replaced, and two leads at a time, and idle groups.
+// TestNoStepOnTwoMaps runs with lost and late orders, with leads that are frozen,
+// killed and replaced or compete in pairs, and with idle groups.
 //
-// In seed 51408 two lives of one rank's lead had the same ballot, and were both obeyed.
+// In seed 51408 two instances of one rank's lead used the same ballot and were both
+// obeyed.
 func TestNoStepOnTwoMaps(t *testing.T) {
 	for _, seed := range append([]uint64{51408}, seedRange()...) {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		disturb(w)
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
-		assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
+		assert.Assert(t, w.switches > 0, "seed %d: no map switch completed", seed)
 		assert.Assert(t, w.longestHold < maxHold, "seed %d: held for %s", seed, w.longestHold)
 	}
 }
 
-// maxHold is for how long a group may be held while leads are replaced every
-// few seconds and a third of the orders are carried out late: two leads that go
-// on outranking each other hold it for the whole run.
+// maxHold bounds how long a group may be held while leads are replaced every few
+// seconds and a third of the orders are carried out late. Two leads that keep
+// outranking each other would hold it for the whole run.
 const maxHold = 15 * time.Second
 
-// TestNoStepOnTwoMapsWithHostsOutOfReach has besides hosts that can't be reached
-// while their engines go on in the group, and agents that start with nothing.
-func TestNoStepOnTwoMapsWithHostsOutOfReach(t *testing.T) {
+// TestNoStepOnTwoMapsWithUnreachableHosts adds hosts that can't be reached while their
+// engines continue to step with the group, and agents that restart without state.
+func TestNoStepOnTwoMapsWithUnreachableHosts(t *testing.T) {
 	for _, seed := range append(regressions, seedRange()...) {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		disturb(w)
 		isolate(w)
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
-		assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
+		assert.Assert(t, w.switches > 0, "seed %d: no map switch completed", seed)
 	}
 }
 
-// TestNoStepOnTwoMapsThroughRelays has reports that arrive late, twice and out of
-// order, and commands that arrive again seconds later, as relays that stood still
-// deliver them.
+// TestNoStepOnTwoMapsThroughRelays adds reports that arrive late, twice and out of
+// order, and commands delivered again seconds later, as by relays whose hosts were
+// suspended.
 //
-// In seed 9098 a repeated command to keep a record undid the commit of that record. In
-// 21323 a lead that saw no rank armed, and not all ready, let the group go on, and an
-// order to arm one was carried out late.
+// In seed 9098 a duplicate StoreRecord command undid the commit of that record. In
+// 21323 a lead that saw no rank armed, and not all prepared, released the group, and an
+// order to arm one rank was carried out late.
 func TestNoStepOnTwoMapsThroughRelays(t *testing.T) {
 	for _, seed := range append([]uint64{9098, 21323}, seedRange()...) {
 		w := newWorld(seed, 8, 0.35, 0.05)
@@ -90,13 +91,13 @@
 		isolate(w)
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
-		assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
+		assert.Assert(t, w.switches > 0, "seed %d: no map switch completed", seed)
 	}
 }
 
-// TestNoStepOnTwoMapsThroughSuspensions has reports that were read before their hosts were
-// suspended and arrive after newer states that the leads have read themselves.
-func TestNoStepOnTwoMapsThroughSuspensions(t *testing.T) {
+// TestNoStepOnTwoMapsWithSuspendedHosts adds reports that were read before their hosts
+// were suspended and that arrive after newer states read by the leads themselves.
+func TestNoStepOnTwoMapsWithSuspendedHosts(t *testing.T) {
 	for _, seed := range seedRange() {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		w.suspended = true
@@ -105,11 +106,11 @@
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
 		assert.Equal(t, len(w.violations), 0, "seed %d: %v", seed, w.violations)
-		assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
+		assert.Assert(t, w.switches > 0, "seed %d: no map switch completed", seed)
 	}
 }
 
-// disturb changes who leads every few seconds.
+// disturb changes the lead, or makes the group idle or busy, every few seconds.
 func disturb(w *world) {
 	w.startLead(0)
 	var again func()
@@ -127,7 +128,7 @@
 			current.dead = true
 			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		case 2:
-			// The agents no longer report to it, but it still thinks it leads.
+			// The agents no longer report to it, but it still acts as the lead.
 			current.receivesReports = false
 			w.startLead(btexpert.Rank(w.random.IntN(len(w.engines))))
 		case 3:
@@ -140,7 +141,7 @@
 	w.schedule(time.Second, again)
 }
 
-// isolate takes hosts out of reach, mostly those of leads, and starts agents anew.
+// isolate makes hosts unreachable, mostly those of leads, and restarts agents.
 func isolate(w *world) {
 	var again func()
 	again = func() {
@@ -163,9 +164,9 @@
 	w.schedule(time.Second, again)
 }
 
-// TestNaiveSwitchSplits shows that the run finds a switch without a hold: arm
-// all for a step and hope.
-func TestNaiveSwitchSplits(t *testing.T) {
+// TestSwitchWithoutHoldSplitsMaps checks that the simulation detects a switch that arms
+// all ranks for a step without holding the group.
+func TestSwitchWithoutHoldSplitsMaps(t *testing.T) {
 	for seed := range uint64(200) {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		w.naive = true
@@ -175,11 +176,12 @@
 			return
 		}
 	}
-	t.Fatal("no run of the naive switch had a step on two maps")
+	t.Fatal("no run without a hold had a step on two maps")
 }
 
-// TestHoldOfALostLeadEnds has the lead die while the group is held.
-func TestHoldOfALostLeadEnds(t *testing.T) {
+// TestHoldOfDeadLeadIsTakenOver guards against a group that stays held after its lead
+// has died while arming.
+func TestHoldOfDeadLeadIsTakenOver(t *testing.T) {
 	found := 0
 	for seed := range uint64(60) {
 		w := newWorld(seed, 8, 0, 0)
@@ -199,8 +201,8 @@
 	assert.Assert(t, found > 0, "no lead died while the group was held")
 }
 
-// freezeWhileHeld has the lead's host stand still for four seconds once its round
-// is in the phase, and returns for how long the group was held.
+// freezeWhileHeld freezes the lead's host for four seconds once its round reaches the
+// phase, and returns how long the group was held.
 func freezeWhileHeld(t *testing.T, seed uint64, own bool, phase btround.Phase) time.Duration {
 	t.Helper()
 	w := newWorld(seed, 8, 0, 0)
@@ -213,14 +215,14 @@
 	w.startLead(3)
 	w.run(8 * time.Second)
 	assert.Equal(t, w.split, int64(0), "seed %d", seed)
-	assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
+	assert.Assert(t, w.switches > 0, "seed %d: no map switch completed", seed)
 	return w.longestHold
 }
 
-// TestALeadOutOfReachHoldsNobody: a lead whose host can't be reached while the
-// group is held keeps the others waiting until another has taken its round over,
-// not until the host is back. Held at the lead's own rank the group waits.
-func TestALeadOutOfReachHoldsNobody(t *testing.T) {
+// TestUnreachableLeadIsTakenOver guards against a group that stays held until the host
+// of its lead is reachable again, instead of until another lead has taken the round
+// over. A group that is held at the lead's own rank does have to wait for the host.
+func TestUnreachableLeadIsTakenOver(t *testing.T) {
 	waited := 0
 	for _, phase := range []btround.Phase{btround.Holding, btround.Arming} {
 		for seed := range uint64(60) {
@@ -231,22 +233,23 @@
 			}
 		}
 	}
-	assert.Assert(t, waited > 0, "the run never has a held rank out of reach")
+	assert.Assert(t, waited > 0, "no seed left the holding rank unreachable")
 }
 
-// TestACommittedRoundWaits: once its record is committed the lead's rank may be
-// armed, so that nobody ends its round while its host can't be reached.
-func TestACommittedRoundWaits(t *testing.T) {
+// TestCommittedRoundWaitsForItsLead guards against ending a round without its lead's
+// rank after the record was committed: that rank may be armed, so the round waits while
+// its host is unreachable.
+func TestCommittedRoundWaitsForItsLead(t *testing.T) {
 	committed := 0
 	for seed := range uint64(60) {
 		if freezeWhileHeld(t, seed, false, btround.ArmingLast) > 3*time.Second {
 			committed++
 		}
 	}
-	assert.Assert(t, committed > 0, "no lead was lost after its record was committed")
+	assert.Assert(t, committed > 0, "no lead became unreachable after its record was committed")
 }
 
-func TestRecords(t *testing.T) {
+func TestAcceptorRecord(t *testing.T) {
 	witness := btround.Command{Kind: btround.StoreRecord, Ballot: 5, Lead: 2, Epoch: 1, Version: 9}
 	commit := btround.Command{Kind: btround.Commit, Ballot: 5, Version: 9}
 	claim := btround.Command{Kind: btround.Hold, Force: true, Ballot: 6}
@@ -261,7 +264,7 @@
 	}
 	assert.Assert(t, !recorded(witness, claim).Committed)
 	assert.Assert(t, recorded(witness, commit, claim).Committed)
-	assert.Assert(t, !recorded(witness, claim, commit).Committed, "committed after the claim")
+	assert.Assert(t, !recorded(witness, claim, commit).Committed, "commit accepted after the claim")
 	assert.Assert(t, recorded(commit, claim) == nil)
 	second := claim
 	second.Ballot = 7
@@ -276,21 +279,22 @@
 	assert.Assert(t, btround.Version(0).Next(6) != v)
 }
 
-func TestBallotsRise(t *testing.T) {
+func TestBallotsIncrease(t *testing.T) {
 	b := btround.Ballot(0).Next(7, 3)
 	assert.Assert(t, b.Next(0, 0) > b)
 	assert.Assert(t, btround.Ballot(0).Next(8, 3) != b)
-	assert.Assert(t, btround.Ballot(0).Next(7, 4) != b, "a lead that starts anew at the rank")
+	assert.Assert(t, btround.Ballot(0).Next(7, 4) != b, "ballot of a restarted lead at the same rank")
 }
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	assert.ErrorIs(t, btround.State{Rank: 3, Size: 3}.Validate(), btround.ErrMessage)
 	assert.ErrorIs(t, btround.Command{Kind: "burn"}.Validate(), btround.ErrMessage)
 	assert.ErrorIs(t, btround.Result{Verdict: "perhaps"}.Validate(), btround.ErrMessage)
 }
 
-// Ranks of another group of the service have the same numbers.
-func TestOtherGroupsArePassedOver(t *testing.T) {
+// TestReportsOfOtherGroupsAreIgnored guards against mixing groups of one service, whose
+// ranks have the same numbers.
+func TestReportsOfOtherGroupsAreIgnored(t *testing.T) {
 	l := btround.NewLead(btround.Defaults(), "g", 0, 0, btassert.New(btassert.Panic()))
 	now := time.Unix(1000, 0)
 	state := btround.State{Rank: 0, Size: 2, Group: "g", Epoch: 3, Open: true, Step: 9, Reader: 1, ReadCount: 1}
--- a/core/btround/duel_test.go
+++ b/core/btround/compete_test.go
@@ -9,8 +9,8 @@
 	"bilberrytide/core/btexpert"
 )
 
-// compete has two leads of a group that both receive all reports, and freezes the host of one
-// or the other.
+// compete runs two leads of a group that both receive all reports, and freezes the host
+// of one or the other.
 func compete(w *world) {
 	for r := range btexpert.Rank(2) {
 		w.startLead(r)
@@ -29,9 +29,10 @@
 	w.schedule(time.Second, again)
 }
 
-// TestNoStepOnTwoMapsWithDuellingLeads guards against a lead that learns of another's hold
-// only from the engines' answers and disarms ranks without having fenced the held rank.
-func TestNoStepOnTwoMapsWithDuellingLeads(t *testing.T) {
+// TestNoStepOnTwoMapsWithCompetingLeads guards against a lead that learns of another
+// lead's hold only from the engines' answers and disarms ranks without having claimed
+// the held rank.
+func TestNoStepOnTwoMapsWithCompetingLeads(t *testing.T) {
 	switches := 0
 	for _, seed := range append([]uint64{60}, seedRange()...) {
 		w := newWorld(seed, 3, 0.35, 0.05)
@@ -40,5 +41,5 @@
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
 		switches += w.switches
 	}
-	assert.Assert(t, switches > 0, "no map ever changed")
+	assert.Assert(t, switches > 0, "no map switch completed")
 }
--- a/core/btround/epoch.go
+++ b/core/btround/epoch.go
@@ -6,32 +6,34 @@
 	"bilberrytide/core/btexpert"
 )
 
-// differentStart tells whether two states of a rank are of different starts of its
-// engine.
+// differentStart reports whether two states of a rank come from different starts of its
+// engine. An unknown (zero) start matches any other.
 func (s State) differentStart(old State) bool {
 	return s.Start != 0 && old.Start != 0 && s.Start != old.Start
 }
 
-// endEpoch ends what is believed of an epoch in which a rank's engine has started
-// anew: the new one holds nothing of what the one before had prepared, armed or held.
-// Nothing is begun or gone on with before the group has formed anew, in another epoch.
-// That is also right where the news come in the wrong order, as starts aren't compared.
+// endEpoch ends the round after a rank's engine has restarted within the epoch. The
+// restarted engine has lost what was prepared, armed or held, so no round starts or
+// continues until the group forms again in another epoch. Starts are only compared for
+// equality, so this also holds when reports arrive out of order.
 func (l *Lead) endEpoch(now time.Time) {
 	l.endRound(now, false, RankRestarted)
 	l.epochEnded = true
 }
 
-// notOlderThan tells whether a state of one epoch is at least as new as another.
+// notOlderThan reports whether s is at least as recent as another state of the same
+// epoch.
 func (s State) notOlderThan(old State) bool {
 	if s.Reader == old.Reader {
 		return s.ReadCount >= old.ReadCount
 	}
-	// Another reader's numbers tell nothing; steps count up whoever reads them.
+	// Read counts of different readers can't be compared, but the step only increases,
+	// whoever reads it.
 	return s.Step >= old.Step
 }
 
-// resetForEpoch begins anew with a group that has formed anew: nothing is prepared,
-// armed or held there.
+// resetForEpoch discards all state of the previous epoch. In a group that has formed
+// again nothing is prepared, armed or held.
 func (l *Lead) resetForEpoch(now time.Time, s State) {
 	l.endRound(now, false, "group formed anew")
 	l.epoch = s.Epoch
--- a/core/btround/hold_test.go
+++ b/core/btround/hold_test.go
@@ -10,17 +10,18 @@
 	"bilberrytide/core/btround"
 )
 
-// TestAHoldOfAnotherStepEndsTheRound guards against a lead that asks a rank for one step
-// after another while the rank holds the group for a step of another round, and refuses
-// each: the group stayed paused, and nothing was logged.
-func TestAHoldOfAnotherStepEndsTheRound(t *testing.T) {
+// TestHoldForAnotherStepEndsRound guards against a lead that asks a rank to hold one
+// step after another while that rank holds the group for another round and refuses
+// each. The group then stayed paused without any log message.
+func TestHoldForAnotherStepEndsRound(t *testing.T) {
 	for seen, most := range map[btround.Kind]int{btround.Prepare: 0, btround.Hold: 2} {
 		t.Run(string(seen), func(t *testing.T) { holdsAnotherStep(t, seen, most) })
 	}
 }
 
-// holdsAnotherStep has a claim of another lead hold the group from the first command of a
-// kind on, and checks that the lead ends that hold after so many refused ones at most.
+// holdsAnotherStep lets another lead's claim hold the group from the first command of
+// kind seen on, and checks that the lead releases that hold after at most the given
+// number of refused ones.
 func holdsAnotherStep(t *testing.T, seen btround.Kind, most int) {
 	s := newScriptedGroup(t)
 	for r := range btexpert.Rank(3) {
@@ -51,15 +52,17 @@
 	assert.Assert(t, ended, "the other round's hold was never ended")
 }
 
-// claims records whether ranks are disarmed by a lead whose ballot the holder has accepted.
+// claims checks that ranks are disarmed only by a lead whose ballot the holder
+// accepted.
 type claims struct {
 	t *testing.T
-	// accepted is the ballot of the last claim, armed the highest of an order to arm.
+	// accepted is the ballot of the last claim, armed the highest ballot of an order to
+	// arm.
 	accepted, armed btround.Ballot
 	disarmed        int
 }
 
-// given checks one command, in the order in which they are given.
+// given checks one command, in the order in which commands are sent.
 func (c *claims) given(command btround.Command) {
 	c.t.Helper()
 	switch {
@@ -69,14 +72,14 @@
 		c.armed = max(c.armed, command.Ballot)
 	case command.Kind == btround.Disarm:
 		c.disarmed++
-		assert.Equal(c.t, c.accepted, command.Ballot, "disarmed without a claim")
+		assert.Equal(c.t, c.accepted, command.Ballot, "disarmed without a claim under the same ballot")
 		assert.Assert(c.t, command.Ballot > c.armed, "disarmed under the ballot of an order to arm")
 	}
 }
 
-// TestARefusedArmClaimsTheHoldBeforeItDisarms guards against ranks that are disarmed while
-// another lead ends the hold: the group would begin the step on two maps.
-func TestARefusedArmClaimsTheHoldBeforeItDisarms(t *testing.T) {
+// TestRefusedArmClaimsHoldBeforeDisarm guards against disarming ranks while another
+// lead can release the hold: the group would begin the step on two maps.
+func TestRefusedArmClaimsHoldBeforeDisarm(t *testing.T) {
 	s := newScriptedGroup(t)
 	for r := range btexpert.Rank(3) {
 		s.report(s.state(r))
@@ -98,9 +101,10 @@
 	assert.Equal(t, seen.disarmed, 3)
 }
 
-// TestAHoldFoundWhileLookingIsClaimed guards against a takeover that has seen armed ranks
-// before the hold, and disarms them as if it had claimed a hold at its own rank.
-func TestAHoldFoundWhileLookingIsClaimed(t *testing.T) {
+// TestHoldFoundDuringTakeoverIsClaimed guards against a takeover that sees armed ranks
+// before it sees the hold, and disarms them as if it had claimed a hold at its own
+// rank.
+func TestHoldFoundDuringTakeoverIsClaimed(t *testing.T) {
 	s := newScriptedGroup(t)
 	const version, step = btround.Version(1 << 20), int64(lastStep + 1)
 	state := func(r btexpert.Rank, held bool) btround.State {
--- a/core/btround/lead.go
+++ b/core/btround/lead.go
@@ -9,83 +9,89 @@
 
 // Invariants of a round.
 const (
-	// InvariantOneMap: a group goes on only when all of its ranks are armed for the
-	// same map and step, or none is armed.
+	// InvariantOneMap requires that the group resumes only when all ranks are armed for
+	// the same map and step, or none is armed.
 	InvariantOneMap btassert.Name = "round_goes_on_whole"
 )
 
-// Phase is how far a round has come.
+// Phase is the stage that a round has reached.
 type Phase string
 
 const (
-	// Idle: there is no round.
+	// Idle means that no round is running.
 	Idle Phase = "idle"
-	// Preparing: ranks load the map's experts.
+	// Preparing: the ranks load the experts of the map.
 	Preparing Phase = "preparing"
-	// StoringRecord: the agent of the rank that will hold the group is asked to keep
-	// a record of the round.
+	// StoringRecord: the agent of the rank that will hold the group is asked to store
+	// the round's record.
 	StoringRecord Phase = "witnessing"
-	// Holding: a rank is asked to hold the group.
+	// Holding: the holder is asked to hold the group before a step.
 	Holding Phase = "holding"
-	// Arming: ranks are armed while the group is held.
+	// Arming: the ranks are armed while the group is held.
 	Arming Phase = "arming"
-	// Committing: all ranks but the lead's are armed, and the record is committed.
+	// Committing: all ranks but the lead's are armed, and the record is being
+	// committed.
 	Committing Phase = "committing"
-	// ArmingLast: the lead's rank is armed.
+	// ArmingLast: the lead's own rank is armed.
 	ArmingLast Phase = "arming_last"
-	// Disarming: ranks are disarmed, as some can't be armed.
+	// Disarming: the ranks are disarmed because some couldn't be armed.
 	Disarming Phase = "disarming"
-	// Releasing: the hold is ended.
+	// Releasing: the holder is asked to release the hold.
 	Releasing Phase = "going"
-	// Claiming: the rank that holds the group is fenced against another lead.
+	// Claiming: the holder is asked to accept the hold under this lead's ballot, which
+	// fences off other leads.
 	Claiming Phase = "claiming"
-	// ReadingStates: all ranks' states are read to take over another lead's round.
+	// ReadingStates: the states of all ranks are read in order to take over another
+	// lead's round.
 	ReadingStates Phase = "looking"
 )
 
-// Settings are the times of a round.
+// Settings are the timeouts and limits of a round.
 type Settings struct {
-	// PrepareTimeout bounds the loading of experts; a round that takes longer is given
-	// up, which harms nothing.
+	// PrepareTimeout bounds the loading of experts. A round that takes longer is
+	// abandoned; nothing is held or armed by then.
 	PrepareTimeout time.Duration
-	// RetryInterval is when a command without a final answer is repeated.
+	// RetryInterval is the time after which a command without a final answer is sent
+	// again.
 	RetryInterval time.Duration
-	// HoldAhead is how many steps ahead of the last one the group is held;
-	// RanksPerStep is for how many ranks it is one more, as it takes longer to
-	// arm them all.
+	// HoldAhead is the number of steps between the latest one begun and the one that is
+	// held. One step is added for every RanksPerExtraStep ranks, since arming more
+	// ranks takes longer.
 	HoldAhead         int64
 	RanksPerExtraStep int
-	// Backoff is for how long a lead that was outranked leaves the group to the
-	// other; YieldPerRank makes it differ, so that two leads don't go on
+	// Backoff is how long an outranked lead leaves the group to the other lead.
+	// BackoffPerRank is added once per rank number, so that two leads don't keep
 	// outranking each other.
 	Backoff        time.Duration
 	BackoffPerRank time.Duration
-	// MaxBackoff bounds the doubling of Yield while leads preempt each other.
+	// MaxBackoff bounds the doubling of Backoff while leads outrank each other.
 	MaxBackoff time.Duration
-	// TakeoverDelay is how long another lead's round is left to it, which takes tens of
-	// milliseconds where it isn't disturbed; FirstGrace is the same for a lead that has
-	// only begun to receive reports, as the lead before it is most likely gone.
+	// TakeoverDelay is how long another lead's round is left to that lead; an
+	// undisturbed round takes tens of milliseconds. NewLeadTakeoverDelay applies
+	// instead to a lead that has only just begun to receive reports, since its
+	// predecessor is most likely gone.
 	TakeoverDelay        time.Duration
 	NewLeadTakeoverDelay time.Duration
-	// DeferredTakeoverDelay is how long a lead whose agent reports to another leaves a round to it.
+	// DeferredTakeoverDelay applies instead to a lead whose agent reports to another
+	// lead.
 	DeferredTakeoverDelay time.Duration
-	// RecordTimeout bounds the wait for the agent that is to keep a record, which answers
+	// RecordTimeout bounds the wait for the agent that stores the record, which answers
 	// within a few milliseconds.
 	RecordTimeout time.Duration
-	// MaxStateAge is how old a member's state may be for a round to begin.
+	// MaxStateAge is the maximum age of each member's state for a round to begin.
 	MaxStateAge time.Duration
 }
 
-// maxBackoffDoublings bounds how often Yield is doubled.
+// maxBackoffDoublings bounds how often Backoff is doubled.
 const maxBackoffDoublings = 8
 
-// pendingRetryDelay is the wait before a command is repeated whose end isn't known.
+// pendingRetryDelay is the delay before a command with a Pending verdict is sent again.
 const pendingRetryDelay = 20 * time.Millisecond
 
-// Defaults returns the settings in use. A step of a group takes some 60 to 100
-// ms and an order within the host about 1 ms, so that a hold two steps ahead is
-// placed in time and waited for no longer than needed; copying two experts takes
-// about half a second. An agent works on a command for up to 400 ms.
+// Defaults returns the settings in use. A group's step takes about 60 to 100 ms and an
+// order within the host about 1 ms, so a hold two steps ahead is placed in time without
+// a needless wait. Copying two experts takes about half a second. An agent works on a
+// command for up to 400 ms.
 func Defaults() Settings {
 	return Settings{
 		PrepareTimeout:        3 * time.Second,
@@ -113,8 +119,8 @@
 
 	size  int
 	epoch uint64
-	// epochEnded tells that a rank has started anew in the epoch, so that the group can't
-	// go on in it.
+	// epochEnded is set when a rank's engine has restarted within the epoch, which the
+	// group can't continue.
 	epochEnded bool
 	ballot     Ballot
 	members    map[btexpert.Rank]*member
@@ -124,88 +130,89 @@
 	version Version
 	layers  []btexpert.Layer
 	step    int64
-	// holder is the rank that holds the group; witnessed tells that its agent keeps
-	// a record of the round, so that the own rank is armed last.
+	// holder is the rank that holds the group. recordStored is set when its agent has
+	// stored a record of the round; the lead's own rank is then armed last.
 	holder       btexpert.Rank
 	recordStored bool
-	// claimed tells that the holder has accepted the hold under this lead's ballot, secured
-	// that this keeps the group from the step for which ranks are armed: only then may a
-	// rank be disarmed.
+	// claimed is set when the holder has accepted the hold under this lead's ballot.
+	// secured is set when that hold prevents the step for which ranks are armed; ranks
+	// may be disarmed only then.
 	claimed, secured bool
-	// afterClaim is the phase that follows once the holder has accepted the hold again.
+	// afterClaim is the phase to enter once the holder has accepted the claim.
 	afterClaim Phase
-	// refusedHolds counts the refusedHolds that were refused in the round.
+	// refusedHolds counts the holds refused in the round.
 	refusedHolds int
-	// unreachable is the rank of another lead, out of reach, without which its round is
-	// ended; record is what is known of that round.
+	// unreachable is the rank of another lead without which its round is ended, because
+	// its host can't be reached. record is the record of that round.
 	unreachable *btexpert.Rank
 	record      *Record
 	startedAt   time.Time
-	// backoffUntil is until when another lead has the group to itself. preempted counts how often
-	// in a row this lead was outranked while the group was at step preemptedAt.
+	// backoffUntil is the time until which the group is left to another lead.
+	// outrankedCount counts how often in a row this lead was outranked while the group
+	// was at step outrankedAtStep.
 	backoffUntil    time.Time
 	outrankedCount  int
 	outrankedAtStep int64
-	// deferred tells that the agent reports to another lead, foreignSince when this one
-	// first saw what is left of another lead's round.
+	// deferred is set when the agent reports to another lead. foreignSince is when this
+	// lead first saw a hold or armed ranks of another lead's round.
 	deferred     bool
 	foreignSince time.Time
-	// reportsSince is since when reports have come without a break, reportedAt when the last
-	// one came.
+	// reportsSince is the start of the current uninterrupted series of reports,
+	// reportedAt the time of the latest one.
 	reportsSince, reportedAt time.Time
 	heldAt                   time.Time
-	// outcome is that of the last round, until it is asked for.
+	// outcome is the last round's outcome until it is read.
 	outcome *Outcome
 }
 
-// member is what the lead knows of one rank.
+// member is what the lead knows about one rank.
 type member struct {
 	state State
 	at    time.Time
-	// The fields below belong to the round.
+	// The fields below belong to the current round.
 	reached bool
 	refused bool
 	askedAt time.Time
-	// confirmed is the state with which the rank last confirmed an order to arm or disarm,
-	// or a look. It was read after the order, as a report that a frozen host sends late
-	// need not be.
+	// confirmed is the state in the rank's latest answer to an order to arm or disarm
+	// or to a state read. It was read after the command, unlike a report, which a
+	// frozen host may send late.
 	confirmed *State
 }
 
-// Outcome is how a round ended.
+// Outcome describes how a round ended.
 type Outcome struct {
 	Version  Version
 	Switched bool
-	// TakenOver tells that another lead had begun the round.
+	// TakenOver is set when another lead began the round.
 	TakenOver bool
 	Reason    string
 	Duration  time.Duration
-	// HeldFor is for how long the group was held.
+	// HeldFor is how long the group was held.
 	HeldFor time.Duration
 }
 
-// NewLead returns the lead of the named group at the agent of rank self, in a life of
-// its own.
+// NewLead returns the lead of the named group at the agent of rank self. Instance
+// distinguishes it from other leads at that rank.
 func NewLead(s Settings, group string, self btexpert.Rank, instance Instance, asserter *btassert.Asserter) *Lead {
 	return &Lead{settings: s, group: group, self: self, instance: instance, asserter: asserter, phase: Idle, members: make(map[btexpert.Rank]*member)}
 }
 
-// Phase returns how far the round has come.
+// Phase returns the current phase.
 func (l *Lead) Phase() Phase { return l.phase }
 
 // Ballot returns the ballot of the lead's commands.
 func (l *Lead) Ballot() Ballot { return l.ballot }
 
-// Outcome returns the outcome of a round that has ended since the last call.
+// Outcome returns the outcome of a round that has ended since the last call, or nil.
 func (l *Lead) Outcome() *Outcome {
 	o := l.outcome
 	l.outcome = nil
 	return o
 }
 
-// HandleReport takes a member's state in, and the highest ballot that it has heard. A
-// service may have several groups with the same ranks; those of others are passed
-// over.
+// HandleReport processes a member's state and the highest ballot that its agent has
+// promised. A service may have several groups with the same rank numbers; reports from
+// other groups are ignored.
 func (l *Lead) HandleReport(now time.Time, s State, heard Ballot) {
 	if s.Validate() != nil || s.Group != l.group {
 		return
@@ -225,8 +232,7 @@
 	if restarted || s.notOlderThan(m.state) {
 		m.state = s
 		m.at = now
-		// What an agent reports is what it would answer: the command need not be
-		// repeated to learn of it.
+		// A report shows what the rank would answer, so the command isn't repeated.
 		m.reached = m.reached || l.phase == Preparing && l.version != 0 && s.Prepared == l.version
 	}
 	if heard > l.ballot {
@@ -234,7 +240,8 @@
 	}
 }
 
-// trackReports notes when a report came, and since when they have come without a break.
+// trackReports updates the time of the latest report and the start of the uninterrupted
+// series of reports.
 func (l *Lead) trackReports(now time.Time) {
 	if now.Sub(l.reportedAt) > l.settings.MaxStateAge {
 		l.reportsSince = now
@@ -253,13 +260,12 @@
 	return m
 }
 
-// AllRanksOpen tells whether every rank has reported of late and the group is open.
+// AllRanksOpen reports whether every rank has recently reported that the group is open.
 func (l *Lead) AllRanksOpen(now time.Time) bool {
 	return l.size > 0 && len(l.missingRanks(now)) == 0
 }
 
-// missingRanks lists the ranks that have not reported of late, or not that the group
-// is open.
+// missingRanks lists the ranks that haven't recently reported that the group is open.
 func (l *Lead) missingRanks(now time.Time) []btexpert.Rank {
 	var ranks []btexpert.Rank
 	for r := range l.size {
@@ -271,7 +277,7 @@
 	return ranks
 }
 
-// ActiveVersion returns the version of the map in force; false while ranks differ.
+// ActiveVersion returns the version of the active map; false while ranks differ.
 func (l *Lead) ActiveVersion() (Version, bool) {
 	var version Version
 	for r := range l.size {
@@ -284,7 +290,7 @@
 	return version, l.size > 0
 }
 
-// newestVersion returns the highest version that any rank has heard of.
+// newestVersion returns the highest version that any rank has reported.
 func (l *Lead) newestVersion() Version {
 	var newest Version
 	for _, m := range l.members {
@@ -293,18 +299,19 @@
 	return newest
 }
 
-// Proposal is a new map.
+// Proposal is a new map to switch to.
 type Proposal struct {
 	Layers []btexpert.Layer
-	// Holder is the rank that holds the group for the switch. Where it isn't the
-	// lead's own, its agent must be there to keep a record.
+	// Holder is the rank that holds the group for the switch. If it isn't the lead's
+	// own, its agent must be reachable to store a record.
 	Holder btexpert.Rank
-	// Nonce goes into the version.
+	// Nonce is the random part of the version.
 	Nonce uint32
 }
 
-// Begin starts a round for a new map and returns its version. The group must be
-// whole and the lead idle; Step returns the commands.
+// Begin starts a round for a new map and returns its version. It returns false unless
+// the lead is idle, not deferred or backing off, every rank has recently reported that
+// the group is open, and none is held or armed. Poll returns the commands.
 func (l *Lead) Begin(now time.Time, p Proposal) (Version, bool) {
 	if l.epochEnded || l.deferred || l.phase != Idle || now.Before(l.backoffUntil) || !l.AllRanksOpen(now) || l.hasForeignRound() || !noneArmed(l.knownStates()) {
 		return 0, false
@@ -319,14 +326,14 @@
 	return l.version, true
 }
 
-// clearConfirmed drops what ranks have answered in a round before.
+// clearConfirmed discards the states confirmed in an earlier round.
 func (l *Lead) clearConfirmed() {
 	for _, m := range l.members {
 		m.confirmed = nil
 	}
 }
 
-// confirmedStates lists the states that ranks have confirmedStates with in this round.
+// confirmedStates lists the states that ranks have confirmed in this round.
 func (l *Lead) confirmedStates() []State {
 	var states []State
 	for r := range l.size {
@@ -337,8 +344,8 @@
 	return states
 }
 
-// hasForeignRound tells whether a rank holds the group, or some ranks and not all are
-// armed, though this lead has no round.
+// hasForeignRound reports whether a rank holds the group, or some ranks but not all are
+// armed. It is asked while this lead has no round.
 func (l *Lead) hasForeignRound() bool {
 	if l.epochEnded {
 		return false
@@ -353,7 +360,7 @@
 	return armed != 0 && !allArmedOrActive(l.knownStates(), armed)
 }
 
-// enterPhase goes to a phase in which every rank is asked anew.
+// enterPhase enters a phase and resets what each rank has answered.
 func (l *Lead) enterPhase(p Phase) {
 	if l.ballot == 0 {
 		l.ballot = Ballot(0).Next(l.self, l.instance)
@@ -367,7 +374,7 @@
 	}
 }
 
-// endRound leaves the round.
+// endRound records the outcome and returns to Idle. It does nothing when idle.
 func (l *Lead) endRound(now time.Time, switched bool, reason string) {
 	if l.phase == Idle {
 		return
--- a/core/btround/leader_test.go
+++ b/core/btround/leader_test.go
@@ -8,26 +8,27 @@
 	"bilberrytide/core/btround"
 )
 
-// leader is one agent's lead.
+// leader is the lead at one agent.
 type leader struct {
 	world  *world
 	lead   *btround.Lead
 	self   btexpert.Rank
 	frozen time.Time
 	dead   bool
-	// receivesReports tells whether the agents report to it.
+	// receivesReports is set while the agents report to it.
 	receivesReports bool
-	// keepsReports has the agents go on reporting to it after another has begun to lead.
+	// keepsReports has the agents continue to report to it after another lead has
+	// started.
 	keepsReports bool
-	// outcomes counts how rounds ended.
+	// outcomes counts rounds by the reason they ended.
 	outcomes map[string]int
 }
 
-// startLead adds a lead at a rank's agent.
+// startLead starts a lead at a rank's agent.
 func (w *world) startLead(r btexpert.Rank) *leader {
 	assert := btassert.New(btassert.SinkFunc(func(v btassert.Violation) { w.violations = append(w.violations, v.Name) }))
 	for _, other := range w.leads {
-		// Agents report to one lead, and change over one by one.
+		// Agents report to one lead and switch to a new one at different times.
 		w.schedule(w.millis(0, 1500), func() { other.receivesReports = other.keepsReports })
 	}
 	l := &leader{world: w, self: r, lead: btround.NewLead(btround.Defaults(), "g", r, btround.Instance(len(w.leads)), assert), receivesReports: true, outcomes: make(map[string]int)}
@@ -39,16 +40,16 @@
 	return l
 }
 
-// away tells whether the lead, or its host, stands still.
+// away reports whether the lead is dead or frozen, or its host unreachable.
 func (l *leader) away() bool {
 	return l.dead || l.world.now.Before(l.frozen) || l.world.engines[l.self].unreachable()
 }
 
-// unreachable tells whether the engine's host can't be reached. The engine takes
-// part in the group's steps all the same.
+// unreachable reports whether the engine's host is unreachable. The engine still takes
+// part in the group's steps.
 func (e *engine) unreachable() bool { return e.world.now.Before(e.frozen) }
 
-// scheduleReport has a rank's agent report, again and again.
+// scheduleReport sends a report of a rank's agent at a fixed interval.
 func (l *leader) scheduleReport(e *engine) {
 	w := l.world
 	if l.dead {
@@ -74,7 +75,7 @@
 	}
 }
 
-// tick has the lead take its steps.
+// tick runs the lead at a fixed interval and begins rounds at random.
 func (l *leader) tick() {
 	w := l.world
 	if l.dead {
@@ -95,7 +96,7 @@
 	l.step()
 }
 
-// step has the lead take the steps that are due.
+// step polls the lead and sends its commands.
 func (l *leader) step() {
 	l.lead.SetDeferred(!l.receivesReports)
 	for _, c := range l.lead.Poll(l.world.now) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// holder chooses the rank that is to hold the group: mostly another.
+// holder chooses the rank that is to hold the group, usually another than the lead's.
 func (l *leader) holder() btexpert.Rank {
 	w := l.world
 	if w.ownHolder || !w.otherHolder && w.random.IntN(4) == 0 {
@@ -115,11 +116,11 @@
 	return btexpert.Rank((int(l.self) + 1 + w.random.IntN(len(w.engines)-1)) % len(w.engines))
 }
 
-// send sends a command, which may be lost, late, or have its answer lost.
+// send sends a command, which a relay may duplicate.
 func (l *leader) send(c btround.Command) {
 	w := l.world
 	if w.naive && c.Kind == btround.Hold {
-		// The naive variant takes the hold for granted.
+		// Without holds, the lead assumes that the group is held.
 		e := w.engines[c.Rank]
 		s := e.state()
 		s.Held, s.HeldStep = true, c.Step
@@ -134,18 +135,19 @@
 	l.deliver(c)
 }
 
-// duplicatedShare is the share of commands that a relay delivers twice, up to three seconds
-// later.
+// duplicatedShare is the share of commands that a relay delivers twice, the second time
+// up to three seconds later.
 const duplicatedShare = 0.1
 
 const (
-	// suspendedShare is the share of reports that their hosts send once they have woken up, and
-	// fromAfar that of orders which the lead gives itself.
+	// suspendedShare is the share of reports also delivered after a suspension of their
+	// host, directShare that of orders which the lead sends to engines itself.
 	suspendedShare = 0.1
 	directShare    = 0.3
 )
 
-// deliver delivers a command to its rank, and the result to the lead.
+// deliver delivers a command to its rank and the result to the lead. Either may be
+// lost.
 func (l *leader) deliver(c btround.Command) {
 	w := l.world
 	if w.random.Float64() < w.lostShare {
@@ -154,7 +156,7 @@
 	e := w.engines[c.Rank]
 	most := 15
 	if c.Rank == l.self {
-		// The own agent is in the same process.
+		// The lead's own agent runs in the same process.
 		most = 2
 	}
 	w.schedule(w.millis(1, most), func() {
@@ -171,7 +173,7 @@
 		w.schedule(w.millis(1, most), func() {
 			if !l.away() {
 				l.lead.HandleResult(w.now, result)
-				// The answer wakes the lead, which doesn't know the others' yet.
+				// A result is followed by a poll before those of other ranks arrive.
 				l.step()
 			}
 		})
--- a/core/btround/memory.go
+++ b/core/btround/map_cache.go
@@ -2,27 +2,28 @@
 
 import "bilberrytide/core/btexpert"
 
-// maxCachedMaps is how many maps an agent remembers: the one in force and those of a
-// few rounds that came to nothing.
+// maxCachedMaps is the number of maps an agent caches: the active one and those of a
+// few failed rounds.
 const maxCachedMaps = 4
 
-// MapCache keeps the maps that a lead's instructions may refer to, by version. It is
+// MapCache caches, by version, the maps that a lead's instructions may refer to. It is
 // not safe for concurrent use.
 type MapCache struct {
 	maps map[Version][]btexpert.Layer
 }
 
-// NewMapCache returns an empty memory.
+// NewMapCache returns an empty cache.
 func NewMapCache() *MapCache { return &MapCache{maps: make(map[Version][]btexpert.Layer)} }
 
-// Get returns a map; false where it isn't remembered.
+// Get returns a map; false if it isn't cached.
 func (m *MapCache) Get(v Version) ([]btexpert.Layer, bool) {
 	layers, found := m.maps[v]
 	return layers, found
 }
 
-// Put remembers a map. The oldest are evicted, but never the one in force, which the next
-// round's changes refer to: without it the lead would send the whole map to each rank.
+// Put stores a map and evicts the oldest ones, but never the active map: the next
+// round's changes refer to it, and without it the lead would have to send the whole map
+// to each rank.
 func (m *MapCache) Put(v Version, layers []btexpert.Layer, active Version) {
 	m.maps[v] = layers
 	for len(m.maps) > maxCachedMaps {
@@ -30,7 +31,7 @@
 	}
 }
 
-// oldestExcept returns the oldestExcept version but for two that stay.
+// oldestExcept returns the oldest version other than newest and active.
 func (m *MapCache) oldestExcept(newest, active Version) Version {
 	oldest := newest
 	for v := range m.maps {
--- a/core/btround/memory_test.go
+++ b/core/btround/map_cache_test.go
@@ -11,9 +11,10 @@
 	"bilberrytide/core/btround"
 )
 
-// Rounds that come to nothing, one after the other, as two leads outrank each other:
-// the changes of the next still refer to the map in force.
-func TestTheMapInForceIsRemembered(t *testing.T) {
+// TestActiveMapStaysCached guards against evicting the active map during a series of
+// failed rounds, as when two leads outrank each other. The next round's changes still
+// refer to that map.
+func TestActiveMapStaysCached(t *testing.T) {
 	const inForce = 7
 	m := btround.NewMapCache()
 	layers := []btexpert.Layer{{Ranks: [][]btexpert.Expert{{3}}}}
@@ -27,8 +28,8 @@
 		assert.Assert(t, found)
 	}
 	_, found := m.Get(50)
-	assert.Assert(t, !found, "maps that came to nothing are forgotten")
-	// Another one is in force; the old one goes in its turn.
+	assert.Assert(t, !found, "the map of a failed round is still cached")
+	// Once another map is active, the old one is evicted in turn.
 	for v := btround.Version(100); v < 110; v++ {
 		m.Put(v, nil, 99)
 	}
@@ -36,9 +37,9 @@
 	assert.Assert(t, !found)
 }
 
-// A rank that can't follow an instruction is asked again at once, not after the wait
-// for an answer.
-func TestARankIsAskedAgainAtOnce(t *testing.T) {
+// TestRetryNowResendsCommand guards against waiting the retry interval for a rank that
+// couldn't apply an instruction.
+func TestRetryNowResendsCommand(t *testing.T) {
 	asserter := btassert.New(btassert.SinkFunc(func(btassert.Violation) {}))
 	lead := btround.NewLead(btround.Defaults(), "g", 0, 0, asserter)
 	now := time.Unix(1000, 0)
@@ -52,7 +53,7 @@
 	now = now.Add(10 * time.Millisecond)
 	assert.Equal(t, len(lead.Poll(now)), 0)
 	lead.RetryNow(commands[1].Round+1, 1)
-	assert.Equal(t, len(lead.Poll(now)), 0, "of another round")
+	assert.Equal(t, len(lead.Poll(now)), 0, "retried a command of another round")
 	lead.RetryNow(commands[1].Round, 1)
 	again := lead.Poll(now)
 	assert.Equal(t, len(again), 1)
--- a/core/btround/message.go
+++ b/core/btround/message.go
@@ -1,21 +1,18 @@
-// Package btround decides how the lead of an engine group puts a new expert map
-// in force, for engines that are ordered one by one and whose orders may be
-// carried out late.
+// Package btround decides how the lead of an engine group switches all ranks to a new
+// expert map. Engines take orders one at a time and may carry an order out late.
 //
-// A round prepares the map at every rank, holds the group before a step, arms
-// every rank for that step, and lets the group go on. From the hold on it only
-// goes forward: all ranks are armed, or none stays armed, before the group goes
-// on, so that no step begins on two maps. Engines may carry an order out seconds
-// after it was given, without an answer. Versions and steps are therefore never
-// used twice, so that such an order finds its step begun or its version passed
-// over; and orders carry a fencing number, the ballot, by which a newer lead
-// keeps an older one from interfering.
+// A round prepares the map at every rank, holds the group before a step, arms every
+// rank for that step, and releases the group. Once the group is held, either all ranks
+// are armed or none stays armed before it is released, so that no step runs on two
+// maps. Engines may carry out an order seconds after it was sent, without an answer.
+// Versions and steps are therefore never reused: a late order finds that its step has
+// begun or its version is superseded. Orders also carry a fencing token, the ballot,
+// which keeps an older lead from interfering with a newer one.
 //
-// A lead that finds a hold or an armed rank of another lead's round takes the
-// round over under a higher ballot and brings it to its end. For that it must know
-// of every rank whether it is armed. So that a lead whose host can't be reached
-// keeps nobody waiting, it holds the group at another rank, whose agent keeps a
-// Record of the round, and arms its own rank last.
+// A lead that finds a hold or an armed rank of another lead's round takes the round
+// over under a higher ballot and ends it. To do so it must know whether each rank is
+// armed. So that an unreachable lead doesn't block the group, a lead holds the group at
+// another rank, whose agent stores a Record of the round, and arms its own rank last.
 //
 // All state is rebuilt from the members' next reports.
 package btround
@@ -28,16 +25,15 @@
 	"bilberrytide/core/btid"
 )
 
-// ErrMessage is wrapped by the error of every malformed message.
+// ErrMessage is wrapped by the errors for all malformed messages.
 var ErrMessage = errors.New("malformed round message")
 
-// Version numbers an expert map within a group. Zero is the map that a group
-// starts from. The low bits are random, so that two leads never give one number
-// to different maps.
+// Version numbers an expert map within a group. Zero is the initial map. The low bits
+// are random, so that two leads don't give the same version to different maps.
 type Version uint64
 
-// nonceBits is the size of the random part of a version: with 20 bits two leads
-// that choose the same counter collide once in a million times.
+// nonceBits is the size of a version's random part. With 20 bits, two leads that choose
+// the same counter collide once in a million times.
 const nonceBits = 20
 
 // Next returns a version above v with the nonce in its low bits.
@@ -45,67 +41,69 @@
 	return (v>>nonceBits+1)<<nonceBits | Version(nonce&(1<<nonceBits-1))
 }
 
-// Ballot orders leads; it is the fencing number of their orders.
+// Ballot orders the leads of a group and is the fencing token of their orders.
 type Ballot uint64
 
 const (
-	// rankBits and lifeBits are the sizes of the rank and of the lead's life in a ballot.
+	// rankBits and instanceBits are the sizes of the lead's rank and instance in a
+	// ballot.
 	rankBits     = 13
 	instanceBits = 16
 )
 
-// Instance tells one life of a lead from another of the same rank: a number that each one
-// draws as it begins. A lead that starts anew doesn't know what the one before it had sent,
-// and orders of both with one ballot would both be obeyed.
+// Instance distinguishes successive leads at the same rank; each draws a random number
+// when it starts. A restarted lead doesn't know what its predecessor sent, and engines
+// would obey orders of both if they shared a ballot.
 type Instance uint16
 
-// Next returns a ballot above b, of the lead of the rank in its life.
+// Next returns a ballot above b for the lead instance at rank r.
 func (b Ballot) Next(r btexpert.Rank, instance Instance) Ballot {
 	counter := b>>(rankBits+instanceBits) + 1
 	return counter<<(rankBits+instanceBits) | Ballot(instance)<<rankBits | Ballot(r)&(1<<rankBits-1)
 }
 
-// State is what an engine tells of itself.
+// State is what an engine reports about itself.
 type State struct {
 	_     struct{}      `cbor:",toarray"`
 	Rank  btexpert.Rank `cbor:"rank"`
 	Size  int           `cbor:"size"`
 	Group string        `cbor:"group"`
-	// Epoch changes whenever the group forms anew.
+	// Epoch changes whenever the group forms again.
 	Epoch uint64 `cbor:"epoch"`
-	// Start tells one start of the rank's engine from another; zero where the
-	// platform doesn't tell.
+	// Start identifies one start of the rank's engine; zero if the platform doesn't
+	// report it.
 	Start btid.Incarnation `cbor:"start"`
-	// Open tells that the group is whole.
+	// Open is set when all ranks have joined the group.
 	Open bool `cbor:"open"`
 	// Step is the last step begun.
 	Step int64 `cbor:"step"`
-	// Map is the version in force, Prepared the version whose experts are all
-	// there, zero if none.
+	// Map is the active version. Prepared is the version whose experts are all loaded;
+	// zero if none.
 	Map      Version `cbor:"map"`
 	Prepared Version `cbor:"prepared"`
-	// Armed is the version that comes into force as step ArmedStep begins; zero
-	// if none.
+	// Armed is the version that becomes active when step ArmedStep begins; zero if
+	// none.
 	Armed     Version `cbor:"armed"`
 	ArmedStep int64   `cbor:"armed_step"`
-	// Held tells that the group doesn't begin step HeldStep before this rank is
-	// told to go on.
+	// Held means that the group doesn't begin step HeldStep until this rank releases
+	// it.
 	Held     bool  `cbor:"held"`
 	HeldStep int64 `cbor:"held_step"`
-	// Reader is the process that read the state, Reading counts its readings, so
-	// that one which arrives late is told from a newer one.
+	// Reader identifies the process that read the state. ReadCount counts its reads, so
+	// that a late state can be told from a newer one.
 	Reader    uint64 `cbor:"reader"`
 	ReadCount uint64 `cbor:"reading"`
-	// Running and Waiting are requests, Pace is above 1 where the engine is slow.
+	// Running and Waiting are numbers of requests. Pace is above 1 if the engine is
+	// slow.
 	Running int     `cbor:"running"`
 	Waiting int     `cbor:"waiting"`
 	Pace    float64 `cbor:"pace"`
 }
 
-// MaxSize bounds a group's size, as in package btexpert.
+// MaxSize is the maximum group size in ranks, as in package btexpert.
 const MaxSize = btexpert.MaxRanks
 
-// Validate reports a state that no engine has. The error wraps ErrMessage.
+// Validate checks that the rank and the size are in range. The error wraps ErrMessage.
 func (s State) Validate() error {
 	if s.Size < 1 || s.Size > MaxSize || int(s.Rank) >= s.Size {
 		return fmt.Errorf("%w: rank %d of %d", ErrMessage, s.Rank, s.Size)
@@ -113,7 +111,7 @@
 	return nil
 }
 
-// Kind is what a command wants of a rank.
+// Kind is the type of a command.
 type Kind string
 
 const (
@@ -121,22 +119,22 @@
 	Prepare Kind = "prepare"
 	// Hold keeps the group from beginning a step.
 	Hold Kind = "hold"
-	// Arm has the rank switch to a prepared map as a step begins.
+	// Arm has the rank switch to a prepared map when a step begins.
 	Arm Kind = "arm"
-	// Disarm takes an Arm back.
+	// Disarm cancels an Arm.
 	Disarm Kind = "disarm"
 	// Release ends a Hold.
 	Release Kind = "go"
 	// ReadState only reads the engine's state.
 	ReadState Kind = "look"
-	// StoreRecord has the agent keep a record of the round.
+	// StoreRecord has the agent store a record of the round.
 	StoreRecord Kind = "witness"
 	// Commit has the agent commit its record of the round.
 	Commit Kind = "commit"
 )
 
-// Command asks a rank for a state. It may be repeated: a rank that is in the
-// state already does nothing.
+// Command asks a rank to reach a state. It is idempotent: a rank that is already in the
+// state does nothing.
 type Command struct {
 	Ballot  Ballot        `cbor:"ballot"`
 	Round   uint64        `cbor:"round"`
@@ -145,18 +143,18 @@
 	Kind    Kind          `cbor:"kind"`
 	Version Version       `cbor:"version,omitempty"`
 	Step    int64         `cbor:"step,omitempty"`
-	// Force has the order given also where the state is reached, so that the
-	// engine hears the ballot.
+	// Force has the order sent even if the state is already reached, so that the engine
+	// records the ballot.
 	Force bool `cbor:"force,omitempty"`
-	// Lead is the rank of the lead, for Witness.
+	// Lead is the lead's rank, for StoreRecord.
 	Lead btexpert.Rank `cbor:"lead,omitempty"`
-	// Direct has the lead order the engine itself, not its agent.
+	// Direct has the lead order the engine itself instead of its agent.
 	Direct bool `cbor:"-"`
 	// Layers is the whole map, for Prepare.
 	Layers []btexpert.Layer `cbor:"layers,omitempty"`
 }
 
-// Validate reports a command that no lead gives. The error wraps ErrMessage.
+// Validate checks that the kind is known. The error wraps ErrMessage.
 func (c Command) Validate() error {
 	switch c.Kind {
 	case Prepare, Hold, Arm, Disarm, Release, ReadState, StoreRecord, Commit:
@@ -165,18 +163,18 @@
 	return fmt.Errorf("%w: command %q", ErrMessage, c.Kind)
 }
 
-// Verdict is how a command ended.
+// Verdict is the result of a command.
 type Verdict string
 
 const (
-	// Reached means that the rank is in the state that was asked for.
+	// Reached means that the rank is in the requested state.
 	Reached Verdict = "reached"
-	// Pending means that the order was given and its end isn't known; asking
-	// again is right.
+	// Pending means that the order was sent and its result is unknown; the command may
+	// be sent again.
 	Pending Verdict = "pending"
-	// Refused means that the rank isn't in the state and can't get there.
+	// Refused means that the rank isn't in the requested state and can't reach it.
 	Refused Verdict = "refused"
-	// Outranked means that the rank has heard a higher ballot.
+	// Outranked means that the rank has seen a higher ballot.
 	Outranked Verdict = "outranked"
 )
 
@@ -185,14 +183,15 @@
 	Round   uint64  `cbor:"round"`
 	Kind    Kind    `cbor:"kind"`
 	Verdict Verdict `cbor:"verdict"`
-	// Ballot is the highest that the rank has heard.
+	// Ballot is the highest that the rank has seen.
 	Ballot Ballot `cbor:"ballot"`
 	State  State  `cbor:"state"`
-	// Record answers a claim: what the agent has of the round that holds its rank.
+	// Record is set in the answer to a claim: the agent's record of the round that
+	// holds its rank.
 	Record *Record `cbor:"record,omitempty"`
 }
 
-// Validate reports a result that no agent gives. The error wraps ErrMessage.
+// Validate checks that the verdict is known. The error wraps ErrMessage.
 func (r Result) Validate() error {
 	switch r.Verdict {
 	case Reached, Pending, Refused, Outranked:
@@ -201,7 +200,7 @@
 	return fmt.Errorf("%w: verdict %q", ErrMessage, r.Verdict)
 }
 
-// Satisfied tells whether a state is what the command asks for.
+// Satisfied reports whether a state is the one that the command asks for.
 func (c Command) Satisfied(s State) bool {
 	switch c.Kind {
 	case Prepare:
--- a/core/btround/pause.go
+++ b/core/btround/pause.go
@@ -6,23 +6,23 @@
 	"bilberrytide/core/btexpert"
 )
 
-// Pause is a group that a rank keeps from its next step.
+// Pause describes a group that a rank is holding before its next step.
 type Pause struct {
-	// Holder is the rank that holds the group, Step the step that it holds.
+	// Holder is the rank that holds the group before Step.
 	Holder btexpert.Rank
 	Step   int64
-	// Since is when the group was first seen so.
+	// Since is when the pause was first observed.
 	Since time.Time
 }
 
-// PauseWatch tells for how long a group has been paused, by its ranks' states. It is not
-// safe for concurrent use.
+// PauseWatch tracks how long a group has been paused, by the states of its ranks. It is
+// not safe for concurrent use.
 type PauseWatch struct {
 	current *Pause
 }
 
-// Observe takes the states of now in, and returns the pause that they show; nil where
-// the group can go on. A hold of a later step pauses nobody yet.
+// Observe processes the current states and returns the pause that they show, or nil if
+// the group can continue. A hold of a step later than the next one isn't a pause yet.
 func (w *PauseWatch) Observe(now time.Time, states []State) *Pause {
 	var last int64
 	for _, s := range states {
--- a/core/btround/reason.go
+++ b/core/btround/reason.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// RankRestarted is the reason of a round that ended as a rank's engine started anew.
+// RankRestarted is the reason of a round that ended because a rank's engine restarted.
 const RankRestarted = "rank started anew"
 
-// NoRecord is the reason of a round that ended as the holder's agent did not
-// answer.
+// NoRecord is the reason of a round that ended because the holder's agent didn't store
+// the record in time.
 const NoRecord = "no record kept"
 
-// Reasons of rounds that end as a rank refuses what the round rests on. What is held or
-// armed by then is taken over from the ranks' states after a pause.
+// Reasons of rounds that end because a rank refused a command the round depends on.
+// Ranks that are still held or armed are taken over from their states after a backoff.
 const (
 	HoldRefused    = "hold refused"
 	ReleaseRefused = "go refused"
 	DisarmRefused  = "disarm refused"
 	ReadRefused    = "look refused"
-	// HeldByAnother: the rank that is to hold the group holds it for another round.
+	// HeldByAnother means that the rank that was to hold the group holds it for another
+	// round.
 	HeldByAnother = "held by another round"
-	// NotSecured: ranks can't be armed, and nothing keeps the group from the step.
+	// NotSecured means that ranks can't be armed and no confirmed hold prevents the
+	// step.
 	NotSecured = "step not secured"
 )
 
-// abortWithBackoff ends the round and leaves the group alone for a while.
+// abortWithBackoff ends the round and leaves the group alone for Settings.Backoff.
 func (l *Lead) abortWithBackoff(now time.Time, reason string) {
 	l.endRound(now, false, reason)
 	l.backoffUntil = now.Add(l.settings.Backoff)
--- a/core/btround/restart_test.go
+++ b/core/btround/restart_test.go
@@ -12,7 +12,7 @@
 	"bilberrytide/core/btround"
 )
 
-// restartGroup is a group of two ranks whose engines tell their starts.
+// restartGroup is a group of two ranks whose engines report their starts.
 type restartGroup struct {
 	t       *testing.T
 	lead    *btround.Lead
@@ -29,7 +29,7 @@
 	return r
 }
 
-// report has the lead hear of a rank's state.
+// report delivers a rank's state to the lead.
 func (r *restartGroup) report(rank btexpert.Rank, epoch uint64, start btid.Incarnation) {
 	r.now = r.now.Add(10 * time.Millisecond)
 	r.reading++
@@ -41,22 +41,24 @@
 	return begun
 }
 
-// A rank that starts again under its ID has nothing of what was prepared or armed. A
-// round that counts on it must not go on, though the epoch is still the same.
-func TestARankThatStartsAnewEndsTheRound(t *testing.T) {
+// TestRestartedRankEndsRound guards against continuing a round after an engine has
+// restarted under the same ID within the epoch. The engine has lost what was prepared
+// or armed.
+func TestRestartedRankEndsRound(t *testing.T) {
 	r := newRestartGroup(t)
 	assert.Assert(t, r.begins())
 	r.report(1, 1, 21)
 	outcome := r.lead.Outcome()
 	assert.Assert(t, outcome != nil)
 	assert.Equal(t, outcome.Reason, btround.RankRestarted)
-	assert.Equal(t, len(r.lead.Poll(r.now)), 0, "nothing is ordered in an epoch that is over")
+	assert.Equal(t, len(r.lead.Poll(r.now)), 0, "commands sent in an ended epoch")
 	assert.Assert(t, !r.begins())
 }
 
-// A state of the start before, on its way when the engine died, changes nothing:
-// the epoch stays over until the group has formed anew.
-func TestLateNewsOfAnOldStartDoesNotReviveTheEpoch(t *testing.T) {
+// TestStaleReportDoesNotReviveEndedEpoch guards against a report sent before an engine
+// died and received after the restart: the epoch stays ended until the group has formed
+// again.
+func TestStaleReportDoesNotReviveEndedEpoch(t *testing.T) {
 	r := newRestartGroup(t)
 	r.report(1, 1, 21)
 	r.report(1, 1, 20)
@@ -64,22 +66,23 @@
 	assert.Assert(t, !r.begins())
 	r.report(0, 2, 10)
 	r.report(1, 1, 20)
-	assert.Assert(t, !r.begins(), "a rank has not been heard of in the new epoch")
+	assert.Assert(t, !r.begins(), "a round began before every rank reported in the new epoch")
 	r.report(1, 2, 21)
 	assert.Assert(t, r.begins())
 }
 
-// Engines that don't tell their start are known by the epoch alone.
-func TestAStartThatIsNotToldEndsNothing(t *testing.T) {
+// TestUnknownStartEndsNoRound covers engines that don't report their start; only the
+// epoch shows their restarts.
+func TestUnknownStartEndsNoRound(t *testing.T) {
 	r := newRestartGroup(t)
 	r.report(1, 1, 0)
 	r.report(1, 1, 20)
 	assert.Assert(t, r.begins())
 }
 
-// restart has an engine start again under its ID: it has nothing of before, and the
-// group begins no step until it forms anew in the next epoch. Until then the engine
-// answers in the old one.
+// restart restarts an engine under the same ID, without its state. The group begins no
+// step until it forms again in the next epoch; until then the engine reports the old
+// one.
 func (w *world) restart(e *engine) {
 	*e = engine{world: w, rank: e.rank, started: e.started + 1, reads: e.reads, agent: e.agent, frozen: e.frozen}
 	if w.forming {
@@ -90,8 +93,8 @@
 	w.schedule(w.millis(600, 2500), w.form)
 }
 
-// form forms the group anew: the map is that of the start, and nothing is prepared,
-// armed or held. Only engines that have started anew forget their fences.
+// form forms the group again with the initial map and nothing prepared, armed or held.
+// Only restarted engines lose their fences.
 func (w *world) form() {
 	w.epoch++
 	w.forming = false
@@ -101,9 +104,9 @@
 	}
 }
 
-// TestNoStepOnTwoMapsThroughRestarts has engines start again under their IDs at any
-// moment of a round, while leads are replaced and orders are lost or carried out late.
-func TestNoStepOnTwoMapsThroughRestarts(t *testing.T) {
+// TestNoStepOnTwoMapsWithEngineRestarts restarts engines under their IDs at any moment
+// of a round, while leads are replaced and orders are lost or carried out late.
+func TestNoStepOnTwoMapsWithEngineRestarts(t *testing.T) {
 	for _, seed := range seedRange() {
 		w := newWorld(seed, 8, 0.35, 0.05)
 		disturb(w)
@@ -116,7 +119,7 @@
 		w.run(60 * time.Second)
 		assert.Equal(t, w.split, int64(0), "seed %d", seed)
 		assert.Assert(t, w.epoch > 3, "seed %d: %d epochs", seed, w.epoch)
-		assert.Assert(t, w.switches > 0, "seed %d: no map ever changed", seed)
+		assert.Assert(t, w.switches > 0, "seed %d: no map switch completed", seed)
 		assert.Assert(t, w.longestHold < maxHold, "seed %d: held for %s", seed, w.longestHold)
 	}
 }
--- a/core/btround/calm_test.go
+++ b/core/btround/resume_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// orderDrain is when the last order that was to be carried out late has been.
+	// orderDrain is the time by which every delayed order has been carried out.
 	orderDrain = 12 * time.Second
-	// resumesWithin bounds the time to the next step once nothing disturbs the group.
+	// resumesWithin bounds the time to the next step once disturbances have ended.
 	resumesWithin = 2 * time.Second
 )
 
-// endDisturbances ends all disturbances: one lead is left, all hosts can be reached, and no order or
-// message is lost. Orders given before may still be carried out.
+// endDisturbances leaves one lead, makes all hosts reachable, and stops losing orders
+// and messages. Orders sent earlier may still be carried out late.
 func (w *world) endDisturbances() {
 	w.calm = true
 	w.delayedShare, w.lostShare = 0, 0
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestAGroupStepsOnceDisturbancesEnd guards against a round, or a loop of rounds, that
-// pauses the group for good: no disturbance is left to end it.
-func TestAGroupStepsOnceDisturbancesEnd(t *testing.T) {
+// TestGroupResumesAfterDisturbances guards against a round, or a loop of rounds, that
+// pauses the group for good when no further disturbance ends it.
+func TestGroupResumesAfterDisturbances(t *testing.T) {
 	for name, begin := range map[string]func(seed uint64) *world{
 		"replaced": func(seed uint64) *world {
 			w := newWorld(seed, 8, 0.35, 0.05)
@@ -63,7 +63,7 @@
 	}
 }
 
-// assertResumes checks that the group begins a step in each of three spells.
+// assertResumes checks that the group begins a step in each of three intervals.
 func (w *world) assertResumes(t *testing.T, seed uint64) {
 	t.Helper()
 	for range 3 {
--- a/core/btround/stale_test.go
+++ b/core/btround/stale_test.go
@@ -12,23 +12,15 @@
 	"bilberrytide/core/btround"
 )
 
-// A host stood still for four seconds while its rank was to be armed. The lead ordered the
-// engine itself, and as the host woke up its agent sent a report that it had read before:
-// the group is held, so that no step tells the older state from the newer one, and two
-// readers' numbers don't compare. The lead took the rank for one that isn't armed, "invariant
-// violated", round_goes_on_whole, and the round for failed, though all ranks had the map.
-//
-// A lead that takes such a round over decides by the same states. It may let the group go on
-// with one rank armed.
-
 const (
 	// lastStep is the last step that all ranks have begun.
 	lastStep = 10
-	// directReader is the reader's number of a lead that reads an engine itself.
+	// directReader is the reader number used when a lead reads an engine itself.
 	directReader = 0
 )
 
-// scriptedGroup is a group of three ranks whose lead is at rank 0.
+// scriptedGroup is a group of three ranks with its lead at rank 0; the test scripts the
+// answers.
 type scriptedGroup struct {
 	t       *testing.T
 	lead    *btround.Lead
@@ -42,7 +34,7 @@
 	return s
 }
 
-// state is what a rank's agent reads of its engine.
+// state returns what a rank's agent reads from its engine.
 func (s *scriptedGroup) state(r btexpert.Rank) btround.State {
 	s.reading++
 	return btround.State{Rank: r, Size: 3, Group: "g", Epoch: 1, Open: true, Step: lastStep, Reader: uint64(r) + 1, ReadCount: s.reading}
@@ -50,8 +42,8 @@
 
 func (s *scriptedGroup) report(state btround.State) { s.lead.HandleReport(s.now, state, 0) }
 
-// answer has the ranks answer the commands that are due, the last rank first, as the
-// function tells; then is called after each.
+// answer has the ranks answer the commands that are due, the last rank first, each with
+// the state that the function returns. It calls then after each answer.
 func (s *scriptedGroup) answer(state func(btround.Command) btround.State, then func(btround.Command)) {
 	s.now = s.now.Add(20 * time.Millisecond)
 	for _, c := range slices.Backward(s.lead.Poll(s.now)) {
@@ -60,7 +52,7 @@
 	}
 }
 
-// obeyed is the state of a rank that has done what a command says.
+// obeyed returns the state of a rank that has carried out the command.
 func (s *scriptedGroup) obeyed(c btround.Command) btround.State {
 	state := s.state(c.Rank)
 	state.Prepared = c.Version
@@ -70,14 +62,21 @@
 	case btround.Arm:
 		state.Armed, state.ArmedStep = c.Version, c.Step
 		if c.Rank == 2 {
-			// Its agent doesn't answer, and the lead orders the engine.
+			// The rank's agent doesn't answer, so the lead orders the engine itself.
 			state.Reader, state.ReadCount = directReader, 0
 		}
 	}
 	return state
 }
 
-func TestAStaleReportDoesNotFailARound(t *testing.T) {
+// TestStaleReportDoesNotFailRound guards against counting a rank as not armed because
+// of a stale report. A host was suspended for four seconds while its rank was to be
+// armed, and the lead ordered the engine itself. When the host resumed, its agent sent
+// a report read earlier. The step doesn't change while the group is held and read
+// counts of two readers can't be compared, so the stale state replaced the newer one.
+// The lead logged "invariant violated" (round_goes_on_whole) and counted the round as
+// failed, although all ranks had the map.
+func TestStaleReportDoesNotFailRound(t *testing.T) {
 	s := newScriptedGroup(t)
 	for r := range btexpert.Rank(3) {
 		s.report(s.state(r))
@@ -104,7 +103,9 @@
 	assert.Assert(t, outcome.Switched, "reason %s", outcome.Reason)
 }
 
-func TestAStaleReportDoesNotHideAnArmedRank(t *testing.T) {
+// TestStaleReportDoesNotHideArmedRank guards against the same fault in a takeover: a
+// lead that decides by stale states may release the group with one rank armed.
+func TestStaleReportDoesNotHideArmedRank(t *testing.T) {
 	s := newScriptedGroup(t)
 	const version, step = btround.Version(1 << 20), int64(lastStep + 1)
 	states := func(r btexpert.Rank) btround.State {
@@ -129,7 +130,7 @@
 			if c.Kind == btround.ReadState {
 				looks++
 			}
-			assert.Assert(t, c.Kind != btround.Release, "the group goes on with one rank armed")
+			assert.Assert(t, c.Kind != btround.Release, "the group was released with one rank armed")
 			state := states(c.Rank)
 			if c.Rank == 2 {
 				state.Reader, state.ReadCount = directReader, 0
@@ -148,10 +149,10 @@
 	assert.Equal(t, s.lead.Phase(), btround.Disarming)
 }
 
-// A relay that stood still delivered the command to keep a record again, after the record
-// had been committed, and the commit was forgotten: another lead then ended the round
-// without the lead's rank, which was armed ("57 steps on two maps").
-func TestARepeatedCommandDoesNotUndoACommit(t *testing.T) {
+// TestDuplicateCommandDoesNotUndoCommit guards against losing a commit when a relay
+// whose host was suspended delivers the StoreRecord command again. Another lead then
+// ended the round without the lead's rank, which was armed ("57 steps on two maps").
+func TestDuplicateCommandDoesNotUndoCommit(t *testing.T) {
 	var a btround.Acceptor
 	witness := btround.Command{Kind: btround.StoreRecord, Ballot: 1 << 13, Version: 1 << 20, Epoch: 1}
 	commit := witness
@@ -161,7 +162,7 @@
 		assert.Equal(t, a.UpdateRecord(c), btround.Reached)
 	}
 	assert.Assert(t, a.Record().Committed)
-	// Another round of the lead has a record of its own.
+	// Another round of the same lead has its own record.
 	witness.Version++
 	assert.Equal(t, a.UpdateRecord(witness), btround.Reached)
 	assert.Assert(t, !a.Record().Committed)
--- a/core/btround/step.go
+++ b/core/btround/step.go
@@ -7,7 +7,7 @@
 	"bilberrytide/core/btexpert"
 )
 
-// Poll returns the commands that are due.
+// Poll advances the round and returns the commands that are due.
 func (l *Lead) Poll(now time.Time) []Command {
 	if l.phase == Idle && l.takeoverDue(now) {
 		l.takeOver(now)
@@ -22,7 +22,7 @@
 	return commands
 }
 
-// asks tells whether the phase has a command for a rank.
+// asks reports whether the phase has a command for a rank.
 func (l *Lead) asks(r btexpert.Rank) bool {
 	switch l.phase {
 	case Preparing, Arming, Disarming, ReadingStates:
@@ -35,8 +35,9 @@
 	return false
 }
 
-// participates tells whether a rank is asked in a phase that asks all: one that is
-// out of reach is not, and the own one is armed last where there is a record.
+// participates reports whether a rank is asked in a phase that asks all ranks. An
+// unreachable rank isn't, and the lead's own rank isn't armed with the others if a
+// record is stored.
 func (l *Lead) participates(r btexpert.Rank) bool {
 	if l.unreachable != nil && *l.unreachable == r {
 		return false
@@ -44,10 +45,10 @@
 	return l.phase != Arming || !l.recordStored || r != l.self
 }
 
-// allReached tells whether every rank of the phase is in the state asked for.
+// allReached reports whether every participating rank is in the requested state.
 func (l *Lead) allReached() bool { return l.count(reached) == l.countAsked() }
 
-// countAsked returns how many ranks the phase asks.
+// countAsked returns the number of participating ranks.
 func (l *Lead) countAsked() int {
 	n := 0
 	for r := range l.size {
@@ -58,8 +59,8 @@
 	return n
 }
 
-// appendCommand adds the phase's command for a rank, unless it was asked just now or has
-// answered.
+// appendCommand appends the phase's command for a rank, unless the rank has answered or
+// was asked within the retry interval.
 func (l *Lead) appendCommand(now time.Time, commands []Command, r btexpert.Rank) []Command {
 	m := l.member(r)
 	if m.reached || m.refused || !m.askedAt.IsZero() && now.Sub(m.askedAt) < l.settings.RetryInterval {
@@ -69,7 +70,7 @@
 	return append(commands, l.commandFor(r))
 }
 
-// commandFor returns what the phase wants of a rank.
+// commandFor returns the phase's command for a rank.
 func (l *Lead) commandFor(r btexpert.Rank) Command {
 	c := Command{Ballot: l.ballot, Round: l.round, Rank: r, Epoch: l.epoch, Version: l.version, Step: l.step}
 	switch l.phase {
@@ -90,9 +91,9 @@
 		c.Direct = l.recordStored
 	case Arming, ArmingLast:
 		c.Kind = Arm
-		// In another lead's round the order is given also where the rank is armed:
-		// the ballot keeps an earlier order to disarm, carried out late, from
-		// taking effect.
+		// In another lead's round the order is sent even to an armed rank: its ballot
+		// keeps an earlier order to disarm from taking effect if it is carried out
+		// late.
 		c.Force = l.layers == nil
 	case Disarming:
 		c.Kind = Disarm
@@ -106,15 +107,15 @@
 	return c
 }
 
-// RetryNow has a rank asked again at the next step: it could not follow what it was
-// sent.
+// RetryNow has a rank asked again at the next Poll, because it couldn't apply what it
+// was sent. It ignores another round than the current one.
 func (l *Lead) RetryNow(round uint64, r btexpert.Rank) {
 	if round == l.round {
 		l.member(r).askedAt = time.Time{}
 	}
 }
 
-// HandleResult takes the answer to a command in.
+// HandleResult processes the answer to a command.
 func (l *Lead) HandleResult(now time.Time, r Result) {
 	l.HandleReport(now, r.State, r.Ballot)
 	if r.Round != l.round || l.phase == Idle || r.State.Epoch != l.epoch {
@@ -139,7 +140,7 @@
 	l.advance(now)
 }
 
-// storeConfirmed keeps the state of a rank that is armed, disarmed or looked at.
+// storeConfirmed stores the state of a rank that was armed, disarmed or read.
 func (l *Lead) storeConfirmed(m *member, r Result) {
 	switch l.phase {
 	case Arming, ArmingLast, Disarming, ReadingStates:
@@ -147,7 +148,7 @@
 	}
 }
 
-// advance goes to the next phase when every rank has answered.
+// advance enters the next phase once the answers that it needs have arrived.
 func (l *Lead) advance(now time.Time) {
 	switch l.phase {
 	case Preparing:
@@ -173,8 +174,8 @@
 	}
 }
 
-// advanceSingle goes on to the next phase once the one rank that is asked is in the
-// state asked for; where it can't be, all ranks are disarmed.
+// advanceSingle enters the next phase once the one rank that is asked has reached its
+// state. If that rank refuses, all ranks are disarmed.
 func (l *Lead) advanceSingle(now time.Time, r btexpert.Rank, next Phase) {
 	switch m := l.member(r); {
 	case m.reached:
@@ -184,7 +185,7 @@
 	}
 }
 
-// advanceReading decides once all ranks have reported their states.
+// advanceReading resolves the takeover once the states of all ranks have been read.
 func (l *Lead) advanceReading(now time.Time) {
 	switch {
 	case l.count(refused) > 0:
@@ -194,7 +195,7 @@
 	}
 }
 
-// advanceReleasing ends the round once the holder lets the group go on.
+// advanceReleasing ends the round once the holder has released the group.
 func (l *Lead) advanceReleasing(now time.Time) {
 	switch m := l.member(l.holder); {
 	case m.reached:
@@ -218,7 +219,8 @@
 	return n
 }
 
-// advancePreparing goes on to the hold when every rank has the map's experts.
+// advancePreparing continues to the hold, or to storing the record, once every rank has
+// loaded the map's experts.
 func (l *Lead) advancePreparing(now time.Time) {
 	if l.count(refused) > 0 {
 		l.endRound(now, false, "prepare refused")
@@ -242,8 +244,9 @@
 	l.enterPhase(StoringRecord)
 }
 
-// advanceStoringRecord goes on to the hold once the holder's agent keeps a record. Where it
-// doesn't answer the round is given up, as it may keep one all the same.
+// advanceStoringRecord continues to the hold once the holder's agent has stored the
+// record. If the agent doesn't answer, the round is abandoned, since it may have stored
+// the record anyway.
 func (l *Lead) advanceStoringRecord(now time.Time) {
 	m := l.member(l.holder)
 	switch {
@@ -255,14 +258,14 @@
 	}
 }
 
-// startHold goes on to startHold the group at a rank, before a step that none has begun.
+// startHold begins to hold the group at a rank, before a step that no rank has begun.
 func (l *Lead) startHold(r btexpert.Rank) {
 	l.holder = r
 	l.step = max(l.lastStep()+l.holdDistance(), l.step+1)
 	l.enterPhase(Holding)
 }
 
-// holdDistance is how many steps after the last the group is held.
+// holdDistance returns how many steps after the latest one the group is held.
 func (l *Lead) holdDistance() int64 {
 	return l.settings.HoldAhead + int64(l.size/l.settings.RanksPerExtraStep)
 }
@@ -276,11 +279,12 @@
 	return last
 }
 
-// maxRefusedHolds bounds the holds of one round that come too late for their steps.
+// maxRefusedHolds bounds how often a round retries a hold that came too late for its
+// step.
 const maxRefusedHolds = 8
 
-// advanceHolding goes on to arm once the group is advanceHolding. A step that began too soon is
-// given up for a later one.
+// advanceHolding starts arming once the group is held. If the step has already begun,
+// the hold is retried for a later one.
 func (l *Lead) advanceHolding(now time.Time) {
 	m := l.member(l.holder)
 	switch {
@@ -291,20 +295,19 @@
 		l.enterPhase(Arming)
 	case !m.refused:
 	case m.state.Held && m.state.HeldStep != l.step:
-		// A rank holds one step at a time, so that it refuses every other one.
+		// A rank holds one step at a time, so it would refuse every other step too.
 		l.endRound(now, false, HeldByAnother)
 	case l.refusedHolds >= maxRefusedHolds:
 		l.abortWithBackoff(now, HoldRefused)
 	default:
-		// The refused step has begun, so that an order for it which is carried
-		// out late does nothing.
+		// The refused step has begun, so a late order to hold it has no effect.
 		l.refusedHolds++
 		l.startHold(l.holder)
 	}
 }
 
-// advanceArming lets the group go on once all ranks are advanceArming. Where one can't be, the
-// others are disarmed before.
+// advanceArming continues once all ranks have answered the order to arm. If any
+// refused, the others are disarmed before the group is released.
 func (l *Lead) advanceArming(now time.Time) {
 	answered := l.count(reached) + l.count(refused)
 	if answered < l.countAsked() {
@@ -320,7 +323,7 @@
 	}
 }
 
-// finishRound ends the round after the group goes on.
+// finishRound ends the round after the group was released.
 func (l *Lead) finishRound(now time.Time) {
 	whole := l.mapConsistent()
 	l.asserter.That(whole, InvariantOneMap, "version %d, step %d", l.version, l.step)
@@ -329,8 +332,8 @@
 	l.endRound(now, switched, "complete")
 }
 
-// advanceDisarming lets the group go on once no rank is armed. One that was armed for another
-// version meanwhile, by an order carried out late, is advanceDisarming in turn.
+// advanceDisarming releases the group once no rank is armed. A rank that a late order
+// has meanwhile armed for another version is disarmed as well.
 func (l *Lead) advanceDisarming(now time.Time) {
 	if l.count(refused) > 0 {
 		l.abortWithBackoff(now, DisarmRefused)
@@ -349,8 +352,9 @@
 	l.enterPhase(Releasing)
 }
 
-// mapConsistent tells whether all ranks have answered in this round that they are armed for
-// or on one map, or that they aren't armed. One that is out of reach isn't.
+// mapConsistent reports whether all ranks have confirmed in this round either that they
+// are armed for or already on the round's map, or that none is armed. An unreachable
+// rank is known not to be armed.
 func (l *Lead) mapConsistent() bool {
 	states := l.confirmedStates()
 	all := l.size
@@ -360,7 +364,7 @@
 	return len(states) == all && (len(states) == l.size && allArmedOrActive(states, l.version) || noneArmed(states))
 }
 
-// knownStates lists the last known knownStates of the ranks that have reported.
+// knownStates lists the last known states of the ranks that have reported.
 func (l *Lead) knownStates() []State {
 	var states []State
 	for _, m := range l.members {
@@ -369,7 +373,7 @@
 	return states
 }
 
-// allArmedOrActive tells whether every rank is armed for the version or has it in force.
+// allArmedOrActive reports whether the version is armed or active at every rank.
 func allArmedOrActive(states []State, v Version) bool {
 	return !slices.ContainsFunc(states, func(s State) bool { return s.Armed != v && s.Map != v })
 }
--- a/core/btround/takeover.go
+++ b/core/btround/takeover.go
@@ -6,12 +6,12 @@
 	"bilberrytide/core/btexpert"
 )
 
-// takeOver begins to bring another lead's round to its end: first the rank that
-// holds the group is fenced, so that the other lead can't let it go on, then all
-// ranks are looked at anew.
+// takeOver begins to end another lead's round. It first claims the holding rank, so
+// that the other lead can't release the group, and then reads the states of all ranks.
 //
-// Every rank must have reported of late, but for one that is out of reach: the
-// other lead's, if the held rank's agent has a record of the round.
+// Every rank must have reported recently, except one unreachable rank while another
+// holds the group: that of the round's lead, if the holder's agent has a record of the
+// round.
 func (l *Lead) takeOver(now time.Time) {
 	missing := l.missingRanks(now)
 	holder, held := l.holdingRank()
@@ -34,14 +34,14 @@
 		l.startClaim(ReadingStates)
 		return
 	}
-	// Ranks are armed and none holds: the step may begin at any moment, and all
-	// that is left is to see to the others being armed too.
+	// Ranks are armed and none holds the group, so the step may begin at any moment.
+	// All that can be done is to arm the other ranks too.
 	l.holder = l.self
 	l.step = 0
 	l.enterPhase(ReadingStates)
 }
 
-// holdingRank returns a rank that holds the group; false without one.
+// holdingRank returns a rank that holds the group; false if none does.
 func (l *Lead) holdingRank() (btexpert.Rank, bool) {
 	for r := range l.size {
 		m, found := l.members[btexpert.Rank(r)]
@@ -52,7 +52,8 @@
 	return 0, false
 }
 
-// advanceClaiming goes on once the holder obeys this lead, or no longer holds.
+// advanceClaiming continues once the holder has accepted this lead's ballot, and ends
+// the round if the holder no longer holds the group.
 func (l *Lead) advanceClaiming(now time.Time) {
 	m := l.member(l.holder)
 	if m.refused {
@@ -70,27 +71,27 @@
 	l.enterPhase(l.afterClaim)
 }
 
-// startClaim has the holder accept the hold under this lead's ballot.
+// startClaim asks the holder to accept the hold under this lead's ballot.
 func (l *Lead) startClaim(next Phase) {
 	l.claimed = false
 	l.afterClaim = next
 	l.enterPhase(Claiming)
 }
 
-// unreachableNotArmed tells whether the rank out of reach is known not to be armed: it is
-// that of the round's lead, which had not committed its record.
+// unreachableNotArmed reports whether the unreachable rank is known not to be armed: it
+// is the rank of the round's lead, and the round's record isn't committed.
 func (l *Lead) unreachableNotArmed() bool {
 	return l.record != nil && !l.record.Committed && l.record.Lead == *l.unreachable && l.record.Epoch == l.epoch
 }
 
-// postponeTakeover leaves a round that can't be ended before the rank out of reach is back.
+// postponeTakeover leaves a round that can't be ended while a rank is unreachable.
 func (l *Lead) postponeTakeover(now time.Time) {
 	l.endRound(now, false, "rank out of reach")
 	l.backoffUntil = now.Add(l.settings.Backoff)
 }
 
-// endWithoutUnreachable ends the round of a lead out of reach: none of the other ranks stays
-// armed, and the lead's own isn't.
+// endWithoutUnreachable ends the round of an unreachable lead, whose rank isn't armed,
+// by disarming the other ranks.
 func (l *Lead) endWithoutUnreachable(now time.Time) {
 	if !l.holdConfirmed() || !l.noneSwitched() {
 		l.postponeTakeover(now)
@@ -101,8 +102,8 @@
 	l.startDisarm(now)
 }
 
-// noneSwitched tells whether each rank within reach is as before the round's step:
-// armed for its map or for none, and the map not in force.
+// noneSwitched reports whether each reachable rank is still before the round's step:
+// armed for the round's map or not armed, and the map not active.
 func (l *Lead) noneSwitched() bool {
 	for _, s := range l.confirmedStates() {
 		if s.Map == l.record.Version || s.Armed != 0 && (s.Armed != l.record.Version || s.ArmedStep < l.step) {
@@ -112,15 +113,15 @@
 	return true
 }
 
-// holdConfirmed tells whether the rank that was claimed held the group for the step when it was
-// looked at.
+// holdConfirmed reports whether the claimed rank held the group before the round's step
+// when its state was read.
 func (l *Lead) holdConfirmed() bool {
 	m := l.member(l.holder)
 	return l.claimed && m.confirmed != nil && m.confirmed.Held && m.confirmed.HeldStep == l.step
 }
 
-// unclaimedHold returns the state of a rank that holds the group, where the lead did not
-// know of a hold when it took the round over.
+// unclaimedHold returns the state of a rank that holds the group if the lead didn't
+// know of the hold when it took the round over.
 func (l *Lead) unclaimedHold() (State, bool) {
 	if l.claimed {
 		return State{}, false
@@ -133,8 +134,8 @@
 	return State{}, false
 }
 
-// resolveTakeover chooses between arming all and disarming all, by states read after the
-// fence.
+// resolveTakeover chooses between arming and disarming all ranks, by the states read
+// after the claim.
 func (l *Lead) resolveTakeover(now time.Time) {
 	if s, held := l.unclaimedHold(); held {
 		l.holder = s.Rank
@@ -156,7 +157,7 @@
 		return
 	}
 	if !l.holdConfirmed() || step < l.step {
-		// A hold of a later step keeps nobody from beginning the armed one.
+		// A hold of a later step doesn't prevent the armed one.
 		l.resolveWithoutHold(now, step)
 		return
 	}
@@ -174,9 +175,9 @@
 	}
 }
 
-// fenceAllRanks ends a hold where nothing is armed and not all ranks have a map to be armed for.
-// An order to arm that is on its way to a rank which has one would be carried out all the
-// same, and that rank alone would switch: all engines hear the new ballot before.
+// fenceAllRanks ends a hold where no rank is armed and not all ranks have a map to be
+// armed for. If some rank has prepared a map, a late order to arm would switch that
+// rank alone, so the new ballot is sent to all engines first, by disarming.
 func (l *Lead) fenceAllRanks(now time.Time) {
 	for _, s := range l.confirmedStates() {
 		l.version = max(l.version, s.Prepared)
@@ -188,9 +189,9 @@
 	l.startDisarm(now)
 }
 
-// startDisarm has all ranks disarmed under a ballot that none of them was armed under, so that
-// an order to arm which is carried out late is refused. The holder accepts that ballot
-// first: otherwise another lead could end the hold while ranks are being disarmed.
+// startDisarm disarms all ranks under a ballot under which none was armed, so that a
+// late order to arm is refused. The holder accepts that ballot first; otherwise another
+// lead could release the hold while ranks are being disarmed.
 func (l *Lead) startDisarm(now time.Time) {
 	switch {
 	case !l.secured:
@@ -203,9 +204,10 @@
 	}
 }
 
-// resolveWithoutHold ends a round whose step nobody holds, as another lead has let it go on. Where
-// some ranks and not all are armed the step may begin at any moment, so the others are
-// armed at once. Where all are, nothing is to be done but to end the hold of a later step.
+// resolveWithoutHold ends a round whose step isn't held because another lead has
+// released the group. If only some ranks are armed, the others are armed at once, as
+// the step may begin at any moment. Otherwise only the hold of a later step, if any, is
+// released.
 func (l *Lead) resolveWithoutHold(now time.Time, step int64) {
 	states := l.confirmedStates()
 	switch {
@@ -231,8 +233,8 @@
 	return version
 }
 
-// allPreparedOrArmed tells whether every rank has prepared the version or is armed for
-// it.
+// allPreparedOrArmed reports whether every rank has prepared the version or is armed
+// for it.
 func (l *Lead) allPreparedOrArmed(v Version) bool {
 	for _, s := range l.confirmedStates() {
 		if s.Prepared != v && s.Armed != v {
--- a/core/btround/view.go
+++ b/core/btround/view.go
@@ -6,13 +6,13 @@
 	"bilberrytide/core/btexpert"
 )
 
-// StartedAt returns when the round began, or was taken over.
+// StartedAt returns when the round began or was taken over.
 func (l *Lead) StartedAt() time.Time { return l.startedAt }
 
 // Holder returns the rank that is to hold the group in the round.
 func (l *Lead) Holder() btexpert.Rank { return l.holder }
 
-// UnansweredRanks lists the ranks whose answers the round waits for.
+// UnansweredRanks lists the ranks that the phase asks and that haven't answered.
 func (l *Lead) UnansweredRanks() []btexpert.Rank {
 	var ranks []btexpert.Rank
 	for r := range l.size {
@@ -25,7 +25,8 @@
 	return ranks
 }
 
-// StaleRanks lists the ranks without a state of late.
+// StaleRanks lists the ranks whose state is unknown or older than half of
+// Settings.MaxStateAge.
 func (l *Lead) StaleRanks(now time.Time) []btexpert.Rank {
 	var ranks []btexpert.Rank
 	for r := range l.size {
@@ -37,7 +38,7 @@
 	return ranks
 }
 
-// RecentStates lists the states of late, by rank.
+// RecentStates lists, by rank, the states not older than Settings.MaxStateAge.
 func (l *Lead) RecentStates(now time.Time) []State {
 	var states []State
 	for r := range l.size {
--- a/core/btround/world_test.go
+++ b/core/btround/world_test.go
@@ -11,7 +11,7 @@
 	"bilberrytide/core/btround"
 )
 
-// engine is one rank as the engines behave: orders may be lost, or carried out
+// engine simulates one rank's engine and agent. Orders may be lost, or carried out
 // seconds later without an answer.
 type engine struct {
 	world      *world
@@ -26,15 +26,15 @@
 	heldStep   int64
 	fence      btround.Ballot
 	reads      uint64
-	// agent is the agent's part in the agreement.
+	// agent is the acceptor of the rank's agent.
 	agent btround.Acceptor
 	// started counts the engine's starts.
 	started btid.Incarnation
-	// frozen is until when the host can't be reached.
+	// frozen is the time until which the host is unreachable.
 	frozen time.Time
 }
 
-// world is a group with its agents and up to two leads, on a clock of its own.
+// world simulates a group with its agents and leads on a virtual clock.
 type world struct {
 	random  *rand.Rand
 	now     time.Time
@@ -45,29 +45,29 @@
 	busy    bool
 	nextAt  time.Time
 	leads   []*leader
-	// delayedShare is the share of orders that are carried out delayedShare, lostShare that of
-	// messages that don't arrive.
+	// delayedShare is the share of orders that are carried out late, lostShare that of
+	// messages that are lost.
 	delayedShare, lostShare float64
 	split                   int64
 	switches                int
 	heldSince               time.Time
 	longestHold             time.Duration
 	epoch                   uint64
-	// forming tells that a rank has started anew and the group not yet formed.
+	// forming is set from the restart of an engine until the group has formed again.
 	forming bool
-	// calm ends what disturbs the world.
+	// calm stops further disturbances.
 	calm bool
-	// naive lets the naive variant arm without a hold. Own has each lead hold the
-	// group at its ownHolder rank, otherHolder at another's.
+	// naive skips holds. ownHolder has each lead hold the group at its own rank,
+	// otherHolder at another rank.
 	naive, ownHolder, otherHolder bool
-	// relayed has reports and commands go by relays, which delay, reorder and repeat
-	// them.
+	// relayed sends reports and commands through relays, which delay, reorder and
+	// duplicate them.
 	relayed bool
-	// suspended has some reports arrive seconds after they were read, as hosts that were
-	// suspended in between send them, and some orders given by the lead itself, whose
-	// readings don't compare with the agents'.
+	// suspended delays some reports by seconds, as from hosts suspended after the read,
+	// and has leads read some states themselves, whose read counts don't compare with
+	// the agents'.
 	suspended bool
-	// violations are the invariants that leads found violated.
+	// violations lists the invariants reported as violated.
 	violations []btassert.Name
 }
 
@@ -120,7 +120,7 @@
 	return time.Duration(least+w.random.IntN(most-least+1)) * time.Millisecond
 }
 
-// run lets the world go on for a while.
+// run advances the simulation by a duration.
 func (w *world) run(d time.Duration) {
 	const tick = 5 * time.Millisecond
 	end := w.now.Add(d)
@@ -133,7 +133,7 @@
 	}
 }
 
-// advanceStep begins the next step where it is due and nobody holds the group.
+// advanceStep begins the next step if it is due and no rank holds it.
 func (w *world) advanceStep() {
 	if !w.busy || w.forming || w.now.Before(w.nextAt) {
 		return
@@ -178,9 +178,8 @@
 	}
 }
 
-// order carries an order out as an engine does, and tells whether it is
-// accepted, and whether the ballot is too old. An order that is refused leaves the fence
-// as it was.
+// order carries out an order and reports whether it was accepted, and whether its
+// ballot was too low. A refused order leaves the fence unchanged.
 func (e *engine) order(c btround.Command) (accepted, fenced bool) {
 	if c.Ballot < e.fence {
 		return false, true
@@ -192,7 +191,8 @@
 	return true, false
 }
 
-// apply changes the engine's state as an order says; false where it doesn't fit.
+// apply changes the engine's state as ordered; false if the order doesn't fit the
+// state.
 func (e *engine) apply(c btround.Command) bool {
 	switch c.Kind {
 	case btround.Prepare:
@@ -265,7 +265,7 @@
 	return result
 }
 
-// execute carries a command out at the engine.
+// execute carries out a command at the engine.
 func (e *engine) execute(c btround.Command) btround.Result {
 	result := btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Pending, Ballot: c.Ballot}
 	if c.Satisfied(e.state()) && !c.Force {
@@ -296,7 +296,7 @@
 	return result
 }
 
-// handle has the engine or its agent carry a command out, as the command says.
+// handle passes a command to the engine directly or to its agent, as the command says.
 func (e *engine) handle(c btround.Command) btround.Result {
 	if c.Direct {
 		return e.execute(c)
