--- a/core/btrelay/btrelay.go
+++ b/core/btrelay/btrelay.go
@@ -21,51 +21,51 @@
 )
 
 const (
-	// OneBlock is up to how many members report to the lead directly. A relay costs
+	// MaxSingleBlock is up to how many members report to the lead directly. A relay costs
 	// a report interval of delay and saves what counts wait for: those of 32 members
 	// with 1,536 experts are told each 0.25 s to a lead and each 0.05 s to a relay. On
 	// six pairs of simulated days of high load with groups of 32 the mean worth was
 	// 0.703 with one block of 32 and 0.738 with six blocks.
-	OneBlock = 16
-	// AwayAfter is how many reports in a row a relay or lead may leave unanswered.
-	AwayAfter = 2
-	// AwayFor is how long one that was taken for gone is passed over.
-	AwayFor = 3 * time.Second
+	MaxSingleBlock = 16
+	// MissLimit is how many reports in a row a relay or lead may leave unanswered.
+	MissLimit = 2
+	// SkipDuration is how long one that was taken for gone is passed over.
+	SkipDuration = 3 * time.Second
 )
 
 const (
-	// reportEvery is the pace at which a member reports and a relay hands on.
-	reportEvery = 150 * time.Millisecond
-	// reportsPerSecond bounds what a relay is told, a twentieth of a core's work;
+	// minReportInterval is the pace at which a member reports and a relay hands on.
+	minReportInterval = 150 * time.Millisecond
+	// maxReportsPerSecond bounds what a relay is told, a twentieth of a core's work;
 	// statesPerSecond bounds what a lead is, some 80 B each: a fifth of a link of 6
 	// Mbit/s.
-	reportsPerSecond = 250
-	statesPerSecond  = 2000
-	// countsPerSecond is how many counts of experts' choices one host is told by all
+	maxReportsPerSecond = 250
+	maxStatesPerSecond  = 2000
+	// maxCountsPerSecond is how many counts of experts' choices one host is told by all
 	// that tell it, a byte each: between a fourth and a fifth of a link of 6 or 8
 	// Mbit/s.
-	countsPerSecond = 200_000
+	maxCountsPerSecond = 200_000
 )
 
-// ReportEvery returns how often the members of a block of so many report.
-func ReportEvery(block int) time.Duration {
-	return max(reportEvery, time.Duration(block)*time.Second/reportsPerSecond)
+// ReportInterval returns how often the members of a block of so many report.
+func ReportInterval(block int) time.Duration {
+	return max(minReportInterval, time.Duration(block)*time.Second/maxReportsPerSecond)
 }
 
-// HandOnEvery returns how often the relays of a group of so many members hand on.
-func HandOnEvery(members int) time.Duration {
-	return max(reportEvery, time.Duration(members)*time.Second/statesPerSecond)
+// ForwardInterval returns how often the relays of a group of so many members hand on.
+func ForwardInterval(members int) time.Duration {
+	return max(minReportInterval, time.Duration(members)*time.Second/maxStatesPerSecond)
 }
 
-// CountsEvery returns how often each of so many senders tells so many counts.
-func CountsEvery(senders, counts int) time.Duration {
-	return time.Duration(senders*counts) * time.Second / countsPerSecond
+// CountsInterval returns how often each of so many senders tells so many counts.
+func CountsInterval(senders, counts int) time.Duration {
+	return time.Duration(senders*counts) * time.Second / maxCountsPerSecond
 }
 
 // BlockSize returns how many members a block of a group has. Blocks of the root of
 // the number make what a relay and what the lead hears equally many.
 func BlockSize(members int) int {
-	if members <= OneBlock {
+	if members <= MaxSingleBlock {
 		return members
 	}
 	return int(math.Ceil(math.Sqrt(float64(members))))
@@ -87,17 +87,17 @@
 	members []netip.AddrPort
 	// misses counts unanswered messages in a row, away tells until when a member is
 	// passed over.
-	misses map[netip.AddrPort]int
-	away   map[netip.AddrPort]time.Time
+	misses       map[netip.AddrPort]int
+	skippedUntil map[netip.AddrPort]time.Time
 }
 
 // New returns the tree as the member of the address sees it. It knows no members.
 func New(self netip.AddrPort) *Tree {
-	return &Tree{self: self, misses: make(map[netip.AddrPort]int), away: make(map[netip.AddrPort]time.Time)}
+	return &Tree{self: self, misses: make(map[netip.AddrPort]int), skippedUntil: make(map[netip.AddrPort]time.Time)}
 }
 
-// Learn takes the group's members in.
-func (t *Tree) Learn(members []netip.AddrPort) {
+// SetMembers takes the group's members in.
+func (t *Tree) SetMembers(members []netip.AddrPort) {
 	t.members = slices.Clone(members)
 	slices.SortFunc(t.members, netip.AddrPort.Compare)
 	t.members = slices.Compact(t.members)
@@ -108,7 +108,7 @@
 // at once, each of 16 agents led for a second, and they outranked each other's
 // rounds.
 func (t *Tree) Lead(now time.Time) (netip.AddrPort, bool) {
-	return t.first(now, t.members)
+	return t.firstAvailable(now, t.members)
 }
 
 // Relay returns whom the member reports to; false while no members are known. The
@@ -118,16 +118,16 @@
 func (t *Tree) Relay(now time.Time) (netip.AddrPort, bool) {
 	block := t.block()
 	lead, known := t.Lead(now)
-	if len(t.members) > OneBlock && known && lead != t.self {
+	if len(t.members) > MaxSingleBlock && known && lead != t.self {
 		block = slices.DeleteFunc(slices.Clone(block), func(m netip.AddrPort) bool { return m == lead })
 	}
-	return t.first(now, block)
+	return t.firstAvailable(now, block)
 }
 
-// first returns the first of the members that isn't away, or this one.
-func (t *Tree) first(now time.Time, members []netip.AddrPort) (netip.AddrPort, bool) {
+// firstAvailable returns the firstAvailable of the members that isn't away, or this one.
+func (t *Tree) firstAvailable(now time.Time, members []netip.AddrPort) (netip.AddrPort, bool) {
 	for _, m := range members {
-		if m == t.self || !now.Before(t.away[m]) {
+		if m == t.self || !now.Before(t.skippedUntil[m]) {
 			return m, true
 		}
 	}
@@ -141,7 +141,7 @@
 	switch {
 	case len(t.members) == 0:
 		return nil
-	case len(t.members) <= OneBlock:
+	case len(t.members) <= MaxSingleBlock:
 		return t.members
 	case !found:
 		return []netip.AddrPort{t.self}
@@ -157,17 +157,17 @@
 // Blocks returns how many blocks the group has.
 func (t *Tree) Blocks() int { return Blocks(len(t.members)) }
 
-// Answered notes that a relay or lead has answered.
-func (t *Tree) Answered(m netip.AddrPort) { delete(t.misses, m) }
+// NoteAnswer notes that a relay or lead has answered.
+func (t *Tree) NoteAnswer(m netip.AddrPort) { delete(t.misses, m) }
 
-// Missed notes that a relay or lead has not answered, and tells whether it is taken
+// NoteMiss notes that a relay or lead has not answered, and tells whether it is taken
 // for gone now.
-func (t *Tree) Missed(now time.Time, m netip.AddrPort) bool {
+func (t *Tree) NoteMiss(now time.Time, m netip.AddrPort) bool {
 	t.misses[m]++
-	if t.misses[m] < AwayAfter {
+	if t.misses[m] < MissLimit {
 		return false
 	}
 	delete(t.misses, m)
-	t.away[m] = now.Add(AwayFor)
+	t.skippedUntil[m] = now.Add(SkipDuration)
 	return true
 }
--- a/core/btrelay/btrelay_test.go
+++ b/core/btrelay/btrelay_test.go
@@ -37,7 +37,7 @@
 		relays := make(map[netip.AddrPort]bool)
 		for _, self := range members {
 			tree := btrelay.New(self)
-			tree.Learn(members)
+			tree.SetMembers(members)
 			relay, known := tree.Relay(start)
 			assert.Assert(t, known)
 			senders[relay]++
@@ -48,11 +48,11 @@
 		for relay, heard := range senders {
 			assert.Assert(t, heard <= btrelay.BlockSize(n), "%d members: %v hears %d", n, relay, heard)
 		}
-		if n > btrelay.OneBlock {
+		if n > btrelay.MaxSingleBlock {
 			assert.Equal(t, senders[members[0]], 1, "%d members: the lead hears its own block", n)
 			assert.Equal(t, len(relays), btrelay.Blocks(n)+1)
 		}
-		if n > btrelay.OneBlock {
+		if n > btrelay.MaxSingleBlock {
 			assert.Assert(t, btrelay.BlockSize(n)*btrelay.BlockSize(n) < 2*n, "%d members", n)
 		}
 	}
@@ -69,7 +69,7 @@
 // A member that isn't in the list yet, as it has just started, is its own relay.
 func TestAMemberThatIsNotListed(t *testing.T) {
 	tree := btrelay.New(address(500))
-	tree.Learn(addresses(192))
+	tree.SetMembers(addresses(192))
 	relay, known := tree.Relay(start)
 	assert.Assert(t, known)
 	assert.Equal(t, relay, address(500))
@@ -79,19 +79,19 @@
 // block stand in, and the first one is followed again after a while.
 func TestARelayThatIsSilentIsPassedOver(t *testing.T) {
 	tree := btrelay.New(address(20))
-	tree.Learn(addresses(192))
+	tree.SetMembers(addresses(192))
 	relay, _ := tree.Relay(start)
 	assert.Equal(t, relay, address(14))
-	assert.Assert(t, !tree.Missed(start, relay))
-	tree.Answered(relay)
-	assert.Assert(t, !tree.Missed(start, relay))
-	assert.Assert(t, tree.Missed(start, relay))
+	assert.Assert(t, !tree.NoteMiss(start, relay))
+	tree.NoteAnswer(relay)
+	assert.Assert(t, !tree.NoteMiss(start, relay))
+	assert.Assert(t, tree.NoteMiss(start, relay))
 	next, _ := tree.Relay(start)
 	assert.Equal(t, next, address(15))
 	// The lead is another matter.
 	lead, _ := tree.Lead(start)
 	assert.Equal(t, lead, address(0))
-	back, _ := tree.Relay(start.Add(btrelay.AwayFor))
+	back, _ := tree.Relay(start.Add(btrelay.SkipDuration))
 	assert.Equal(t, back, address(14))
 }
 
@@ -116,7 +116,7 @@
 
 func ExampleTree() {
 	tree := btrelay.New(address(100))
-	tree.Learn(addresses(192))
+	tree.SetMembers(addresses(192))
 	relay, _ := tree.Relay(start)
 	lead, _ := tree.Lead(start)
 	fmt.Println(relay, lead)
--- a/core/btrelay/collector.go
+++ b/core/btrelay/collector.go
@@ -36,10 +36,10 @@
 
 // Take returns the messages in order of their senders and forgets them. Those older
 // than keep are dropped: what a member said long ago says nothing of it any more.
-func (c *Collector[K, M]) Take(now time.Time, keep time.Duration) []Collected[K, M] {
+func (c *Collector[K, M]) Take(now time.Time, maxAge time.Duration) []Collected[K, M] {
 	list := make([]Collected[K, M], 0, len(c.messages))
 	for from, m := range c.messages {
-		if age := now.Sub(m.at); age <= keep {
+		if age := now.Sub(m.at); age <= maxAge {
 			list = append(list, Collected[K, M]{From: from, Message: m.message, Age: age})
 		}
 	}
--- a/core/btrelay/looker.go
+++ b/core/btrelay/looker.go
@@ -7,53 +7,55 @@
 )
 
 const (
-	// LookAfter is for how long reports must have come in before a lead reads the
+	// DirectReadDelay is for how long reports must have come in before a lead reads the
 	// engines of silent agents itself: an agent that has just begun to lead, or has
 	// stood still, hears of all within half a second. Without this wait a lead that
 	// woke read 190 engines at once, which kept its link from the reports that it
 	// waited for, and another took the lead.
-	LookAfter = 500 * time.Millisecond
-	// LookEvery is how often one engine is read; such a read costs the group a
+	DirectReadDelay = 500 * time.Millisecond
+	// DirectReadInterval is how often one engine is read; such a read costs the group a
 	// little.
-	LookEvery = 500 * time.Millisecond
-	// LooksAtOnce bounds the engines that are read in LookEvery. Each read takes some
+	DirectReadInterval = 500 * time.Millisecond
+	// MaxDirectReads bounds the engines that are read in LookEvery. Each read takes some
 	// 2 KB of the lead's link and is paid for.
-	LooksAtOnce = OneBlock
+	MaxDirectReads = MaxSingleBlock
 )
 
-// Looker chooses which engines a lead reads itself, as their agents are silent. It
+// DirectReader chooses which engines a lead reads itself, as their agents are silent. It
 // is not safe for concurrent use.
-type Looker struct {
-	began  time.Time
-	looked map[netip.AddrPort]time.Time
+type DirectReader struct {
+	reportsSince time.Time
+	readAt       map[netip.AddrPort]time.Time
 }
 
-// NewLooker returns a looker that has looked at none.
-func NewLooker() *Looker { return &Looker{looked: make(map[netip.AddrPort]time.Time)} }
+// NewDirectReader returns a looker that has looked at none.
+func NewDirectReader() *DirectReader {
+	return &DirectReader{readAt: make(map[netip.AddrPort]time.Time)}
+}
 
-// Begin notes that reports come in after a time without any.
-func (l *Looker) Begin(now time.Time) { l.began = now }
+// ReportsResumed notes that reports come in after a time without any.
+func (r *DirectReader) ReportsResumed(now time.Time) { r.reportsSince = now }
 
 // Due returns the engines to be read now, of those whose agents are silent: those
 // that were read longest ago.
-func (l *Looker) Due(now time.Time, silent []netip.AddrPort) []netip.AddrPort {
-	if now.Sub(l.began) < LookAfter {
+func (r *DirectReader) Due(now time.Time, silent []netip.AddrPort) []netip.AddrPort {
+	if now.Sub(r.reportsSince) < DirectReadDelay {
 		return nil
 	}
-	lately := 0
-	for engine, at := range l.looked {
+	recent := 0
+	for engine, at := range r.readAt {
 		switch age := now.Sub(at); {
-		case age < LookEvery:
-			lately++
-		case age > LookEvery && !slices.Contains(silent, engine):
-			delete(l.looked, engine)
+		case age < DirectReadInterval:
+			recent++
+		case age > DirectReadInterval && !slices.Contains(silent, engine):
+			delete(r.readAt, engine)
 		}
 	}
-	due := slices.DeleteFunc(slices.Clone(silent), func(e netip.AddrPort) bool { return now.Sub(l.looked[e]) < LookEvery })
-	slices.SortStableFunc(due, func(a, b netip.AddrPort) int { return l.looked[a].Compare(l.looked[b]) })
-	due = due[:min(len(due), max(LooksAtOnce-lately, 0))]
+	due := slices.DeleteFunc(slices.Clone(silent), func(e netip.AddrPort) bool { return now.Sub(r.readAt[e]) < DirectReadInterval })
+	slices.SortStableFunc(due, func(a, b netip.AddrPort) int { return r.readAt[a].Compare(r.readAt[b]) })
+	due = due[:min(len(due), max(MaxDirectReads-recent, 0))]
 	for _, e := range due {
-		l.looked[e] = now
+		r.readAt[e] = now
 	}
 	return due
 }
--- a/core/btrelay/teller.go
+++ b/core/btrelay/teller.go
@@ -1,24 +1,24 @@
 package btrelay
 
-// EntriesPerTeller is how many entries one agent tells of its group's load: eight
+// EntriesPerSender is how many entries one agent tells of its group's load: eight
 // words of a group of 192, five a second, take some 20 KB/s. A lead that told 35
 // entries itself took 477 KB/s of a link of 750 KB/s for it.
-const EntriesPerTeller = 8
+const EntriesPerSender = 8
 
-// Tellers chooses the ranks whose agents tell so many entries of the group's load,
+// LoadSenders chooses the ranks whose agents tell so many entries of the group's load,
 // spread over those that are there. None are chosen where the lead can tell the few
 // entries itself. Fewer than are wanted are chosen where fewer are there.
-func Tellers(size, lead, entries int, there func(rank int) bool) []int {
-	if entries <= EntriesPerTeller {
+func LoadSenders(size, lead, entries int, available func(rank int) bool) []int {
+	if entries <= EntriesPerSender {
 		return nil
 	}
 	var ranks []int
 	for r := range size {
-		if r != lead && there(r) {
+		if r != lead && available(r) {
 			ranks = append(ranks, r)
 		}
 	}
-	wanted := (entries + EntriesPerTeller - 1) / EntriesPerTeller
+	wanted := (entries + EntriesPerSender - 1) / EntriesPerSender
 	if len(ranks) <= wanted {
 		return ranks
 	}
@@ -31,9 +31,9 @@
 }
 
 // Share returns the part of a list that the i-th of so many tells.
-func Share[T any](list []T, i, tellers int) []T {
+func Share[T any](list []T, i, senders int) []T {
 	var share []T
-	for n := i; n < len(list); n += tellers {
+	for n := i; n < len(list); n += senders {
 		share = append(share, list[n])
 	}
 	return share
--- a/core/btrelay/world_test.go
+++ b/core/btrelay/world_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	answerTime = 300 * time.Millisecond
-	wayTime    = time.Millisecond
+	callTimeout = 300 * time.Millisecond
+	linkDelay   = time.Millisecond
 	// linkRate is the slowest link known, of 6 Mbit/s, in bytes a second.
 	linkRate = 750_000
-	// heardWithin is how old what the lead knows of a rank may be: older than that,
+	// maxReportAge is how old what the lead knows of a rank may be: older than that,
 	// the lead reads it from afar.
-	heardWithin = 500 * time.Millisecond
+	maxReportAge = 500 * time.Millisecond
 )
 
 // world is a group whose hosts have links of limited rate, on a clock of its own.
@@ -38,8 +38,8 @@
 	events events
 	number int
 	hosts  []*host
-	// direct has every member report to the lead itself, as a naive variant.
-	direct bool
+	// directReports has every member report to the lead itself, as a naive variant.
+	directReports bool
 	// leads are the members that were reported to as the lead.
 	leads map[netip.AddrPort]bool
 }
@@ -55,14 +55,14 @@
 	in, out time.Time
 	// received is in bytes.
 	received int
-	// countedAt is when counts were told last, handedAt when they were handed on.
-	countedAt, handedAt time.Time
+	// countedAt is when counts were told last, forwardedAt when they were handed on.
+	countedAt, forwardedAt time.Time
 	// frozen is until when the host stands still; deaf is until when nothing that is
 	// sent to it arrives, though it can send.
 	frozen, deaf time.Time
-	// heard is when the last report was read that has come to this host as the lead, by
+	// lastRead is when the last report was read that has come to this host as the lead, by
 	// member.
-	heard map[int]time.Time
+	lastRead map[int]time.Time
 }
 
 type event struct {
@@ -90,19 +90,19 @@
 }
 
 func newWorld(seed uint64, size int, direct bool) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 2)), now: start, direct: direct, leads: make(map[netip.AddrPort]bool)}
+	w := &world{random: rand.New(rand.NewPCG(seed, 2)), now: start, directReports: direct, leads: make(map[netip.AddrPort]bool)}
 	members := addresses(size)
 	for n, a := range members {
-		h := &host{world: w, number: n, address: a, tree: btrelay.New(a), reports: btrelay.NewCollector[int, time.Time](), heard: make(map[int]time.Time)}
-		h.tree.Learn(members)
+		h := &host{world: w, number: n, address: a, tree: btrelay.New(a), reports: btrelay.NewCollector[int, time.Time](), lastRead: make(map[int]time.Time)}
+		h.tree.SetMembers(members)
 		w.hosts = append(w.hosts, h)
-		w.after(time.Duration(w.random.Int64N(int64(btrelay.ReportEvery(1)))), h.report)
-		w.after(time.Duration(w.random.Int64N(int64(btrelay.HandOnEvery(1)))), h.handOn)
+		w.schedule(time.Duration(w.random.Int64N(int64(btrelay.ReportInterval(1)))), h.report)
+		w.schedule(time.Duration(w.random.Int64N(int64(btrelay.ForwardInterval(1)))), h.forward)
 	}
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *world) schedule(d time.Duration, do func()) {
 	w.number++
 	heap.Push(&w.events, event{at: w.now.Add(d), number: w.number, do: do})
 }
@@ -126,10 +126,10 @@
 	return nil
 }
 
-func (h *host) away() bool { return h.world.now.Before(h.frozen) }
+func (h *host) isFrozen() bool { return h.world.now.Before(h.frozen) }
 
-// use has a link take so many bytes, and returns when they are through.
-func use(now time.Time, free *time.Time, bytes int) time.Time {
+// transmit has a link take so many bytes, and returns when they are through.
+func transmit(now time.Time, free *time.Time, bytes int) time.Time {
 	if free.Before(now) {
 		*free = now
 	}
@@ -148,27 +148,27 @@
 	}
 	answered := false
 	asked := w.now
-	w.after(answerTime, func() {
+	w.schedule(callTimeout, func() {
 		if !answered {
 			answered = true
 			done(false)
 		}
 	})
-	sent := use(w.now, &h.out, bytes)
-	w.after(sent.Sub(w.now)+wayTime, func() {
-		if to.away() || w.now.Before(to.deaf) {
+	sent := transmit(w.now, &h.out, bytes)
+	w.schedule(sent.Sub(w.now)+linkDelay, func() {
+		if to.isFrozen() || w.now.Before(to.deaf) {
 			return
 		}
-		through := use(w.now, &to.in, bytes)
+		through := transmit(w.now, &to.in, bytes)
 		to.received += bytes
-		w.after(through.Sub(w.now), func() {
+		w.schedule(through.Sub(w.now), func() {
 			deliver()
-			back := use(w.now, &to.out, replyBytes)
-			w.after(back.Sub(w.now)+wayTime, func() {
-				arrived := use(w.now, &h.in, replyBytes)
+			back := transmit(w.now, &to.out, replyBytes)
+			w.schedule(back.Sub(w.now)+linkDelay, func() {
+				arrived := transmit(w.now, &h.in, replyBytes)
 				h.received += replyBytes
-				w.after(arrived.Sub(w.now), func() {
-					if !answered && w.now.Sub(asked) <= answerTime && !h.away() {
+				w.schedule(arrived.Sub(w.now), func() {
+					if !answered && w.now.Sub(asked) <= callTimeout && !h.isFrozen() {
 						answered = true
 						done(true)
 					}
@@ -178,95 +178,95 @@
 	})
 }
 
-// note notes whether one that was called has answered.
-func (h *host) note(to netip.AddrPort, ok bool) {
+// noteCall notes whether one that was called has answered.
+func (h *host) noteCall(to netip.AddrPort, ok bool) {
 	if ok {
-		h.tree.Answered(to)
+		h.tree.NoteAnswer(to)
 		return
 	}
-	h.tree.Missed(h.world.now, to)
+	h.tree.NoteMiss(h.world.now, to)
 }
 
 // report has the host report its state.
 func (h *host) report() {
 	w := h.world
-	w.after(btrelay.ReportEvery(h.tree.BlockSize()), h.report)
-	if h.away() {
+	w.schedule(btrelay.ReportInterval(h.tree.BlockSize()), h.report)
+	if h.isFrozen() {
 		return
 	}
 	relay, _ := h.tree.Relay(w.now)
 	bytes := reportBytes
-	if w.direct {
+	if w.directReports {
 		relay, _ = h.tree.Lead(w.now)
 	}
 	senders := h.tree.BlockSize()
-	if w.direct {
+	if w.directReports {
 		senders = len(w.hosts)
 	}
-	if w.now.Sub(h.countedAt) >= btrelay.CountsEvery(senders, countBytes) {
+	if w.now.Sub(h.countedAt) >= btrelay.CountsInterval(senders, countBytes) {
 		h.countedAt = w.now
 		bytes += countBytes
 	}
 	read := w.now
 	to := w.host(relay)
-	h.call(to, bytes, func() { to.hear(h.number, read) }, func(ok bool) { h.note(relay, ok) })
+	h.call(to, bytes, func() { to.receive(h.number, read) }, func(ok bool) { h.noteCall(relay, ok) })
 }
 
-// hear takes a report in.
-func (h *host) hear(from int, read time.Time) {
+// receive takes a report in.
+func (h *host) receive(from int, read time.Time) {
 	lead, _ := h.tree.Lead(h.world.now)
-	if lead == h.address || h.world.direct {
-		h.take(from, read)
+	if lead == h.address || h.world.directReports {
+		h.receiveAsLead(from, read)
 		return
 	}
 	h.reports.Put(read, from, read)
 }
 
-// take takes a report in as the lead.
-func (h *host) take(from int, read time.Time) {
+// receiveAsLead takes a report in as the lead.
+func (h *host) receiveAsLead(from int, read time.Time) {
 	h.world.leads[h.address] = true
-	if read.After(h.heard[from]) {
-		h.heard[from] = read
+	if read.After(h.lastRead[from]) {
+		h.lastRead[from] = read
 	}
 }
 
-// handOn has the host hand on what it has heard.
-func (h *host) handOn() {
+// forward has the host hand on what it has heard.
+func (h *host) forward() {
 	w := h.world
-	w.after(btrelay.HandOnEvery(len(w.hosts)), h.handOn)
-	if h.away() {
+	w.schedule(btrelay.ForwardInterval(len(w.hosts)), h.forward)
+	if h.isFrozen() {
 		return
 	}
 	lead, _ := h.tree.Lead(w.now)
-	taken := h.reports.Take(w.now, heardWithin)
+	taken := h.reports.Take(w.now, maxReportAge)
 	if len(taken) == 0 {
 		return
 	}
 	to := w.host(lead)
 	bytes := reportBytes + entryBytes*len(taken)
-	if w.now.Sub(h.handedAt) >= btrelay.CountsEvery(h.tree.Blocks(), countBytes) {
-		h.handedAt = w.now
+	if w.now.Sub(h.forwardedAt) >= btrelay.CountsInterval(h.tree.Blocks(), countBytes) {
+		h.forwardedAt = w.now
 		bytes += countBytes
 	}
 	h.call(to, bytes, func() {
 		for _, c := range taken {
-			to.take(c.From, c.Message)
+			to.receiveAsLead(c.From, c.Message)
 		}
 	}, func(ok bool) {
-		h.note(lead, ok)
+		h.noteCall(lead, ok)
 		if !ok {
 			h.reports.PutBack(w.now, taken)
 		}
 	})
 }
 
-// oldest returns how old the oldest thing is that the lead knows of a member that
+// oldestReport returns how old the oldestReport thing is that the lead knows of a member that
 // isn't away.
-func (w *world) oldest(lead int) time.Duration {
+func (w *world) oldestReport(lead int) time.Duration {
 	var oldest time.Duration
 	for n, h := range w.hosts {
-		if !h.away() && !w.now.Before(h.deaf) {
-			oldest = max(oldest, w.now.Sub(w.hosts[lead].heard[n]))
+		if !h.isFrozen() && !w.now.Before(h.deaf) {
+			oldest = max(oldest, w.now.Sub(w.hosts[lead].lastRead[n]))
 		}
 	}
 	return oldest
@@ -281,7 +281,7 @@
 		w.run(2 * time.Second)
 		for range 200 {
 			w.run(20 * time.Millisecond)
-			assert.Assert(t, w.oldest(0) <= heardWithin, "%d members: %s", n, w.oldest(0))
+			assert.Assert(t, w.oldestReport(0) <= maxReportAge, "%d members: %s", n, w.oldestReport(0))
 		}
 		assert.Equal(t, len(w.leads), 1, "%d members", n)
 		for _, h := range w.hosts {
@@ -304,7 +304,7 @@
 	w := newWorld(3, 192, false)
 	w.run(2 * time.Second)
 	for range 8 {
-		use(w.now, &w.hosts[0].out, linkRate/4)
+		transmit(w.now, &w.hosts[0].out, linkRate/4)
 		w.run(time.Second)
 	}
 	assert.Equal(t, len(w.leads), 1)
@@ -324,9 +324,9 @@
 				relay.frozen = w.now.Add(2500 * time.Millisecond)
 			}
 			w.run(1500 * time.Millisecond)
-			assert.Assert(t, w.oldest(0) <= heardWithin, "seed %d, deaf %t: %s", seed, deaf, w.oldest(0))
+			assert.Assert(t, w.oldestReport(0) <= maxReportAge, "seed %d, deaf %t: %s", seed, deaf, w.oldestReport(0))
 			w.run(4 * time.Second)
-			assert.Assert(t, w.oldest(0) <= heardWithin, "seed %d, deaf %t, after: %s", seed, deaf, w.oldest(0))
+			assert.Assert(t, w.oldestReport(0) <= maxReportAge, "seed %d, deaf %t, after: %s", seed, deaf, w.oldestReport(0))
 			assert.Equal(t, len(w.leads), 1)
 		}
 	}
@@ -339,9 +339,9 @@
 		w.run(2 * time.Second)
 		w.hosts[0].frozen = w.now.Add(3 * time.Second)
 		w.run(1800 * time.Millisecond)
-		assert.Assert(t, w.oldest(1) <= heardWithin, "seed %d: %s", seed, w.oldest(1))
+		assert.Assert(t, w.oldestReport(1) <= maxReportAge, "seed %d: %s", seed, w.oldestReport(1))
 		assert.Assert(t, len(w.leads) == 2, "seed %d: %d leads", seed, len(w.leads))
 		w.run(5 * time.Second)
-		assert.Assert(t, w.oldest(0) <= heardWithin, "seed %d, after: %s", seed, w.oldest(0))
+		assert.Assert(t, w.oldestReport(0) <= maxReportAge, "seed %d, after: %s", seed, w.oldestReport(0))
 	}
 }
--- a/io/btrank/agent.go
+++ b/io/btrank/agent.go
@@ -141,7 +141,7 @@
 // reports reads and reports the engine's state until the context ends. Agents
 // begin at different moments, so that the lead's work is spread.
 func (a *Agent) reports(ctx context.Context) {
-	pause(ctx, time.Duration(rand.Int64N(int64(btrelay.ReportEvery(1)))))
+	pause(ctx, time.Duration(rand.Int64N(int64(btrelay.ReportInterval(1)))))
 	for ctx.Err() == nil {
 		began := a.options.Clock()
 		if a.read(ctx) && a.worthTelling() {
@@ -180,7 +180,7 @@
 	if !a.state.Open {
 		return formingEvery
 	}
-	return btrelay.ReportEvery(a.tree.BlockSize())
+	return btrelay.ReportInterval(a.tree.BlockSize())
 }
 
 // worthTelling tells whether the lead should hear the state now: while a version
@@ -193,7 +193,7 @@
 	if a.expecting(now) {
 		return false
 	}
-	if a.state.Open == a.toldOpen && now.Sub(a.toldAt) < btrelay.ReportEvery(a.tree.BlockSize())-formingEvery {
+	if a.state.Open == a.toldOpen && now.Sub(a.toldAt) < btrelay.ReportInterval(a.tree.BlockSize())-formingEvery {
 		return false
 	}
 	a.toldAt = now
@@ -214,7 +214,7 @@
 
 // countsDue tells whether the counts are to be told. The lock is held.
 func (a *Agent) countsDue(now time.Time) bool {
-	return now.Sub(a.countedAt) >= btrelay.CountsEvery(a.tree.BlockSize(), len(a.counts.latest))
+	return now.Sub(a.countedAt) >= btrelay.CountsInterval(a.tree.BlockSize(), len(a.counts.latest))
 }
 
 // read reads the own engine's state and counts.
@@ -336,7 +336,7 @@
 	now := a.options.Clock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tree.Learn(agents)
+	a.tree.SetMembers(agents)
 	var w way
 	w.lead, w.known = a.tree.Lead(now)
 	a.reportsTo = w.lead
@@ -355,7 +355,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.wantHeld = reply.WantHeld
-	a.tree.Answered(w.relay)
+	a.tree.NoteAnswer(w.relay)
 	if a.follows == w.relay {
 		return
 	}
@@ -371,7 +371,7 @@
 func (a *Agent) missed(w way, to netip.AddrPort, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.tree.Missed(a.options.Clock(), to) {
+	if !a.tree.NoteMiss(a.options.Clock(), to) {
 		return
 	}
 	dependency := "relay"
--- a/io/btrank/budget_test.go
+++ b/io/btrank/budget_test.go
@@ -118,7 +118,7 @@
 
 // tellers returns how many agents tell entries, and how many entries each.
 func (f fleet) tellers() (agents, entries int) {
-	tellers := btrelay.Tellers(f.ranks, 0, f.entries, func(int) bool { return true })
+	tellers := btrelay.LoadSenders(f.ranks, 0, f.entries, func(int) bool { return true })
 	agents = max(len(tellers), 1)
 	return agents, (f.entries + agents - 1) / agents
 }
@@ -144,15 +144,15 @@
 	tb.Helper()
 	senders := btrelay.Blocks(f.ranks)
 	bundle := encoded(tb, f.bundle())
-	if f.ranks <= btrelay.OneBlock {
+	if f.ranks <= btrelay.MaxSingleBlock {
 		senders = f.ranks
 		bundle = encoded(tb, report(0, f.ranks))
 	}
-	paced := perSecond(btrelay.HandOnEvery(f.ranks))
+	paced := perSecond(btrelay.ForwardInterval(f.ranks))
 	counts := float64(f.layers * f.experts)
 	l := newFlows()
 	l.in["reports"] = paced * float64(senders) * (bundle + callBytes)
-	l.in["counts"] = float64(senders) * counts * perSecond(btrelay.CountsEvery(senders, f.layers*f.experts))
+	l.in["counts"] = float64(senders) * counts * perSecond(btrelay.CountsInterval(senders, f.layers*f.experts))
 	l.in["results"] = answersPerRound * float64(f.ranks) * f.result(tb) * perSecond(roundEvery)
 	l.out["answers"] = paced * float64(senders) * callBytes
 	l.out["maps"] = float64(senders) * (encoded(tb, f.batch()) + callBytes) * perSecond(roundEvery)
@@ -169,15 +169,15 @@
 func (f fleet) relay(tb testing.TB) flows {
 	tb.Helper()
 	block := float64(btrelay.BlockSize(f.ranks))
-	paced := perSecond(btrelay.ReportEvery(int(block)))
+	paced := perSecond(btrelay.ReportInterval(int(block)))
 	counts := float64(f.layers * f.experts)
 	r := newFlows()
 	r.in["reports"] = paced * block * (encoded(tb, report(0, f.ranks)) + callBytes)
-	r.in["counts"] = block * counts * perSecond(btrelay.CountsEvery(int(block), f.layers*f.experts))
+	r.in["counts"] = block * counts * perSecond(btrelay.CountsInterval(int(block), f.layers*f.experts))
 	r.in["maps"] = (encoded(tb, f.batch()) + callBytes) * perSecond(roundEvery)
 	r.in["results"] = answersPerRound * block * f.result(tb) * perSecond(roundEvery)
-	r.out["reports"] = perSecond(btrelay.HandOnEvery(f.ranks)) * (encoded(tb, f.bundle()) + callBytes)
-	r.out["counts"] = counts * perSecond(btrelay.CountsEvery(btrelay.Blocks(f.ranks), f.layers*f.experts))
+	r.out["reports"] = perSecond(btrelay.ForwardInterval(f.ranks)) * (encoded(tb, f.bundle()) + callBytes)
+	r.out["counts"] = counts * perSecond(btrelay.CountsInterval(btrelay.Blocks(f.ranks), f.layers*f.experts))
 	r.out["answers"] = paced * block * callBytes
 	r.out["maps"] = block * (encoded(tb, f.prepare()) + callBytes) * perSecond(roundEvery)
 	_, share := f.tellers()
@@ -190,9 +190,9 @@
 	tb.Helper()
 	block := btrelay.BlockSize(f.ranks)
 	m := newFlows()
-	m.out["reports"] = perSecond(btrelay.ReportEvery(block)) * (encoded(tb, report(0, f.ranks)) + callBytes)
-	m.out["counts"] = float64(f.layers*f.experts) * perSecond(btrelay.CountsEvery(block, f.layers*f.experts))
-	m.in["answers"] = perSecond(btrelay.ReportEvery(block)) * callBytes
+	m.out["reports"] = perSecond(btrelay.ReportInterval(block)) * (encoded(tb, report(0, f.ranks)) + callBytes)
+	m.out["counts"] = float64(f.layers*f.experts) * perSecond(btrelay.CountsInterval(block, f.layers*f.experts))
+	m.in["answers"] = perSecond(btrelay.ReportInterval(block)) * callBytes
 	m.in["maps"] = (encoded(tb, f.prepare()) + callBytes) * perSecond(roundEvery)
 	return m
 }
@@ -203,7 +203,7 @@
 		t.Run(fmt.Sprintf("%d ranks %d entries", f.ranks, f.entries), func(t *testing.T) {
 			lead, relay, member := f.lead(t), f.relay(t), f.member(t)
 			assert.Assert(t, lead.most() <= btrank.LeadBudget, "lead: %.0f B/s, in %.0f, out %.0f", lead.most(), lead.in, lead.out)
-			if f.ranks > btrelay.OneBlock {
+			if f.ranks > btrelay.MaxSingleBlock {
 				assert.Assert(t, relay.most() <= btrank.RelayBudget, "relay: %.0f B/s, in %.0f, out %.0f", relay.most(), relay.in, relay.out)
 				assert.Assert(t, member.most() <= btrank.MemberBudget, "member: %.0f B/s, in %.0f, out %.0f", member.most(), member.in, member.out)
 			}
@@ -241,7 +241,7 @@
 // takes a moment of each link; 192 of them from the lead alone take seconds.
 func TestWholeMapsPassInTime(t *testing.T) {
 	for _, f := range fleets() {
-		if f.ranks <= btrelay.OneBlock || f.layers > 12 {
+		if f.ranks <= btrelay.MaxSingleBlock || f.layers > 12 {
 			continue
 		}
 		one := encoded(t, f.whole()) + callBytes
--- a/io/btrank/lead.go
+++ b/io/btrank/lead.go
@@ -47,7 +47,7 @@
 	engines map[btexpert.Rank]netip.AddrPort
 	at      map[btexpert.Rank]time.Time
 	heardAt time.Time
-	looker  *btrelay.Looker
+	looker  *btrelay.DirectReader
 	// via is the relay that a rank's last report came from; none where it came
 	// from the agent itself.
 	via map[btexpert.Rank]netip.AddrPort
@@ -94,7 +94,7 @@
 		prepares:    make(map[btexpert.Rank]btround.Version),
 		sending:     make(map[btexpert.Rank]btround.Version),
 		tellersAway: make(map[btexpert.Rank]time.Time),
-		looker:      btrelay.NewLooker(),
+		looker:      btrelay.NewDirectReader(),
 		remotes:     make(map[netip.AddrPort]Engine),
 		strains:     make(map[netip.AddrPort]heardStrain),
 	}
@@ -146,7 +146,7 @@
 	l.at[r.State.Rank] = at
 	l.via[r.State.Rank] = from
 	if now.Sub(l.heardAt) > leadFor {
-		l.looker.Begin(now)
+		l.looker.ReportsResumed(now)
 	}
 	l.heardAt = now
 	if r.State.Epoch != l.machine.Epoch() {
--- a/io/btrank/relay.go
+++ b/io/btrank/relay.go
@@ -97,7 +97,7 @@
 	for ctx.Err() == nil {
 		way := r.agent.way()
 		r.handOn(ctx, way)
-		timer := time.NewTimer(btrelay.HandOnEvery(way.members))
+		timer := time.NewTimer(btrelay.ForwardInterval(way.members))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -142,7 +142,7 @@
 	for _, c := range taken {
 		b.Reports = append(b.Reports, AgedReport{Report: c.Message, Age: c.Age})
 	}
-	if len(r.counts) > 0 && now.Sub(r.countedAt) >= btrelay.CountsEvery(w.blocks, len(r.counts)) {
+	if len(r.counts) > 0 && now.Sub(r.countedAt) >= btrelay.CountsInterval(w.blocks, len(r.counts)) {
 		b.Counts = newSample(r.counts)
 		r.counts = nil
 		r.countedAt = now
@@ -171,7 +171,7 @@
 func (a *Agent) leadAnswered(w way) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tree.Answered(w.lead)
+	a.tree.NoteAnswer(w.lead)
 	if a.handsOnTo != w.lead {
 		a.log.Info("lead followed", "to", w.lead, "before", a.handsOnTo)
 		a.handsOnTo = w.lead
--- a/io/btrank/remote.go
+++ b/io/btrank/remote.go
@@ -19,7 +19,7 @@
 	}
 	heard := make(map[netip.AddrPort]bool, len(l.engines))
 	for r, engine := range l.engines {
-		heard[engine] = now.Sub(l.at[r]) <= btrelay.LookEvery
+		heard[engine] = now.Sub(l.at[r]) <= btrelay.DirectReadInterval
 	}
 	silent := slices.DeleteFunc(l.agent.directory.engines(l.machine.Group()), func(e netip.AddrPort) bool { return heard[e] })
 	for _, engine := range l.looker.Due(now, silent) {
--- a/io/btrank/tell.go
+++ b/io/btrank/tell.go
@@ -32,13 +32,13 @@
 	l.told = now
 	load := l.load(now)
 	entries := l.agent.directory.listeners()
-	if len(entries) <= btrelay.EntriesPerTeller {
+	if len(entries) <= btrelay.EntriesPerSender {
 		for _, entry := range entries {
 			go l.tellEntry(ctx, load, entry)
 		}
 		return
 	}
-	tellers := btrelay.Tellers(l.machine.Size(), int(l.machine.Self()), len(entries), func(rank int) bool {
+	tellers := btrelay.LoadSenders(l.machine.Size(), int(l.machine.Self()), len(entries), func(rank int) bool {
 		r := btexpert.Rank(rank)
 		return now.Sub(l.at[r]) <= holderFresh && !now.Before(l.tellersAway[r])
 	})
