--- a/core/btrelay/btrelay.go
+++ b/core/btrelay/btrelay.go
@@ -1,16 +1,16 @@
-// Package btrelay decides over which agents the members of a large lock-step group
-// reach its lead, so that no host talks to every other one.
+// Package btrelay chooses the agents through which the members of a large lock-step
+// group reach its lead, so that no host communicates with every other one.
 //
-// The members are listed in the order of their addresses and cut into blocks of
-// about the root of their number. A member reports to its block's relay, the first
-// member of the block that answers; a relay hands on what it has heard in one
-// message to the lead, the first member of all that answers, and carries the lead's
-// commands to its block. So each host hears from and tells about the root of the
-// group. A small group is one block, whose relay is the lead.
+// The members are sorted by address and split into blocks of about the square root of
+// their number. A member reports to its block's relay, the first member of the block
+// that answers. A relay forwards the collected reports in one message to the lead, the
+// first of all members that answers, and forwards the lead's commands to its block. So
+// the number of peers of each host is about the square root of the group size. A small
+// group is one block, whose relay is the lead.
 //
-// Relays are soft state: every member chooses by the same rule from the list that
-// all know, and a relay holds nothing that the next reports don't bring again. Two
-// members may choose different relays for a while; both then hand on what they hear.
+// Relays are soft state: every member applies the same rule to the same list, and a
+// relay holds nothing that the next reports don't restore. Two members may briefly
+// choose different relays; both then forward what they receive.
 package btrelay
 
 import (
@@ -21,49 +21,54 @@
 )
 
 const (
-	// MaxSingleBlock is up to how many members report to the lead directly. A relay costs
-	// a report interval of delay and saves what counts wait for: those of 32 members
-	// with 1,536 experts are told each 0.25 s to a lead and each 0.05 s to a relay. On
-	// six pairs of simulated days of high load with groups of 32 the mean worth was
-	// 0.703 with one block of 32 and 0.738 with six blocks.
+	// MaxSingleBlock is the largest group whose members report to the lead directly. A
+	// relay adds a report interval of delay but reduces the interval between counts:
+	// with 32 members and 1,536 experts, counts are sent to a lead every 0.25 s and to
+	// a relay every 0.05 s. On six pairs of simulated days of high load with groups of
+	// 32, the mean worth was 0.703 with one block of 32 and 0.738 with six blocks.
 	MaxSingleBlock = 16
-	// MissLimit is how many reports in a row a relay or lead may leave unanswered.
+	// MissLimit is the number of consecutive reports a relay or lead may leave
+	// unanswered before it is skipped.
 	MissLimit = 2
-	// SkipDuration is how long one that was taken for gone is passed over.
+	// SkipDuration is how long an unresponsive relay or lead is skipped.
 	SkipDuration = 3 * time.Second
 )
 
 const (
-	// minReportInterval is the pace at which a member reports and a relay hands on.
+	// minReportInterval is the shortest interval at which a member reports and a relay
+	// forwards.
 	minReportInterval = 150 * time.Millisecond
-	// maxReportsPerSecond bounds what a relay is told, a twentieth of a core's work;
-	// statesPerSecond bounds what a lead is, some 80 B each: a fifth of a link of 6
-	// Mbit/s.
+	// maxReportsPerSecond bounds the reports a relay receives, a twentieth of a core's
+	// work. maxStatesPerSecond bounds the states a lead receives, about 80 B each: a
+	// fifth of a link of 6 Mbit/s.
 	maxReportsPerSecond = 250
 	maxStatesPerSecond  = 2000
-	// maxCountsPerSecond is how many counts of experts' choices one host is told by all
-	// that tell it, a byte each: between a fourth and a fifth of a link of 6 or 8
-	// Mbit/s.
+	// maxCountsPerSecond bounds the counts of experts' choices that one host receives
+	// from all senders, at a byte each: between a fourth and a fifth of a link of 6 or
+	// 8 Mbit/s.
 	maxCountsPerSecond = 200_000
 )
 
-// ReportInterval returns how often the members of a block of so many report.
+// ReportInterval returns the interval between reports of each member of a block of the
+// given size.
 func ReportInterval(block int) time.Duration {
 	return max(minReportInterval, time.Duration(block)*time.Second/maxReportsPerSecond)
 }
 
-// ForwardInterval returns how often the relays of a group of so many members hand on.
+// ForwardInterval returns the interval at which the relays of a group of the given size
+// forward reports.
 func ForwardInterval(members int) time.Duration {
 	return max(minReportInterval, time.Duration(members)*time.Second/maxStatesPerSecond)
 }
 
-// CountsInterval returns how often each of so many senders tells so many counts.
+// CountsInterval returns the interval at which each of the given number of senders
+// sends that many counts.
 func CountsInterval(senders, counts int) time.Duration {
 	return time.Duration(senders*counts) * time.Second / maxCountsPerSecond
 }
 
-// BlockSize returns how many members a block of a group has. Blocks of the root of
-// the number make what a relay and what the lead hears equally many.
+// BlockSize returns the number of members in a block. With the square root of the group
+// size, a relay and the lead receive equally many messages.
 func BlockSize(members int) int {
 	if members <= MaxSingleBlock {
 		return members
@@ -71,7 +76,7 @@
 	return int(math.Ceil(math.Sqrt(float64(members))))
 }
 
-// Blocks returns how many blocks a group is cut into.
+// Blocks returns the number of blocks of a group.
 func Blocks(members int) int {
 	if members == 0 {
 		return 0
@@ -80,41 +85,40 @@
 	return (members + size - 1) / size
 }
 
-// Tree chooses the relay and the lead of one member. It is not safe for concurrent
+// Tree chooses the relay and the lead for one member. It is not safe for concurrent
 // use.
 type Tree struct {
 	self    netip.AddrPort
 	members []netip.AddrPort
-	// misses counts unanswered messages in a row, away tells until when a member is
-	// passed over.
+	// misses counts consecutive unanswered messages; skippedUntil is the time until
+	// which a member is skipped.
 	misses       map[netip.AddrPort]int
 	skippedUntil map[netip.AddrPort]time.Time
 }
 
-// New returns the tree as the member of the address sees it. It knows no members.
+// New returns the tree as seen by the member at the address, without members.
 func New(self netip.AddrPort) *Tree {
 	return &Tree{self: self, misses: make(map[netip.AddrPort]int), skippedUntil: make(map[netip.AddrPort]time.Time)}
 }
 
-// SetMembers takes the group's members in.
+// SetMembers replaces the list of the group's members.
 func (t *Tree) SetMembers(members []netip.AddrPort) {
 	t.members = slices.Clone(members)
 	slices.SortFunc(t.members, netip.AddrPort.Compare)
 	t.members = slices.Compact(t.members)
 }
 
-// Lead returns the group's lead; false while no members are known. A member that
-// knows none follows nobody and doesn't lead either: after all processes had started
-// at once, each of 16 agents led for a second, and they outranked each other's
-// rounds.
+// Lead returns the group's lead; false while no members are known. A member without a
+// list neither follows nor leads: after all processes had started at once, each of 16
+// agents led for a second, and they outranked each other's rounds.
 func (t *Tree) Lead(now time.Time) (netip.AddrPort, bool) {
 	return t.firstAvailable(now, t.members)
 }
 
-// Relay returns whom the member reports to; false while no members are known. The
-// lead is no relay where its block has another member, as it hears all the others:
-// by encoded bytes a lead of 192 takes 408 KB/s, and would take 646 with the reports
-// and counts of its block.
+// Relay returns the member to report to; false while no members are known. The lead
+// isn't a relay if its block has another member, as it already receives the reports of
+// all other blocks. By encoded bytes the lead of a group of 192 receives 408 KB/s, and
+// would receive 646 KB/s with the reports and counts of its block.
 func (t *Tree) Relay(now time.Time) (netip.AddrPort, bool) {
 	block := t.block()
 	lead, known := t.Lead(now)
@@ -124,7 +128,7 @@
 	return t.firstAvailable(now, block)
 }
 
-// firstAvailable returns the firstAvailable of the members that isn't away, or this one.
+// firstAvailable returns the first member that isn't skipped, or this one.
 func (t *Tree) firstAvailable(now time.Time, members []netip.AddrPort) (netip.AddrPort, bool) {
 	for _, m := range members {
 		if m == t.self || !now.Before(t.skippedUntil[m]) {
@@ -134,8 +138,8 @@
 	return t.self, len(members) > 0
 }
 
-// block returns the members of the own block. One that isn't listed is a block of
-// its own.
+// block returns the members of this member's block. A member that isn't listed is a
+// block of its own.
 func (t *Tree) block() []netip.AddrPort {
 	i, found := slices.BinarySearchFunc(t.members, t.self, netip.AddrPort.Compare)
 	switch {
@@ -151,17 +155,17 @@
 	return t.members[start:min(start+size, len(t.members))]
 }
 
-// BlockSize returns how many members the own block has.
+// BlockSize returns the block size of the group.
 func (t *Tree) BlockSize() int { return BlockSize(len(t.members)) }
 
-// Blocks returns how many blocks the group has.
+// Blocks returns the number of blocks of the group.
 func (t *Tree) Blocks() int { return Blocks(len(t.members)) }
 
-// NoteAnswer notes that a relay or lead has answered.
+// NoteAnswer records that a relay or lead has answered.
 func (t *Tree) NoteAnswer(m netip.AddrPort) { delete(t.misses, m) }
 
-// NoteMiss notes that a relay or lead has not answered, and tells whether it is taken
-// for gone now.
+// NoteMiss records that a relay or lead hasn't answered, and reports whether it is
+// skipped from now on.
 func (t *Tree) NoteMiss(now time.Time, m netip.AddrPort) bool {
 	t.misses[m]++
 	if t.misses[m] < MissLimit {
--- a/core/btrelay/btrelay_test.go
+++ b/core/btrelay/btrelay_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// address is that of the n-th member.
+// address returns the address of member n.
 func address(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 8232)
 }
@@ -28,9 +28,9 @@
 
 func sizes() []int { return []int{1, 2, 16, 32, 33, 64, 72, 192, 512} }
 
-// Each member has one relay and all have the same lead, whatever the size; nobody
-// hears from more than about the root of the group.
-func TestATreeOfAnySize(t *testing.T) {
+// TestTreeAtAnySize guards against members that disagree on the lead, and against a
+// host that receives from more than about the square root of the group.
+func TestTreeAtAnySize(t *testing.T) {
 	for _, n := range sizes() {
 		members := addresses(n)
 		senders := make(map[netip.AddrPort]int)
@@ -46,10 +46,10 @@
 			assert.Equal(t, lead, members[0], "%d members", n)
 		}
 		for relay, heard := range senders {
-			assert.Assert(t, heard <= btrelay.BlockSize(n), "%d members: %v hears %d", n, relay, heard)
+			assert.Assert(t, heard <= btrelay.BlockSize(n), "%d members: %v receives from %d members", n, relay, heard)
 		}
 		if n > btrelay.MaxSingleBlock {
-			assert.Equal(t, senders[members[0]], 1, "%d members: the lead hears its own block", n)
+			assert.Equal(t, senders[members[0]], 1, "%d members: the lead receives reports of its own block", n)
 			assert.Equal(t, len(relays), btrelay.Blocks(n)+1)
 		}
 		if n > btrelay.MaxSingleBlock {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestWhoKnowsNobodyFollowsNobody(t *testing.T) {
+func TestTreeWithoutMembersHasNoLead(t *testing.T) {
 	tree := btrelay.New(address(3))
 	_, known := tree.Lead(start)
 	assert.Assert(t, !known)
@@ -66,8 +66,9 @@
 	assert.Assert(t, !known)
 }
 
-// A member that isn't in the list yet, as it has just started, is its own relay.
-func TestAMemberThatIsNotListed(t *testing.T) {
+// TestUnlistedMemberIsItsOwnRelay covers a member that has just started and isn't
+// listed yet.
+func TestUnlistedMemberIsItsOwnRelay(t *testing.T) {
 	tree := btrelay.New(address(500))
 	tree.SetMembers(addresses(192))
 	relay, known := tree.Relay(start)
@@ -75,9 +76,10 @@
 	assert.Equal(t, relay, address(500))
 }
 
-// One answer that is late changes nothing; two in a row have the next member of the
-// block stand in, and the first one is followed again after a while.
-func TestARelayThatIsSilentIsPassedOver(t *testing.T) {
+// TestSilentRelayIsSkipped guards against replacing a relay after one late answer, and
+// against reporting on to a relay that has missed two in a row. A skipped relay is used
+// again after SkipDuration.
+func TestSilentRelayIsSkipped(t *testing.T) {
 	tree := btrelay.New(address(20))
 	tree.SetMembers(addresses(192))
 	relay, _ := tree.Relay(start)
@@ -88,14 +90,14 @@
 	assert.Assert(t, tree.NoteMiss(start, relay))
 	next, _ := tree.Relay(start)
 	assert.Equal(t, next, address(15))
-	// The lead is another matter.
+	// The lead isn't affected by a skipped relay.
 	lead, _ := tree.Lead(start)
 	assert.Equal(t, lead, address(0))
 	back, _ := tree.Relay(start.Add(btrelay.SkipDuration))
 	assert.Equal(t, back, address(14))
 }
 
-func TestACollectorKeepsTheLastMessageOfEach(t *testing.T) {
+func TestCollectorKeepsLatestMessages(t *testing.T) {
 	c := btrelay.NewCollector[int, string]()
 	c.Put(start, 2, "old")
 	c.Put(start, 1, "one")
@@ -107,7 +109,7 @@
 		{From: 2, Message: "two", Age: 20 * time.Millisecond},
 	})
 	assert.Equal(t, len(c.Take(now, time.Second)), 0)
-	// They could not be handed on; a newer one has come meanwhile.
+	// The messages couldn't be forwarded, and a newer one has arrived meanwhile.
 	c.Put(now, 2, "new")
 	c.PutBack(now, taken)
 	taken = c.Take(now.Add(20*time.Millisecond), 40*time.Millisecond)
--- a/core/btrelay/collector.go
+++ b/core/btrelay/collector.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Collected is the last message of one member and how long a relay has had it.
+// Collected is the latest message of one member and its time since receipt.
 type Collected[K cmp.Ordered, M any] struct {
 	From    K
 	Message M
 	Age     time.Duration
 }
 
-// Collector keeps the last message of each member until it is handed on. It is not
+// Collector keeps the latest message of each member until it is forwarded. It is not
 // safe for concurrent use.
 type Collector[K cmp.Ordered, M any] struct {
 	messages map[K]collected[M]
@@ -29,13 +29,13 @@
 	return &Collector[K, M]{messages: make(map[K]collected[M])}
 }
 
-// Put takes a message in; an earlier one of the same member is dropped.
+// Put stores a message, replacing an earlier one of the same member.
 func (c *Collector[K, M]) Put(now time.Time, from K, message M) {
 	c.messages[from] = collected[M]{message: message, at: now}
 }
 
-// Take returns the messages in order of their senders and forgets them. Those older
-// than keep are dropped: what a member said long ago says nothing of it any more.
+// Take removes all messages and returns those not older than maxAge, sorted by sender.
+// An older message no longer describes its sender.
 func (c *Collector[K, M]) Take(now time.Time, maxAge time.Duration) []Collected[K, M] {
 	list := make([]Collected[K, M], 0, len(c.messages))
 	for from, m := range c.messages {
@@ -48,8 +48,8 @@
 	return list
 }
 
-// PutBack takes messages in again that could not be handed on; newer ones of the
-// same members stay.
+// PutBack stores messages that couldn't be forwarded, except where a newer one of the
+// same member has arrived.
 func (c *Collector[K, M]) PutBack(now time.Time, list []Collected[K, M]) {
 	for _, m := range list {
 		if _, found := c.messages[m.From]; !found {
--- a/core/btrelay/looker.go
+++ b/core/btrelay/direct_read.go
@@ -7,37 +7,36 @@
 )
 
 const (
-	// DirectReadDelay is for how long reports must have come in before a lead reads the
-	// engines of silent agents itself: an agent that has just begun to lead, or has
-	// stood still, hears of all within half a second. Without this wait a lead that
-	// woke read 190 engines at once, which kept its link from the reports that it
-	// waited for, and another took the lead.
+	// DirectReadDelay is how long reports must have arrived before a lead reads the
+	// engines of silent agents itself. An agent that has just begun to lead, or was
+	// suspended, receives reports from all within half a second. Without the delay, a
+	// lead whose host resumed read 190 engines at once; this delayed on its link the
+	// reports it was waiting for, and another agent became the lead.
 	DirectReadDelay = 500 * time.Millisecond
-	// DirectReadInterval is how often one engine is read; such a read costs the group a
-	// little.
+	// DirectReadInterval is the minimum interval between reads of one engine; a read
+	// costs the group a little.
 	DirectReadInterval = 500 * time.Millisecond
-	// MaxDirectReads bounds the engines that are read in LookEvery. Each read takes some
-	// 2 KB of the lead's link and is paid for.
+	// MaxDirectReads bounds the engines read per DirectReadInterval. Each read takes
+	// about 2 KB of the lead's link and is paid for.
 	MaxDirectReads = MaxSingleBlock
 )
 
-// DirectReader chooses which engines a lead reads itself, as their agents are silent. It
-// is not safe for concurrent use.
+// DirectReader chooses the engines that a lead reads itself because their agents are
+// silent. It is not safe for concurrent use.
 type DirectReader struct {
 	reportsSince time.Time
 	readAt       map[netip.AddrPort]time.Time
 }
 
-// NewDirectReader returns a looker that has looked at none.
+// NewDirectReader returns a reader that has read no engine.
 func NewDirectReader() *DirectReader {
 	return &DirectReader{readAt: make(map[netip.AddrPort]time.Time)}
 }
 
-// ReportsResumed notes that reports come in after a time without any.
+// ReportsResumed records that reports arrive again after an interruption.
 func (r *DirectReader) ReportsResumed(now time.Time) { r.reportsSince = now }
 
-// Due returns the engines to be read now, of those whose agents are silent: those
-// that were read longest ago.
+// Due returns the engines of silent agents to read now, those read longest ago first.
 func (r *DirectReader) Due(now time.Time, silent []netip.AddrPort) []netip.AddrPort {
 	if now.Sub(r.reportsSince) < DirectReadDelay {
 		return nil
--- a/core/btrelay/looker_test.go
+++ b/core/btrelay/direct_read_test.go
@@ -11,9 +11,9 @@
 	"bilberrytide/core/btrelay"
 )
 
-// A lead's host has stood still: to it all agents were silent for seconds, but they
-// report again at once.
-func TestALeadThatWakesWaitsForReports(t *testing.T) {
+// TestResumedLeadWaitsForReports guards against reading all engines when a lead's host
+// resumes: all agents seem to have been silent for seconds, but report again at once.
+func TestResumedLeadWaitsForReports(t *testing.T) {
 	l := btrelay.NewDirectReader()
 	silent := addresses(192)
 	l.ReportsResumed(start)
@@ -22,8 +22,9 @@
 	}
 }
 
-// Many agents are silent for long: a few engines are read at a time, and each in its
-// turn.
+// TestSilentEnginesAreReadInTurn guards against reading too many engines at a time
+// while many agents are silent, and against reading some of them less often than
+// others.
 func TestSilentEnginesAreReadInTurn(t *testing.T) {
 	l := btrelay.NewDirectReader()
 	silent := addresses(96)
@@ -47,7 +48,8 @@
 	}
 }
 
-// One silent agent's engine is read twice a second, as a small group's always was.
+// TestOneSilentEngineIsReadAtOnce covers a single silent agent, whose engine is read
+// twice a second, as in a small group.
 func TestOneSilentEngineIsReadAtOnce(t *testing.T) {
 	l := btrelay.NewDirectReader()
 	one := addresses(1)
--- a/core/btrelay/teller.go
+++ b/core/btrelay/load_sender.go
@@ -1,13 +1,13 @@
 package btrelay
 
-// EntriesPerSender is how many entries one agent tells of its group's load: eight
-// words of a group of 192, five a second, take some 20 KB/s. A lead that told 35
-// entries itself took 477 KB/s of a link of 750 KB/s for it.
+// EntriesPerSender is the number of entries to which one agent sends its group's load:
+// eight messages for a group of 192, five times a second, take about 20 KB/s. A lead
+// that sent to 35 entries itself used 477 KB/s of a link of 750 KB/s.
 const EntriesPerSender = 8
 
-// LoadSenders chooses the ranks whose agents tell so many entries of the group's load,
-// spread over those that are there. None are chosen where the lead can tell the few
-// entries itself. Fewer than are wanted are chosen where fewer are there.
+// LoadSenders chooses the ranks whose agents send the group's load to the given number
+// of entries, spread over the available ranks. It returns none if the entries are few
+// enough for the lead itself, and fewer than needed if not enough are available.
 func LoadSenders(size, lead, entries int, available func(rank int) bool) []int {
 	if entries <= EntriesPerSender {
 		return nil
@@ -24,13 +24,13 @@
 	}
 	chosen := make([]int, wanted)
 	for i := range chosen {
-		// The middle of each part, as relays are the first of their blocks.
+		// Takes the middle of each part, since relays are first in their blocks.
 		chosen[i] = ranks[(2*i+1)*len(ranks)/(2*wanted)]
 	}
 	return chosen
 }
 
-// Share returns the part of a list that the i-th of so many tells.
+// Share returns the part of a list that is assigned to sender i.
 func Share[T any](list []T, i, senders int) []T {
 	var share []T
 	for n := i; n < len(list); n += senders {
--- a/core/btrelay/teller_test.go
+++ b/core/btrelay/load_sender_test.go
@@ -10,9 +10,10 @@
 
 func all(int) bool { return true }
 
-// A few entries are assigned by the lead itself, many by agents that have no more than
-// eight each, and each entry by one.
-func TestTellersShareTheEntries(t *testing.T) {
+// TestLoadSendersShareEntries guards against entries that get the load from no agent or
+// from two, and against an agent that sends to more than eight. The lead sends to a few
+// entries itself.
+func TestLoadSendersShareEntries(t *testing.T) {
 	for _, entries := range []int{1, 8, 9, 35, 380} {
 		senders := btrelay.LoadSenders(192, 0, entries, all)
 		if entries <= btrelay.EntriesPerSender {
@@ -42,8 +43,8 @@
 	}
 }
 
-// Agents that are away are passed over, and no lead tells in their place.
-func TestTellersAreThere(t *testing.T) {
+// TestLoadSendersAreAvailable guards against choosing unavailable agents or the lead.
+func TestLoadSendersAreAvailable(t *testing.T) {
 	odd := func(r int) bool { return r%2 == 1 }
 	for _, r := range btrelay.LoadSenders(192, 1, 35, odd) {
 		assert.Assert(t, r%2 == 1 && r != 1, "rank %d", r)
--- a/core/btrelay/world_test.go
+++ b/core/btrelay/world_test.go
@@ -12,8 +12,7 @@
 	"bilberrytide/core/btrelay"
 )
 
-// Sizes of messages as they are encoded for a group of 192 ranks, with the headers
-// of a call, in bytes.
+// Message sizes in bytes, as encoded for a group of 192 ranks, with call headers.
 const (
 	reportBytes = 400
 	entryBytes  = 80
@@ -24,44 +23,44 @@
 const (
 	callTimeout = 300 * time.Millisecond
 	linkDelay   = time.Millisecond
-	// linkRate is the slowest link known, of 6 Mbit/s, in bytes a second.
+	// linkRate is the slowest link in use, 6 Mbit/s, in bytes per second.
 	linkRate = 750_000
-	// maxReportAge is how old what the lead knows of a rank may be: older than that,
-	// the lead reads it from afar.
+	// maxReportAge is the age above which a lead reads a rank's state itself.
 	maxReportAge = 500 * time.Millisecond
 )
 
-// world is a group whose hosts have links of limited rate, on a clock of its own.
+// world simulates a group whose hosts have links of limited rate, on a virtual clock.
 type world struct {
 	random *rand.Rand
 	now    time.Time
 	events events
 	number int
 	hosts  []*host
-	// directReports has every member report to the lead itself, as a naive variant.
+	// directReports has every member report to the lead itself.
 	directReports bool
-	// leads are the members that were reported to as the lead.
+	// leads are the members that received reports as the lead.
 	leads map[netip.AddrPort]bool
 }
 
-// host is one member's host.
+// host simulates one member's host.
 type host struct {
 	world   *world
 	number  int
 	address netip.AddrPort
 	tree    *btrelay.Tree
 	reports *btrelay.Collector[int, time.Time]
-	// in and out are when the link is free again.
+	// in and out are the times at which the link is free again.
 	in, out time.Time
 	// received is in bytes.
 	received int
-	// countedAt is when counts were told last, forwardedAt when they were handed on.
+	// countedAt is when counts were last sent, forwardedAt when they were last
+	// forwarded.
 	countedAt, forwardedAt time.Time
-	// frozen is until when the host stands still; deaf is until when nothing that is
-	// sent to it arrives, though it can send.
+	// frozen is the time until which the host is frozen. deaf is the time until which
+	// nothing sent to the host arrives, though it can send.
 	frozen, deaf time.Time
-	// lastRead is when the last report was read that has come to this host as the lead, by
-	// member.
+	// lastRead is, by member, the read time of the latest report that this host
+	// received as the lead.
 	lastRead map[int]time.Time
 }
 
@@ -128,7 +127,8 @@
 
 func (h *host) isFrozen() bool { return h.world.now.Before(h.frozen) }
 
-// transmit has a link take so many bytes, and returns when they are through.
+// transmit occupies a link for the given number of bytes, and returns when they have
+// passed.
 func transmit(now time.Time, free *time.Time, bytes int) time.Time {
 	if free.Before(now) {
 		*free = now
@@ -137,8 +137,8 @@
 	return *free
 }
 
-// call sends a message and tells whether it was answered in time. Deliver is what
-// the receiver does with it.
+// call sends a message and passes to done whether it was answered in time. The receiver
+// runs deliver.
 func (h *host) call(to *host, bytes int, deliver func(), done func(ok bool)) {
 	w := h.world
 	if to == h {
@@ -178,7 +178,7 @@
 	})
 }
 
-// noteCall notes whether one that was called has answered.
+// noteCall records whether a call was answered.
 func (h *host) noteCall(to netip.AddrPort, ok bool) {
 	if ok {
 		h.tree.NoteAnswer(to)
@@ -187,7 +187,7 @@
 	h.tree.NoteMiss(h.world.now, to)
 }
 
-// report has the host report its state.
+// report reports the host's state at a fixed interval.
 func (h *host) report() {
 	w := h.world
 	w.schedule(btrelay.ReportInterval(h.tree.BlockSize()), h.report)
@@ -212,7 +212,7 @@
 	h.call(to, bytes, func() { to.receive(h.number, read) }, func(ok bool) { h.noteCall(relay, ok) })
 }
 
-// receive takes a report in.
+// receive processes a report.
 func (h *host) receive(from int, read time.Time) {
 	lead, _ := h.tree.Lead(h.world.now)
 	if lead == h.address || h.world.directReports {
@@ -222,7 +222,7 @@
 	h.reports.Put(read, from, read)
 }
 
-// receiveAsLead takes a report in as the lead.
+// receiveAsLead processes a report as the lead.
 func (h *host) receiveAsLead(from int, read time.Time) {
 	h.world.leads[h.address] = true
 	if read.After(h.lastRead[from]) {
@@ -230,7 +230,7 @@
 	}
 }
 
-// forward has the host hand on what it has heard.
+// forward forwards the collected reports at a fixed interval.
 func (h *host) forward() {
 	w := h.world
 	w.schedule(btrelay.ForwardInterval(len(w.hosts)), h.forward)
@@ -260,8 +260,7 @@
 	})
 }
 
-// oldestReport returns how old the oldestReport thing is that the lead knows of a member that
-// isn't away.
+// oldestReport returns the age of the lead's oldest state among reachable members.
 func (w *world) oldestReport(lead int) time.Duration {
 	var oldest time.Duration
 	for n, h := range w.hosts {
@@ -272,10 +271,10 @@
 	return oldest
 }
 
-// The lead of a group of any size hears of each member within half a second, over
-// links of 6 Mbit/s, by no more than half of the link, and nobody else is ever taken
-// for the lead.
-func TestTheLeadHearsOfAll(t *testing.T) {
+// TestLeadReceivesAllReports guards against states older than half a second at the lead
+// of a group of any size over links of 6 Mbit/s, against using more than half of a
+// link, and against a second lead.
+func TestLeadReceivesAllReports(t *testing.T) {
 	for _, n := range []int{2, 16, 64, 72, 192, 512} {
 		w := newWorld(1, n, false)
 		w.run(2 * time.Second)
@@ -290,17 +289,18 @@
 	}
 }
 
-// The naive variant, in which all report to the lead, fills the lead's link at 192
-// members: it is taken for gone, and others lead as well.
-func TestReportsOfAllToOneFillItsLink(t *testing.T) {
+// TestDirectReportsSaturateLeadLink checks that the simulation detects the fault that
+// relays prevent: if 192 members report to the lead directly, its link is saturated, it
+// is counted as unresponsive, and other members lead as well.
+func TestDirectReportsSaturateLeadLink(t *testing.T) {
 	w := newWorld(1, 192, true)
 	w.run(6 * time.Second)
-	assert.Assert(t, len(w.leads) > 1, "one lead all the time")
+	assert.Assert(t, len(w.leads) > 1, "only one member led")
 }
 
-// A burst that fills the lead's link for a quarter of a second, as a map for all
-// ranks does, doesn't have it taken for gone.
-func TestABurstOnTheLeadsLink(t *testing.T) {
+// TestBurstOnLeadLink guards against skipping a lead whose link is full for a quarter
+// of a second, as when it sends a map to all ranks.
+func TestBurstOnLeadLink(t *testing.T) {
 	w := newWorld(3, 192, false)
 	w.run(2 * time.Second)
 	for range 8 {
@@ -310,9 +310,9 @@
 	assert.Equal(t, len(w.leads), 1)
 }
 
-// A relay that stands still, or to which nothing gets through, is stood in for
-// within a second: the lead hears of the block's other members again.
-func TestARelayThatFailsIsStoodInFor(t *testing.T) {
+// TestFailedRelayIsReplaced guards against losing the reports of a block for more than
+// a second when its relay is frozen or receives nothing.
+func TestFailedRelayIsReplaced(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, deaf := range []bool{false, true} {
 			w := newWorld(seed, 192, false)
@@ -332,8 +332,9 @@
 	}
 }
 
-// A lead that stands still is stood in for by the next member, and leads again.
-func TestALeadThatStandsStillIsStoodInFor(t *testing.T) {
+// TestFrozenLeadIsReplaced guards against a frozen lead that isn't replaced by the next
+// member, or that doesn't lead again afterwards.
+func TestFrozenLeadIsReplaced(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(seed, 192, false)
 		w.run(2 * time.Second)
