--- a/core/btgossip/btgossip.go
+++ b/core/btgossip/btgossip.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// Away is after how long without a word from it, heard by anybody, an entry is
+	// ForgetAfter is after how long without a word from it, heard by anybody, an entry is
 	// forgotten, where one message tells of all. A word passes from one to another
 	// twice a second, to three, so that it has reached all within two seconds.
-	Away = 4 * time.Second
-	// MaxTold bounds the entries that one message tells of, some 11 B each: three
+	ForgetAfter = 4 * time.Second
+	// MaxSightings bounds the entries that one message tells of, some 11 B each: three
 	// messages, twice a second, stay below 8 KB/s.
-	MaxTold = 96
-	// MaxKnown bounds the entries that are remembered.
-	MaxKnown = 1024
+	MaxSightings = 96
+	// MaxEntries bounds the entries that are remembered.
+	MaxEntries = 1024
 )
 
 // Sighting tells how long ago somebody heard from an entry.
@@ -59,62 +59,62 @@
 	Age time.Duration
 }
 
-// Register keeps the entries that are there, without the own one. It is not safe
+// Membership keeps the entries that are there, without the own one. It is not safe
 // for concurrent use.
-type Register struct {
-	self netip.AddrPort
-	seen map[netip.AddrPort]time.Time
-	// order lists the entries in the order of their addresses.
-	order []netip.AddrPort
+type Membership struct {
+	self     netip.AddrPort
+	lastSeen map[netip.AddrPort]time.Time
+	// sorted lists the entries in the sorted of their addresses.
+	sorted []netip.AddrPort
 }
 
 // New returns the register of the entry of the address.
-func New(self netip.AddrPort) *Register {
-	return &Register{self: self, seen: make(map[netip.AddrPort]time.Time)}
+func New(self netip.AddrPort) *Membership {
+	return &Membership{self: self, lastSeen: make(map[netip.AddrPort]time.Time)}
 }
 
-// Saw notes that an entry was heard from at the moment.
-func (r *Register) Saw(at time.Time, a netip.AddrPort) []Change {
-	known, found := r.seen[a]
-	if a == r.self || !a.IsValid() || !found && len(r.seen) >= MaxKnown {
+// Observe notes that an entry was heard from at the moment.
+func (r *Membership) Observe(at time.Time, a netip.AddrPort) []Change {
+	known, found := r.lastSeen[a]
+	if a == r.self || !a.IsValid() || !found && len(r.lastSeen) >= MaxEntries {
 		return nil
 	}
 	if found && !at.After(known) {
 		return nil
 	}
-	r.seen[a] = at
+	r.lastSeen[a] = at
 	if found {
 		return nil
 	}
-	i, _ := slices.BinarySearchFunc(r.order, a, netip.AddrPort.Compare)
-	r.order = slices.Insert(r.order, i, a)
+	i, _ := slices.BinarySearchFunc(r.sorted, a, netip.AddrPort.Compare)
+	r.sorted = slices.Insert(r.sorted, i, a)
 	return []Change{{Address: a, Known: true}}
 }
 
-// Heard takes in what another entry tells. Asked is when it was asked, so that the
+// Merge takes in what another entry tells. Asked is when it was asked, so that the
 // way counts towards the ages.
-func (r *Register) Heard(now, asked time.Time, told []Sighting) []Change {
+func (r *Membership) Merge(now, asked time.Time, told []Sighting) []Change {
 	var changes []Change
-	away := r.away()
+	away := r.forgetAfter()
 	for _, s := range told {
 		at := asked.Add(-s.Age())
 		if now.Sub(at) <= away {
-			changes = append(changes, r.Saw(at, s.Address)...)
+			changes = append(changes, r.Observe(at, s.Address)...)
 		}
 	}
 	return changes
 }
 
 // Expire forgets the entries that nobody has heard from.
-func (r *Register) Expire(now time.Time) []Change {
+func (r *Membership) Expire(now time.Time) []Change {
 	var changes []Change
-	away := r.away()
-	r.order = slices.DeleteFunc(r.order, func(a netip.AddrPort) bool {
-		age := now.Sub(r.seen[a])
+	away := r.forgetAfter()
+	r.sorted = slices.DeleteFunc(r.sorted, func(a netip.AddrPort) bool {
+		age := now.Sub(r.lastSeen[a])
 		if age <= away {
 			return false
 		}
-		delete(r.seen, a)
+		delete(r.lastSeen, a)
 		changes = append(changes, Change{Address: a, Age: age})
 		return true
 	})
@@ -122,23 +122,23 @@
 }
 
 // Count returns how many entries are known.
-func (r *Register) Count() int { return len(r.seen) }
+func (r *Membership) Count() int { return len(r.lastSeen) }
 
 // List lists the entries known, in order.
-func (r *Register) List() []netip.AddrPort { return slices.Clone(r.order) }
+func (r *Membership) List() []netip.AddrPort { return slices.Clone(r.sorted) }
 
-// Tell returns what one message tells: at most MaxTold entries, chosen by chance
+// Sample returns what one message tells: at most MaxTold entries, chosen by chance
 // among more.
-func (r *Register) Tell(now time.Time, random *rand.Rand) []Sighting {
-	away := r.away()
-	list := slices.DeleteFunc(r.List(), func(a netip.AddrPort) bool { return now.Sub(r.seen[a]) > away })
-	if len(list) > MaxTold {
+func (r *Membership) Sample(now time.Time, random *rand.Rand) []Sighting {
+	away := r.forgetAfter()
+	list := slices.DeleteFunc(r.List(), func(a netip.AddrPort) bool { return now.Sub(r.lastSeen[a]) > away })
+	if len(list) > MaxSightings {
 		random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		list = list[:MaxTold]
+		list = list[:MaxSightings]
 	}
 	told := make([]Sighting, len(list))
 	for i, a := range list {
-		age := min(max(now.Sub(r.seen[a]), 0), maxAge)
+		age := min(max(now.Sub(r.lastSeen[a]), 0), maxAge)
 		told[i] = Sighting{Address: a, AgeMillis: uint16(age.Milliseconds())}
 	}
 	return told
@@ -147,18 +147,18 @@
 // maxAge is the largest age that a sighting can tell.
 const maxAge = math.MaxUint16 * time.Millisecond
 
-// away returns after how long an entry is forgotten: where one message can't tell of
+// forgetAfter returns after how long an entry is forgotten: where one message can't tell of
 // all, a word of each takes so many messages more.
-func (r *Register) away() time.Duration {
-	messages := (len(r.seen) + MaxTold) / MaxTold
-	return min(time.Duration(messages)*Away, maxAge)
+func (r *Membership) forgetAfter() time.Duration {
+	messages := (len(r.lastSeen) + MaxSightings) / MaxSightings
+	return min(time.Duration(messages)*ForgetAfter, maxAge)
 }
 
-// Contacts chooses whom to greet: one of the seeds, one of the first few entries by
+// Peers chooses whom to greet: one of the seeds, one of the first few entries by
 // address, which read the platform's list, and one other by chance. All seeds are
 // greeted while nobody is known.
-func (r *Register) Contacts(seeds []netip.AddrPort, readers int, random *rand.Rand) []netip.AddrPort {
-	list := r.order
+func (r *Membership) Peers(seeds []netip.AddrPort, readers int, random *rand.Rand) []netip.AddrPort {
+	list := r.sorted
 	var chosen []netip.AddrPort
 	if len(list) == 0 {
 		chosen = slices.Clone(seeds)
--- a/core/btgossip/btgossip_test.go
+++ b/core/btgossip/btgossip_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// greetEvery is the pace at which entries greet.
-	greetEvery = 500 * time.Millisecond
-	readers    = 3
+	// contactInterval is the pace at which entries greet.
+	contactInterval = 500 * time.Millisecond
+	readers         = 3
 )
 
 var start = time.Unix(1000, 0)
@@ -30,16 +30,16 @@
 	random  *rand.Rand
 	now     time.Time
 	seeds   []netip.AddrPort
-	entries []*btgossip.Register
+	entries []*btgossip.Membership
 	down    map[int]bool
-	// cut are pairs that can't reach each other.
-	cut map[[2]int]bool
-	// forgotten counts the entries that were forgotten though they live.
-	forgotten int
+	// partitioned are pairs that can't reach each other.
+	partitioned map[[2]int]bool
+	// falselyForgotten counts the entries that were falselyForgotten though they live.
+	falselyForgotten int
 }
 
 func newFleet(seed uint64, size int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 3)), now: start, down: make(map[int]bool), cut: make(map[[2]int]bool)}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 3)), now: start, down: make(map[int]bool), partitioned: make(map[[2]int]bool)}
 	for n := range size {
 		f.entries = append(f.entries, btgossip.New(address(n)))
 	}
@@ -49,25 +49,25 @@
 
 // tick has each entry greet once.
 func (f *fleet) tick() {
-	f.now = f.now.Add(greetEvery)
+	f.now = f.now.Add(contactInterval)
 	for n, e := range f.entries {
 		if f.down[n] {
 			continue
 		}
 		for _, c := range e.Expire(f.now) {
 			if !f.down[index(c.Address)] {
-				f.forgotten++
+				f.falselyForgotten++
 			}
 		}
-		for _, to := range e.Contacts(f.seeds, readers, f.random) {
+		for _, to := range e.Peers(f.seeds, readers, f.random) {
 			m := index(to)
-			if f.down[m] || f.cut[[2]int{n, m}] {
+			if f.down[m] || f.partitioned[[2]int{n, m}] {
 				continue
 			}
-			f.entries[m].Saw(f.now, address(n))
-			told := f.entries[m].Tell(f.now, f.random)
-			e.Saw(f.now, to)
-			e.Heard(f.now, f.now, told)
+			f.entries[m].Observe(f.now, address(n))
+			told := f.entries[m].Sample(f.now, f.random)
+			e.Observe(f.now, to)
+			e.Merge(f.now, f.now, told)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 	return int(b[1])<<8 | int(b[2])
 }
 
-// known returns the least and the largest number of entries that any knows.
-func (f *fleet) known() (least, largest int) {
+// knownRange returns the least and the largest number of entries that any knows.
+func (f *fleet) knownRange() (least, largest int) {
 	least = len(f.entries)
 	for n, e := range f.entries {
 		if !f.down[n] {
@@ -102,8 +102,8 @@
 	return least, largest
 }
 
-// messages returns how many messages it takes to tell of so many entries.
-func messages(size int) int { return (size + btgossip.MaxTold - 1) / btgossip.MaxTold }
+// messageCount returns how many messageCount it takes to tell of so many entries.
+func messageCount(size int) int { return (size + btgossip.MaxSightings - 1) / btgossip.MaxSightings }
 
 func sizes() []int { return []int{2, 4, 16, 35, 120, 380} }
 
@@ -114,17 +114,17 @@
 	for _, size := range sizes() {
 		for seed := range uint64(3) {
 			f := newFleet(seed, size)
-			for range 4 * messages(size) {
+			for range 4 * messageCount(size) {
 				f.tick()
 			}
-			least, _ := f.known()
+			least, _ := f.knownRange()
 			assert.Assert(t, float64(least) >= 0.9*float64(size-1), "%d of %d known after 2 s for each message, seed %d", least, size, seed)
 			for range 40 {
 				f.tick()
 			}
-			least, _ = f.known()
+			least, _ = f.knownRange()
 			assert.Equal(t, least, size-1, "seed %d", seed)
-			assert.Equal(t, f.forgotten, 0, "size %d, seed %d", size, seed)
+			assert.Equal(t, f.falselyForgotten, 0, "size %d, seed %d", size, seed)
 		}
 	}
 }
@@ -137,16 +137,16 @@
 			f.tick()
 		}
 		f.down[size/2] = true
-		for range messages(size)*int(btgossip.Away/greetEvery) + 2 {
+		for range messageCount(size)*int(btgossip.ForgetAfter/contactInterval) + 2 {
 			f.tick()
 		}
-		_, largest := f.known()
+		_, largest := f.knownRange()
 		assert.Equal(t, largest, size-2)
 		f.down[size/2] = false
-		for range 6 * messages(size) {
+		for range 6 * messageCount(size) {
 			f.tick()
 		}
-		least, _ := f.known()
+		least, _ := f.knownRange()
 		assert.Equal(t, least, size-1, "size %d: known to all again", size)
 	}
 }
@@ -156,16 +156,16 @@
 	f := newFleet(5, 35)
 	for n := range 10 {
 		for m := range 10 {
-			f.cut[[2]int{n, m}] = true
+			f.partitioned[[2]int{n, m}] = true
 		}
 	}
 	for n := range f.entries {
-		f.cut[[2]int{n, 0}] = n%2 == 0
+		f.partitioned[[2]int{n, 0}] = n%2 == 0
 	}
 	for range 60 {
 		f.tick()
 	}
-	least, _ := f.known()
+	least, _ := f.knownRange()
 	assert.Equal(t, least, 34)
 }
 
@@ -181,8 +181,8 @@
 			f.tick()
 		}
 		for _, e := range f.entries {
-			told := e.Tell(f.now, f.random)
-			assert.Assert(t, len(told) <= btgossip.MaxTold)
+			told := e.Sample(f.now, f.random)
+			assert.Assert(t, len(told) <= btgossip.MaxSightings)
 			assert.Assert(t, 3*size(t, told) <= tickBudget, "%d entries: %d B", n, size(t, told))
 		}
 	}
@@ -190,17 +190,17 @@
 
 func TestOldAndMalformedSightingsChangeNothing(t *testing.T) {
 	r := btgossip.New(address(1))
-	assert.Equal(t, len(r.Heard(start, start, []btgossip.Sighting{{Address: address(2), AgeMillis: 5000}, {Address: address(1)}, {}})), 0)
+	assert.Equal(t, len(r.Merge(start, start, []btgossip.Sighting{{Address: address(2), AgeMillis: 5000}, {Address: address(1)}, {}})), 0)
 	assert.ErrorContains(t, btgossip.Sighting{}.Validate(), "no entry")
-	r.Saw(start, address(3))
-	r.Heard(start.Add(time.Second), start.Add(time.Second), []btgossip.Sighting{{Address: address(3), AgeMillis: 3000}})
-	assert.Equal(t, r.Tell(start.Add(time.Second), rand.New(rand.NewPCG(1, 1)))[0].Age(), time.Second)
+	r.Observe(start, address(3))
+	r.Merge(start.Add(time.Second), start.Add(time.Second), []btgossip.Sighting{{Address: address(3), AgeMillis: 3000}})
+	assert.Equal(t, r.Sample(start.Add(time.Second), rand.New(rand.NewPCG(1, 1)))[0].Age(), time.Second)
 }
 
-func ExampleRegister() {
+func ExampleMembership() {
 	r := btgossip.New(netip.MustParseAddrPort("10.0.0.1:8229"))
 	now := time.Unix(0, 0)
-	r.Heard(now, now, []btgossip.Sighting{{Address: netip.MustParseAddrPort("10.0.0.2:8229"), AgeMillis: 1500}})
+	r.Merge(now, now, []btgossip.Sighting{{Address: netip.MustParseAddrPort("10.0.0.2:8229"), AgeMillis: 1500}})
 	fmt.Println(r.List())
 	r.Expire(now.Add(2 * time.Second))
 	fmt.Println(r.Count())
--- a/core/btrate/spread_test.go
+++ b/core/btrate/spread_test.go
@@ -43,13 +43,13 @@
 	random := rand.New(rand.NewPCG(seed, 29))
 	list := entryAddresses(entries)
 	registers := make([]*btrate.Register, entries)
-	gossip := make([]*btgossip.Register, entries)
+	gossip := make([]*btgossip.Membership, entries)
 	for i := range registers {
 		s := btrate.NewShares(list[i], start)
 		registers[i] = btrate.New(s, rand.New(rand.NewPCG(random.Uint64(), 31)))
 		gossip[i] = btgossip.New(list[i])
 		for _, a := range without(list, i) {
-			gossip[i].Saw(start, a)
+			gossip[i].Observe(start, a)
 		}
 	}
 	for n := range limits {
@@ -64,7 +64,7 @@
 		received := make([]int, entries)
 		all := true
 		for i, r := range registers {
-			for _, to := range gossip[i].Contacts(list[:listReaders], listReaders, random) {
+			for _, to := range gossip[i].Peers(list[:listReaders], listReaders, random) {
 				records := registers[index[to.String()]].RecordsFor(now, summarise(r))
 				data, _ := btwire.Encode(records)
 				received[i] += len(data)
--- a/io/btdirect/peer.go
+++ b/io/btdirect/peer.go
@@ -45,7 +45,7 @@
 	calls *btcall.Client
 
 	mu       sync.Mutex
-	register *btgossip.Register
+	register *btgossip.Membership
 	random   *rand.Rand
 	// seeds are those of the settings in force.
 	seeds []netip.AddrPort
@@ -103,7 +103,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expire()
-	return p.register.Contacts(p.seeds, readers, p.random)
+	return p.register.Peers(p.seeds, readers, p.random)
 }
 
 // reseed puts other seeds in force.
@@ -166,8 +166,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.entry.options.Clock()
-	p.note(p.register.Saw(now, from))
-	return p.register.Tell(now, p.random)
+	p.note(p.register.Observe(now, from))
+	return p.register.Sample(now, p.random)
 }
 
 // heard notes that an entry has answered, and takes in what it tells of others.
@@ -175,8 +175,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.entry.options.Clock()
-	p.note(p.register.Saw(now, from))
-	p.note(p.register.Heard(now, asked, told))
+	p.note(p.register.Observe(now, from))
+	p.note(p.register.Merge(now, asked, told))
 }
 
 // expire forgets entries that nobody has heard from. The lock is held.
--- a/io/btdirect/peer_message.go
+++ b/io/btdirect/peer_message.go
@@ -157,7 +157,7 @@
 
 // Validate reports a welcome with too many entries.
 func (w welcome) Validate() error {
-	if len(w.Entries) > btgossip.MaxTold {
+	if len(w.Entries) > btgossip.MaxSightings {
 		return fmt.Errorf("welcome with %d entries", len(w.Entries))
 	}
 	for _, e := range w.Entries {
