--- a/core/btgossip/btgossip.go
+++ b/core/btgossip/btgossip.go
@@ -1,11 +1,11 @@
-// Package btgossip keeps what the entries of a fleet know of each other: who is
-// there, and when anybody last heard from it.
+// Package btgossip tracks the entries of a fleet by gossip: which ones exist, and when
+// any of them last heard from each.
 //
-// Each entry tells others not only whom it knows but how long ago each was heard
-// from, by whomever. So an entry that lives is known everywhere though most pairs
-// never talk, and one that is gone is forgotten everywhere at about the same time:
-// an age only grows on its way. What is told at a time is bounded, so that the
-// traffic of an entry does not grow with their number.
+// Each entry tells others not only which entries it knows but how long ago anyone heard
+// from each. So a live entry is known everywhere although most pairs never communicate,
+// and a stopped one is forgotten everywhere at about the same time, because an age only
+// grows in transit. The size of a message is bounded, so an entry's traffic doesn't
+// grow with the number of entries.
 package btgossip
 
 import (
@@ -18,32 +18,32 @@
 )
 
 const (
-	// ForgetAfter is after how long without a word from it, heard by anybody, an entry is
-	// forgotten, where one message tells of all. A word passes from one to another
-	// twice a second, to three, so that it has reached all within two seconds.
+	// ForgetAfter is the time after which an entry that no one has heard from is
+	// forgotten, if one message covers all entries. News is passed on twice a second,
+	// to three entries, and so reaches all within two seconds.
 	ForgetAfter = 4 * time.Second
-	// MaxSightings bounds the entries that one message tells of, some 11 B each: three
+	// MaxSightings bounds the sightings in one message, about 11 B each: three
 	// messages, twice a second, stay below 8 KB/s.
 	MaxSightings = 96
-	// MaxEntries bounds the entries that are remembered.
+	// MaxEntries bounds the entries that are tracked.
 	MaxEntries = 1024
 )
 
-// Sighting tells how long ago somebody heard from an entry.
+// Sighting reports how long ago some entry heard from an entry.
 type Sighting struct {
 	_       struct{}       `cbor:",toarray"`
 	Address netip.AddrPort `cbor:"address"`
-	// AgeMillis is in milliseconds.
+	// AgeMillis is the age, in milliseconds, when the sighting was sent.
 	AgeMillis uint16 `cbor:"age_ms"`
 }
 
-// Age returns how long ago it was.
+// Age returns the age at the time of the report.
 func (s Sighting) Age() time.Duration { return time.Duration(s.AgeMillis) * time.Millisecond }
 
-// errSighting means that a sighting names no entry.
+// errSighting is returned for a sighting without a valid address.
 var errSighting = errors.New("sighting of no entry")
 
-// Validate reports a sighting that names no entry.
+// Validate checks that the sighting has a valid address.
 func (s Sighting) Validate() error {
 	if !s.Address.IsValid() {
 		return errSighting
@@ -55,110 +55,112 @@
 type Change struct {
 	Address netip.AddrPort
 	Known   bool
-	// Age is how long ago anybody heard from it.
+	// Age is how long ago any entry heard from a forgotten entry.
 	Age time.Duration
 }
 
-// Membership keeps the entries that are there, without the own one. It is not safe
-// for concurrent use.
+// Membership tracks the live entries, without its own. It is not safe for concurrent
+// use.
 type Membership struct {
 	self     netip.AddrPort
 	lastSeen map[netip.AddrPort]time.Time
-	// sorted lists the entries in the sorted of their addresses.
+	// sorted lists the entries by address.
 	sorted []netip.AddrPort
 }
 
-// New returns the register of the entry of the address.
+// New returns the membership as seen by the entry at the address, without other
+// entries.
 func New(self netip.AddrPort) *Membership {
 	return &Membership{self: self, lastSeen: make(map[netip.AddrPort]time.Time)}
 }
 
-// Observe notes that an entry was heard from at the moment.
-func (r *Membership) Observe(at time.Time, a netip.AddrPort) []Change {
-	known, found := r.lastSeen[a]
-	if a == r.self || !a.IsValid() || !found && len(r.lastSeen) >= MaxEntries {
+// Observe records that an entry was heard from at the given time.
+func (m *Membership) Observe(at time.Time, a netip.AddrPort) []Change {
+	known, found := m.lastSeen[a]
+	if a == m.self || !a.IsValid() || !found && len(m.lastSeen) >= MaxEntries {
 		return nil
 	}
 	if found && !at.After(known) {
 		return nil
 	}
-	r.lastSeen[a] = at
+	m.lastSeen[a] = at
 	if found {
 		return nil
 	}
-	i, _ := slices.BinarySearchFunc(r.sorted, a, netip.AddrPort.Compare)
-	r.sorted = slices.Insert(r.sorted, i, a)
+	i, _ := slices.BinarySearchFunc(m.sorted, a, netip.AddrPort.Compare)
+	m.sorted = slices.Insert(m.sorted, i, a)
 	return []Change{{Address: a, Known: true}}
 }
 
-// Merge takes in what another entry tells. Asked is when it was asked, so that the
-// way counts towards the ages.
-func (r *Membership) Merge(now, asked time.Time, told []Sighting) []Change {
+// Merge adds the sightings that another entry sent. asked is when it was asked for
+// them, so that transit time counts towards the ages.
+func (m *Membership) Merge(now, asked time.Time, sightings []Sighting) []Change {
 	var changes []Change
-	away := r.forgetAfter()
-	for _, s := range told {
+	limit := m.forgetAfter()
+	for _, s := range sightings {
 		at := asked.Add(-s.Age())
-		if now.Sub(at) <= away {
-			changes = append(changes, r.Observe(at, s.Address)...)
+		if now.Sub(at) <= limit {
+			changes = append(changes, m.Observe(at, s.Address)...)
 		}
 	}
 	return changes
 }
 
-// Expire forgets the entries that nobody has heard from.
-func (r *Membership) Expire(now time.Time) []Change {
+// Expire forgets the entries that no one has heard from recently.
+func (m *Membership) Expire(now time.Time) []Change {
 	var changes []Change
-	away := r.forgetAfter()
-	r.sorted = slices.DeleteFunc(r.sorted, func(a netip.AddrPort) bool {
-		age := now.Sub(r.lastSeen[a])
-		if age <= away {
+	limit := m.forgetAfter()
+	m.sorted = slices.DeleteFunc(m.sorted, func(a netip.AddrPort) bool {
+		age := now.Sub(m.lastSeen[a])
+		if age <= limit {
 			return false
 		}
-		delete(r.lastSeen, a)
+		delete(m.lastSeen, a)
 		changes = append(changes, Change{Address: a, Age: age})
 		return true
 	})
 	return changes
 }
 
-// Count returns how many entries are known.
-func (r *Membership) Count() int { return len(r.lastSeen) }
+// Count returns the number of entries known.
+func (m *Membership) Count() int { return len(m.lastSeen) }
 
-// List lists the entries known, in order.
-func (r *Membership) List() []netip.AddrPort { return slices.Clone(r.sorted) }
+// List lists the known entries by address.
+func (m *Membership) List() []netip.AddrPort { return slices.Clone(m.sorted) }
 
-// Sample returns what one message tells: at most MaxTold entries, chosen by chance
-// among more.
-func (r *Membership) Sample(now time.Time, random *rand.Rand) []Sighting {
-	away := r.forgetAfter()
-	list := slices.DeleteFunc(r.List(), func(a netip.AddrPort) bool { return now.Sub(r.lastSeen[a]) > away })
+// Sample returns the sightings for one message: at most MaxSightings, chosen at random
+// if there are more.
+func (m *Membership) Sample(now time.Time, random *rand.Rand) []Sighting {
+	limit := m.forgetAfter()
+	list := slices.DeleteFunc(m.List(), func(a netip.AddrPort) bool { return now.Sub(m.lastSeen[a]) > limit })
 	if len(list) > MaxSightings {
 		random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		list = list[:MaxSightings]
 	}
-	told := make([]Sighting, len(list))
+	sightings := make([]Sighting, len(list))
 	for i, a := range list {
-		age := min(max(now.Sub(r.lastSeen[a]), 0), maxAge)
-		told[i] = Sighting{Address: a, AgeMillis: uint16(age.Milliseconds())}
+		age := min(max(now.Sub(m.lastSeen[a]), 0), maxAge)
+		sightings[i] = Sighting{Address: a, AgeMillis: uint16(age.Milliseconds())}
 	}
-	return told
+	return sightings
 }
 
-// maxAge is the largest age that a sighting can tell.
+// maxAge is the largest age that a sighting can hold.
 const maxAge = math.MaxUint16 * time.Millisecond
 
-// forgetAfter returns after how long an entry is forgotten: where one message can't tell of
-// all, a word of each takes so many messages more.
-func (r *Membership) forgetAfter() time.Duration {
-	messages := (len(r.lastSeen) + MaxSightings) / MaxSightings
+// forgetAfter returns the time after which an entry is forgotten. It is multiplied by
+// the number of messages needed to cover all entries, as news of each takes that much
+// longer.
+func (m *Membership) forgetAfter() time.Duration {
+	messages := (len(m.lastSeen) + MaxSightings) / MaxSightings
 	return min(time.Duration(messages)*ForgetAfter, maxAge)
 }
 
-// Peers chooses whom to greet: one of the seeds, one of the first few entries by
-// address, which read the platform's list, and one other by chance. All seeds are
-// greeted while nobody is known.
-func (r *Membership) Peers(seeds []netip.AddrPort, readers int, random *rand.Rand) []netip.AddrPort {
-	list := r.sorted
+// Peers chooses the entries to contact: one seed, one of the first few entries by
+// address, which read the platform's list, and one random other. It returns all seeds
+// while no entry is known.
+func (m *Membership) Peers(seeds []netip.AddrPort, readers int, random *rand.Rand) []netip.AddrPort {
+	list := m.sorted
 	var chosen []netip.AddrPort
 	if len(list) == 0 {
 		chosen = slices.Clone(seeds)
@@ -168,7 +170,7 @@
 		}
 		chosen = append(chosen, list[random.IntN(min(readers, len(list)))], list[random.IntN(len(list))])
 	}
-	chosen = slices.DeleteFunc(chosen, func(a netip.AddrPort) bool { return a == r.self })
+	chosen = slices.DeleteFunc(chosen, func(a netip.AddrPort) bool { return a == m.self })
 	slices.SortFunc(chosen, netip.AddrPort.Compare)
 	return slices.Compact(chosen)
 }
--- a/core/btgossip/btgossip_test.go
+++ b/core/btgossip/btgossip_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// contactInterval is the pace at which entries greet.
+	// contactInterval is the interval at which entries contact their peers.
 	contactInterval = 500 * time.Millisecond
 	readers         = 3
 )
@@ -25,16 +25,16 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 8), byte(n), 1}), 8229)
 }
 
-// fleet is a number of entries that greet each other, on a clock of its own.
+// fleet simulates entries that contact each other, on a virtual clock.
 type fleet struct {
 	random  *rand.Rand
 	now     time.Time
 	seeds   []netip.AddrPort
 	entries []*btgossip.Membership
 	down    map[int]bool
-	// partitioned are pairs that can't reach each other.
+	// partitioned are the pairs that can't reach each other.
 	partitioned map[[2]int]bool
-	// falselyForgotten counts the entries that were falselyForgotten though they live.
+	// falselyForgotten counts live entries that were forgotten.
 	falselyForgotten int
 }
 
@@ -47,7 +47,7 @@
 	return f
 }
 
-// tick has each entry greet once.
+// tick has each entry contact its peers once.
 func (f *fleet) tick() {
 	f.now = f.now.Add(contactInterval)
 	for n, e := range f.entries {
@@ -90,7 +90,7 @@
 	return int(b[1])<<8 | int(b[2])
 }
 
-// knownRange returns the least and the largest number of entries that any knows.
+// knownRange returns the smallest and the largest number of entries that any knows.
 func (f *fleet) knownRange() (least, largest int) {
 	least = len(f.entries)
 	for n, e := range f.entries {
@@ -102,15 +102,16 @@
 	return least, largest
 }
 
-// messageCount returns how many messageCount it takes to tell of so many entries.
+// messageCount returns the number of messages needed to cover all entries.
 func messageCount(size int) int { return (size + btgossip.MaxSightings - 1) / btgossip.MaxSightings }
 
 func sizes() []int { return []int{2, 4, 16, 35, 120, 380} }
 
-// Entries that live are known to all within two seconds of a start of all at once,
-// and never forgotten. Where each went by its own meetings alone, 35 entries forgot
-// each other 5,889 times in 30 s.
-func TestNoEntryThatLivesIsForgotten(t *testing.T) {
+// TestLiveEntryIsNeverForgotten guards against forgetting live entries, and against
+// taking longer than two seconds to make all known after a simultaneous start. When
+// each entry relied on its own contacts alone, 35 entries forgot each other 5,889 times
+// in 30 s.
+func TestLiveEntryIsNeverForgotten(t *testing.T) {
 	for _, size := range sizes() {
 		for seed := range uint64(3) {
 			f := newFleet(seed, size)
@@ -129,8 +130,9 @@
 	}
 }
 
-// An entry that ends is forgotten by all, also where they tell each other of it.
-func TestAnEntryThatEndedIsForgotten(t *testing.T) {
+// TestStoppedEntryIsForgotten guards against entries that keep a stopped one alive by
+// telling each other of it.
+func TestStoppedEntryIsForgotten(t *testing.T) {
 	for _, size := range sizes() {
 		f := newFleet(7, size)
 		for range 20 {
@@ -147,12 +149,13 @@
 			f.tick()
 		}
 		least, _ := f.knownRange()
-		assert.Equal(t, least, size-1, "size %d: known to all again", size)
+		assert.Equal(t, least, size-1, "size %d: not known to all after a restart", size)
 	}
 }
 
-// Entries that can't reach the seeds, or each other, are known through others.
-func TestEntriesCutFromEachOtherAreKnown(t *testing.T) {
+// TestPartitionedEntriesStayKnown guards against forgetting entries that can't reach
+// the seeds or each other, and are known only through others.
+func TestPartitionedEntriesStayKnown(t *testing.T) {
 	f := newFleet(5, 35)
 	for n := range 10 {
 		for m := range 10 {
@@ -169,12 +172,12 @@
 	assert.Equal(t, least, 34)
 }
 
-// tickBudget is what an entry may send in half a second: 8 KB/s.
+// tickBudget is the number of bytes an entry may send in half a second at 8 KB/s.
 const tickBudget = 8000 / 2
 
-// The mean of what an entry tells does not grow with the number of entries beyond
-// the bound of a message.
-func TestAMessageIsBounded(t *testing.T) {
+// TestMessageSizeIsBounded guards against traffic that grows with the number of entries
+// beyond the bound of a message.
+func TestMessageSizeIsBounded(t *testing.T) {
 	for _, n := range sizes() {
 		f := newFleet(1, n)
 		for range 20 {
@@ -188,7 +191,7 @@
 	}
 }
 
-func TestOldAndMalformedSightingsChangeNothing(t *testing.T) {
+func TestOldAndMalformedSightingsAreIgnored(t *testing.T) {
 	r := btgossip.New(address(1))
 	assert.Equal(t, len(r.Merge(start, start, []btgossip.Sighting{{Address: address(2), AgeMillis: 5000}, {Address: address(1)}, {}})), 0)
 	assert.ErrorContains(t, btgossip.Sighting{}.Validate(), "no entry")
