--- a/core/btquiet/btquiet.go
+++ b/core/btquiet/btquiet.go
@@ -52,10 +52,10 @@
 
 // Silent reports whether a member with streams, whose last event arrived at the given
 // time, has fallen silent while others continue.
-func (w *Watch) Silent(heard time.Time) bool {
+func (w *Watch) Silent(memberLastEvent time.Time) bool {
 	if w.meanPause == 0 {
 		return false
 	}
 	usual := time.Duration(w.meanPause + silentDeviations*w.deviation)
-	return w.lastEvent.Sub(heard) > max(usual, minSilence)
+	return w.lastEvent.Sub(memberLastEvent) > max(usual, minSilence)
 }
--- a/core/btquiet/btquiet_test.go
+++ b/core/btquiet/btquiet_test.go
@@ -27,9 +27,9 @@
 
 // step advances the group by a step of the given length, in which only the listed
 // members send events.
-func (g *group) step(length time.Duration, heard ...int) {
+func (g *group) step(length time.Duration, senders ...int) {
 	g.now = g.now.Add(length)
-	for _, m := range heard {
+	for _, m := range senders {
 		g.watch.Event(g.now, g.now.Sub(g.lastEvent[m]))
 		g.lastEvent[m] = g.now
 	}
@@ -37,8 +37,8 @@
 
 func (g *group) silent() []int {
 	var list []int
-	for m, heard := range g.lastEvent {
-		if g.watch.Silent(heard) {
+	for m, at := range g.lastEvent {
+		if g.watch.Silent(at) {
 			list = append(list, m)
 		}
 	}
@@ -87,13 +87,13 @@
 func TestSkippedStepIsNotSilence(t *testing.T) {
 	g := newGroup()
 	for n := range 200 {
-		var heard []int
+		var senders []int
 		for m := range g.lastEvent {
 			if (n+m)%6 != 0 {
-				heard = append(heard, m)
+				senders = append(senders, m)
 			}
 		}
-		g.step(2*step, heard...)
+		g.step(2*step, senders...)
 		if n > 50 {
 			assert.Equal(t, len(g.silent()), 0, "step %d", n)
 		}
--- a/core/btrelay/btrelay_test.go
+++ b/core/btrelay/btrelay_test.go
@@ -45,8 +45,8 @@
 			lead, _ := tree.Lead(start)
 			assert.Equal(t, lead, members[0], "%d members", n)
 		}
-		for relay, heard := range senders {
-			assert.Assert(t, heard <= btrelay.BlockSize(n), "%d members: %v receives from %d members", n, relay, heard)
+		for relay, received := range senders {
+			assert.Assert(t, received <= btrelay.BlockSize(n), "%d members: %v receives from %d members", n, relay, received)
 		}
 		if n > btrelay.MaxSingleBlock {
 			assert.Equal(t, senders[members[0]], 1, "%d members: the lead receives reports of its own block", n)
--- a/core/btround/backoff.go
+++ b/core/btround/backoff.go
@@ -4,10 +4,10 @@
 
 // handleOutranked ends the round after another lead used a higher ballot; that lead
 // brings the round to its end.
-func (l *Lead) handleOutranked(now time.Time, heard Ballot) {
+func (l *Lead) handleOutranked(now time.Time, higher Ballot) {
 	l.endRound(now, false, "outranked")
 	first := l.ballot == 0
-	l.ballot = heard.Next(l.self, l.instance)
+	l.ballot = higher.Next(l.self, l.instance)
 	if first {
 		// This lead has only just begun to lead, so the ballot is its predecessor's,
 		// which the agents no longer follow. No backoff is needed.
--- a/core/btround/btround_test.go
+++ b/core/btround/btround_test.go
@@ -149,12 +149,12 @@
 			return
 		}
 		w.schedule(w.millis(500, 6000), again)
-		any := w.engines[w.random.IntN(len(w.engines))]
+		picked := w.engines[w.random.IntN(len(w.engines))]
 		switch w.random.IntN(3) {
 		case 0:
-			any.agent = btround.Acceptor{}
+			picked.agent = btround.Acceptor{}
 		case 1:
-			any.frozen = w.now.Add(w.millis(300, 4000))
+			picked.frozen = w.now.Add(w.millis(300, 4000))
 		case 2:
 			current := w.leads[len(w.leads)-1]
 			w.engines[current.self].frozen = w.now.Add(w.millis(300, 4000))
@@ -250,7 +250,7 @@
 }
 
 func TestAcceptorRecord(t *testing.T) {
-	witness := btround.Command{Kind: btround.StoreRecord, Ballot: 5, Lead: 2, Epoch: 1, Version: 9}
+	store := btround.Command{Kind: btround.StoreRecord, Ballot: 5, Lead: 2, Epoch: 1, Version: 9}
 	commit := btround.Command{Kind: btround.Commit, Ballot: 5, Version: 9}
 	claim := btround.Command{Kind: btround.Hold, Force: true, Ballot: 6}
 	recorded := func(commands ...btround.Command) *btround.Record {
@@ -262,15 +262,15 @@
 		}
 		return a.Record()
 	}
-	assert.Assert(t, !recorded(witness, claim).Committed)
-	assert.Assert(t, recorded(witness, commit, claim).Committed)
-	assert.Assert(t, !recorded(witness, claim, commit).Committed, "commit accepted after the claim")
+	assert.Assert(t, !recorded(store, claim).Committed)
+	assert.Assert(t, recorded(store, commit, claim).Committed)
+	assert.Assert(t, !recorded(store, claim, commit).Committed, "commit accepted after the claim")
 	assert.Assert(t, recorded(commit, claim) == nil)
 	second := claim
 	second.Ballot = 7
-	assert.Assert(t, recorded(witness, claim, second) == nil, "a claimer may have armed ranks")
+	assert.Assert(t, recorded(store, claim, second) == nil, "a claimer may have armed ranks")
 	other := btround.Command{Kind: btround.Prepare, Ballot: 6}
-	assert.Assert(t, recorded(witness, other, second) == nil, "another lead may have armed ranks")
+	assert.Assert(t, recorded(store, other, second) == nil, "another lead may have armed ranks")
 }
 
 func TestVersionsOfTwoLeadsDiffer(t *testing.T) {
--- a/core/btround/lead.go
+++ b/core/btround/lead.go
@@ -14,7 +14,7 @@
 	InvariantOneMap btassert.Name = "round_goes_on_whole"
 )
 
-// Phase is the stage that a round has reached.
+// Phase is the stage that a round has reached. Its values appear in logs.
 type Phase string
 
 const (
@@ -213,7 +213,7 @@
 // HandleReport processes a member's state and the highest ballot that its agent has
 // promised. A service may have several groups with the same rank numbers; reports from
 // other groups are ignored.
-func (l *Lead) HandleReport(now time.Time, s State, heard Ballot) {
+func (l *Lead) HandleReport(now time.Time, s State, promised Ballot) {
 	if s.Validate() != nil || s.Group != l.group {
 		return
 	}
@@ -235,8 +235,8 @@
 		// A report shows what the rank would answer, so the command isn't repeated.
 		m.reached = m.reached || l.phase == Preparing && l.version != 0 && s.Prepared == l.version
 	}
-	if heard > l.ballot {
-		l.handleOutranked(now, heard)
+	if promised > l.ballot {
+		l.handleOutranked(now, promised)
 	}
 }
 
--- a/core/btround/leader_test.go
+++ b/core/btround/leader_test.go
@@ -59,11 +59,11 @@
 	if !l.receivesReports || e.unreachable() || w.random.Float64() < w.lostShare {
 		return
 	}
-	s, heard := e.state(), e.agent.Promised()
+	s, promised := e.state(), e.agent.Promised()
 	read := w.now
 	arrives := func() {
 		if !l.away() {
-			l.lead.HandleReport(read, s, heard)
+			l.lead.HandleReport(read, s, promised)
 		}
 	}
 	w.schedule(w.millis(1, 30), arrives)
--- a/core/btround/message.go
+++ b/core/btround/message.go
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// Kind is the type of a command.
+// Kind is the type of a command. Its values are part of the wire format.
 type Kind string
 
 const (
@@ -163,7 +163,7 @@
 	return fmt.Errorf("%w: command %q", ErrMessage, c.Kind)
 }
 
-// Verdict is the result of a command.
+// Verdict is the result of a command. Its values are part of the wire format.
 type Verdict string
 
 const (
--- a/core/btround/stale_test.go
+++ b/core/btround/stale_test.go
@@ -124,11 +124,11 @@
 	for r := range btexpert.Rank(3) {
 		s.report(states(r))
 	}
-	looks := 0
+	reads := 0
 	for range 20 {
 		s.answer(func(c btround.Command) btround.State {
 			if c.Kind == btround.ReadState {
-				looks++
+				reads++
 			}
 			assert.Assert(t, c.Kind != btround.Release, "the group was released with one rank armed")
 			state := states(c.Rank)
@@ -145,7 +145,7 @@
 			break
 		}
 	}
-	assert.Equal(t, looks, 3)
+	assert.Equal(t, reads, 3)
 	assert.Equal(t, s.lead.Phase(), btround.Disarming)
 }
 
@@ -154,16 +154,16 @@
 // ended the round without the lead's rank, which was armed ("57 steps on two maps").
 func TestDuplicateCommandDoesNotUndoCommit(t *testing.T) {
 	var a btround.Acceptor
-	witness := btround.Command{Kind: btround.StoreRecord, Ballot: 1 << 13, Version: 1 << 20, Epoch: 1}
-	commit := witness
+	store := btround.Command{Kind: btround.StoreRecord, Ballot: 1 << 13, Version: 1 << 20, Epoch: 1}
+	commit := store
 	commit.Kind = btround.Commit
-	for _, c := range []btround.Command{witness, commit, witness} {
+	for _, c := range []btround.Command{store, commit, store} {
 		assert.Assert(t, a.Accept(c))
 		assert.Equal(t, a.UpdateRecord(c), btround.Reached)
 	}
 	assert.Assert(t, a.Record().Committed)
 	// Another round of the same lead has its own record.
-	witness.Version++
-	assert.Equal(t, a.UpdateRecord(witness), btround.Reached)
+	store.Version++
+	assert.Equal(t, a.UpdateRecord(store), btround.Reached)
 	assert.Assert(t, !a.Record().Committed)
 }
--- a/core/btround/world_test.go
+++ b/core/btround/world_test.go
@@ -95,12 +95,12 @@
 	return last
 }
 
-func newWorld(seed uint64, ranks int, late, lost float64) *world {
+func newWorld(seed uint64, ranks int, delayedShare, lostShare float64) *world {
 	w := &world{
 		random:       rand.New(rand.NewPCG(seed, 1)),
 		now:          time.Unix(1000, 0),
-		delayedShare: late,
-		lostShare:    lost,
+		delayedShare: delayedShare,
+		lostShare:    lostShare,
 		busy:         true,
 		epoch:        1,
 	}
