--- a/core/btround/btround_test.go
+++ b/core/btround/btround_test.go
@@ -286,7 +286,7 @@
 	assert.Assert(t, btround.Ballot(0).Next(7, 4) != b, "ballot of a restarted lead at the same rank")
 }
 
-func TestMalformedMessagesAreRejected(t *testing.T) {
+func TestMalformedMessagesAreRefused(t *testing.T) {
 	assert.ErrorIs(t, btround.State{Rank: 3, Size: 3}.Validate(), btround.ErrMessage)
 	assert.ErrorIs(t, btround.Command{Kind: "burn"}.Validate(), btround.ErrMessage)
 	assert.ErrorIs(t, btround.Result{Verdict: "perhaps"}.Validate(), btround.ErrMessage)
