--- a/core/btmember/admit.go
+++ b/core/btmember/admit.go
@@ -8,7 +8,7 @@
 
 // Eligible tells whether the target may be given work now. It changes nothing;
 // an entry that woke from a pause gets false until its next step.
-func (m *Member) Eligible(now time.Time, target btid.Target) bool {
+func (m *Membership) Eligible(now time.Time, target btid.Target) bool {
 	r := m.records[target]
 	if r == nil || !r.joined {
 		return false
@@ -21,7 +21,7 @@
 
 // Admit is Eligible for work that is sent at once. It returns the
 // incarnation of the agent that the work is to name, so that another refuses it.
-func (m *Member) Admit(now time.Time, target btid.Target) (btid.Executor, bool) {
+func (m *Membership) Admit(now time.Time, target btid.Target) (btid.Executor, bool) {
 	if !m.Eligible(now, target) {
 		return btid.Executor{}, false
 	}
@@ -35,13 +35,13 @@
 }
 
 // View returns what is known of a target, false for one not in the bundle.
-func (m *Member) View(target btid.Target) (View, bool) {
+func (m *Membership) View(target btid.Target) (View, bool) {
 	r := m.records[target]
 	if r == nil || !r.listed {
 		return View{}, false
 	}
 	return View{
-		Place:    r.place,
+		Location: r.place,
 		Executor: r.executor(),
 		LeaseEnd: r.until,
 		Load:     r.load,
@@ -50,17 +50,17 @@
 }
 
 // Cause returns why a target gets no work now; false where it may.
-func (m *Member) Cause(target btid.Target) (Cause, bool) {
+func (m *Membership) Cause(target btid.Target) (Cause, bool) {
 	r := m.records[target]
 	if r == nil {
-		return CauseBundle, true
+		return CauseBundleRemoved, true
 	}
 	return m.cause(r)
 }
 
 // NextExpiry returns when the first lease in force ends unless it is renewed; a
 // Tick is due then. False where none is in force.
-func (m *Member) NextExpiry() (time.Time, bool) {
+func (m *Membership) NextExpiry() (time.Time, bool) {
 	var next time.Time
 	for _, r := range m.records {
 		if r.joined && (next.IsZero() || r.until.Before(next)) {
--- a/core/btmember/btmember.go
+++ b/core/btmember/btmember.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Member is the machine of one entry.
-type Member struct {
+// Membership is the machine of one entry.
+type Membership struct {
 	settings Settings
 	asserter *btassert.Asserter
 
@@ -79,11 +79,11 @@
 	effects   []Effect
 }
 
-var _ btcore.Machine[Event, Effect] = (*Member)(nil)
+var _ btcore.Machine[Event, Effect] = (*Membership)(nil)
 
 // New returns a view that knows no target until the first Bundle.
-func New(settings Settings, asserter *btassert.Asserter) *Member {
-	return &Member{
+func New(settings Settings, asserter *btassert.Asserter) *Membership {
+	return &Membership{
 		settings:  settings,
 		asserter:  asserter,
 		records:   map[btid.Target]*record{},
@@ -94,13 +94,13 @@
 }
 
 // Step applies one event.
-func (m *Member) Step(now time.Time, event Event) []Effect {
+func (m *Membership) Step(now time.Time, event Event) []Effect {
 	m.effects = nil
 	m.advance(now)
 	switch e := event.(type) {
-	case Heard:
+	case HeartbeatReceived:
 		m.heard(e.Heartbeat)
-	case Summarised:
+	case SummaryReceived:
 		m.summarised(e.Summary)
 	case HostList:
 		m.hostList(e)
@@ -114,7 +114,7 @@
 	return m.effects
 }
 
-func (m *Member) configure(e Configured) {
+func (m *Membership) configure(e Configured) {
 	m.settings.Lease = cmp.Or(e.Lease, m.settings.Lease)
 	m.settings.ClockError = cmp.Or(e.ClockError, m.settings.ClockError)
 	m.settings.PauseLimit = cmp.Or(e.PauseLimit, m.settings.PauseLimit)
@@ -127,7 +127,7 @@
 }
 
 // advance moves the time and forgets every lease after a pause.
-func (m *Member) advance(now time.Time) {
+func (m *Membership) advance(now time.Time) {
 	if now.Before(m.now) {
 		return
 	}
@@ -142,18 +142,18 @@
 		r.heard = time.Time{}
 		r.told = time.Time{}
 		r.until = time.Time{}
-		m.leave(r, CausePause)
+		m.leave(r, CauseEntryPaused)
 	}
 }
 
 // adopt turns a record to a later incarnation, of which nothing is known yet.
-func (m *Member) adopt(r *record, incarnation btid.Incarnation) {
-	m.leave(r, CauseReplaced)
+func (m *Membership) adopt(r *record, incarnation btid.Incarnation) {
+	m.leave(r, CauseAgentRestarted)
 	*r = record{place: r.place, listed: r.listed, incarnation: incarnation}
 }
 
 // tick ends leases that ran out and forgets targets long unlisted.
-func (m *Member) tick() {
+func (m *Membership) tick() {
 	for _, name := range slices.Clone(m.names) {
 		r := m.records[name]
 		m.refresh(r)
@@ -164,14 +164,14 @@
 	m.forgetOldStreams()
 }
 
-func (m *Member) forget(name btid.Target) {
+func (m *Membership) forget(name btid.Target) {
 	delete(m.records, name)
 	delete(m.farewells, name)
 	at, _ := slices.BinarySearch(m.names, name)
 	m.names = slices.Delete(m.names, at, at+1)
 }
 
-func (m *Member) heard(h Heartbeat) {
+func (m *Membership) heard(h Heartbeat) {
 	r := m.records[h.Target]
 	if r == nil || !r.listed {
 		m.ignore(h.Target, ReasonUnlisted)
@@ -201,7 +201,7 @@
 
 // believe tells whether a heartbeat may change the record. A leaving state of
 // the present or a later incarnation is believed however late it is.
-func (m *Member) believe(r *record, h Heartbeat) (btrequest.Reason, bool) {
+func (m *Membership) believe(r *record, h Heartbeat) (btrequest.Reason, bool) {
 	if h.Incarnation < r.incarnation {
 		return ReasonOldIncarnation, false
 	}
@@ -215,7 +215,7 @@
 		return ReasonRepeated, false
 	}
 	if h.SentAt.After(m.now.Add(m.settings.ClockError)) {
-		return ReasonClock, false
+		return ReasonSentInFuture, false
 	}
 	if !m.leaseEnd(h.SentAt).After(m.now) {
 		return ReasonLate, false
@@ -224,7 +224,7 @@
 }
 
 // farewell ends the work of the record's incarnation for good.
-func (m *Member) farewell(r *record, state State) {
+func (m *Membership) farewell(r *record, state State) {
 	if r.farewell == 0 || r.farewell == Draining {
 		r.farewell = state
 	}
@@ -233,7 +233,7 @@
 	m.refresh(r)
 }
 
-func (m *Member) hostList(e HostList) {
+func (m *Membership) hostList(e HostList) {
 	for _, w := range e.Hosts {
 		if w.Leaving {
 			m.leaving[w.Host] = true
@@ -244,7 +244,7 @@
 	m.refreshAll()
 }
 
-func (m *Member) bundle(e Bundle) {
+func (m *Membership) bundle(e Bundle) {
 	if e.Version < m.version || e.Version == m.version && !digestAbove(e.Digest, m.digest) {
 		return
 	}
@@ -270,7 +270,7 @@
 }
 
 // list notes a target, and tells whether it was not listed before.
-func (m *Member) list(p Place) bool {
+func (m *Membership) list(p TargetLocation) bool {
 	r := m.records[p.Target]
 	if r == nil {
 		r = &record{}
@@ -286,7 +286,7 @@
 
 // forgetHosts drops the states of hosts that carry no target, which bounds
 // them.
-func (m *Member) forgetHosts() {
+func (m *Membership) forgetHosts() {
 	used := map[btid.Host]bool{}
 	for _, r := range m.records {
 		used[r.place.Host] = true
@@ -298,14 +298,14 @@
 	}
 }
 
-func (m *Member) refreshAll() {
+func (m *Membership) refreshAll() {
 	for _, name := range m.names {
 		m.refresh(m.records[name])
 	}
 }
 
 // refresh tells of a target that may be given work from now on, or no more.
-func (m *Member) refresh(r *record) {
+func (m *Membership) refresh(r *record) {
 	cause, out := m.cause(r)
 	if out {
 		m.leave(r, cause)
@@ -323,25 +323,25 @@
 }
 
 // cause returns why a target may not be given work, false where it may.
-func (m *Member) cause(r *record) (Cause, bool) {
+func (m *Membership) cause(r *record) (Cause, bool) {
 	switch {
 	case !r.listed:
-		return CauseBundle, true
+		return CauseBundleRemoved, true
 	case m.leaving[r.place.Host]:
-		return CauseHostList, true
+		return CauseHostLeaving, true
 	case r.farewell == Draining:
-		return CauseDraining, true
+		return CauseAgentDraining, true
 	case r.farewell == Stopped:
-		return CauseStopped, true
+		return CauseAgentStopped, true
 	case r.farewell == EngineLeaving:
-		return CauseEngine, true
+		return CauseEngineLeaving, true
 	case !r.until.After(m.now):
-		return CauseLease, true
+		return CauseLeaseExpired, true
 	}
 	return "", false
 }
 
-func (m *Member) leave(r *record, cause Cause) {
+func (m *Membership) leave(r *record, cause Cause) {
 	if !r.joined {
 		return
 	}
@@ -349,11 +349,11 @@
 	m.effects = append(m.effects, Left{Executor: r.executor(), Cause: cause})
 }
 
-func (m *Member) ignore(target btid.Target, reason btrequest.Reason) {
+func (m *Membership) ignore(target btid.Target, reason btrequest.Reason) {
 	m.effects = append(m.effects, Ignored{Target: target, Reason: reason})
 }
 
-func (m *Member) level(load cbor.RawMessage) uint8 {
+func (m *Membership) level(load cbor.RawMessage) uint8 {
 	if m.settings.Level == nil {
 		return 0
 	}
@@ -361,7 +361,7 @@
 }
 
 // leaseEnd is the end of a lease on evidence of that time.
-func (m *Member) leaseEnd(evidence time.Time) time.Time {
+func (m *Membership) leaseEnd(evidence time.Time) time.Time {
 	return evidence.Add(m.settings.ClockError + m.settings.Lease)
 }
 
--- a/core/btmember/btmember_test.go
+++ b/core/btmember/btmember_test.go
@@ -30,7 +30,7 @@
 }
 
 func (w *lastWins) Step(now time.Time, event btmember.Event) []btmember.Effect {
-	if e, ok := event.(btmember.Heard); ok {
+	if e, ok := event.(btmember.HeartbeatReceived); ok {
 		h := e.Heartbeat
 		w.life[h.Target] = h.Incarnation
 		w.until[h.Target] = now.Add(w.settings.Lease)
@@ -116,9 +116,9 @@
 }
 
 // one is a Member with one target, and the heartbeat that makes it eligible.
-func one() (*btmember.Member, btmember.Heartbeat) {
+func one() (*btmember.Membership, btmember.Heartbeat) {
 	m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
-	m.Step(start, btmember.Bundle{Version: 1, Targets: []btmember.Place{{Target: "engine-1", Host: "h1", DataCentre: "dc0"}}})
+	m.Step(start, btmember.Bundle{Version: 1, Targets: []btmember.TargetLocation{{Target: "engine-1", Host: "h1", DataCentre: "dc0"}}})
 	return m, btmember.Heartbeat{Target: "engine-1", Incarnation: 5, Sequence: 7, SentAt: start, State: btmember.Serving}
 }
 
@@ -140,13 +140,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, h := one()
-			m.Step(start, btmember.Heard{Heartbeat: h})
+			m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
 			for at := time.Duration(0); at < c.at; at += time.Second {
 				m.Step(start.Add(at), btmember.Tick{})
 			}
 			c.change(&h)
 			now := start.Add(c.at)
-			m.Step(now, btmember.Heard{Heartbeat: h})
+			m.Step(now, btmember.HeartbeatReceived{Heartbeat: h})
 			assert.Equal(t, m.Eligible(now, "engine-1"), c.want)
 		})
 	}
@@ -157,7 +157,7 @@
 	heard := func(change func(h *btmember.Heartbeat)) {
 		h.Sequence++
 		change(&h)
-		m.Step(start, btmember.Heard{Heartbeat: h})
+		m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
 	}
 	serve := func(h *btmember.Heartbeat) { h.State = btmember.Serving }
 	eligible := func(want bool) {
@@ -171,27 +171,27 @@
 	eligible(false)
 	heard(func(h *btmember.Heartbeat) { h.Incarnation++; h.State = btmember.Serving })
 	eligible(true)
-	m.Step(start, btmember.HostList{Hosts: []btmember.HostWord{{Host: "h1", Leaving: true}}})
+	m.Step(start, btmember.HostList{Hosts: []btmember.HostStatus{{Host: "h1", Leaving: true}}})
 	heard(func(h *btmember.Heartbeat) { h.Incarnation++ })
 	eligible(false)
-	m.Step(start, btmember.HostList{Hosts: []btmember.HostWord{{Host: "h1"}}})
+	m.Step(start, btmember.HostList{Hosts: []btmember.HostStatus{{Host: "h1"}}})
 	eligible(true)
 	m.Step(start, btmember.Bundle{Version: 2})
 	heard(func(h *btmember.Heartbeat) { h.Incarnation++ })
-	m.Step(start, btmember.Bundle{Version: 1, Digest: btbundle.Digest{9}, Targets: []btmember.Place{{Target: "engine-1", Host: "h1"}}})
+	m.Step(start, btmember.Bundle{Version: 1, Digest: btbundle.Digest{9}, Targets: []btmember.TargetLocation{{Target: "engine-1", Host: "h1"}}})
 	eligible(false)
 }
 
 func TestPausedEntryBelievesNoLease(t *testing.T) {
 	m, h := one()
-	m.Step(start, btmember.Heard{Heartbeat: h})
+	m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
 	woke := start.Add(2500 * time.Millisecond)
 	assert.Check(t, !m.Eligible(woke, "engine-1"))
 	m.Step(woke, btmember.Tick{})
 	assert.Check(t, !m.Eligible(woke, "engine-1"))
 	h.Sequence++
 	h.SentAt = woke
-	m.Step(woke, btmember.Heard{Heartbeat: h})
+	m.Step(woke, btmember.HeartbeatReceived{Heartbeat: h})
 	assert.Check(t, m.Eligible(woke, "engine-1"))
 	next, ok := m.NextExpiry()
 	assert.Check(t, ok && next.Equal(woke.Add(3500*time.Millisecond)))
@@ -211,7 +211,7 @@
 func TestDrainCutsNoRequestInFlight(t *testing.T) {
 	for seed := uint64(1); seed <= 200; seed++ {
 		random := rand.New(rand.NewPCG(seed, 3))
-		d := btmember.NewDrain(btmember.DrainSettings{Lag: 2 * time.Second, Grace: time.Second}, btassert.New(btassert.Panic()))
+		d := btmember.NewDrain(btmember.DrainSettings{ReadinessLag: 2 * time.Second, DeadlineGrace: time.Second}, btassert.New(btassert.Panic()))
 		flight := map[btid.Request]time.Time{}
 		var steps []string
 		now := start
@@ -222,13 +222,13 @@
 			switch p := random.IntN(10); {
 			case p < 3 && len(steps) < 2:
 				flight[id] = now.Add(time.Duration(random.IntN(20)) * time.Second)
-				event = btmember.Began{ID: id, Deadline: flight[id]}
+				event = btmember.RequestBegan{ID: id, Deadline: flight[id]}
 			case p == 4 && n > 50:
 				event = btmember.Terminate{}
 			case p < 8:
 				if oldest := first(flight); oldest.Number > 0 {
 					delete(flight, oldest)
-					event = btmember.Ended{ID: oldest}
+					event = btmember.RequestEnded{ID: oldest}
 				}
 			}
 			for _, effect := range d.Step(now, event) {
@@ -242,12 +242,12 @@
 	}
 }
 
-func ExampleMember() {
+func ExampleMembership() {
 	m, heartbeat := one()
-	fmt.Println(m.Step(start, btmember.Heard{Heartbeat: heartbeat}))
+	fmt.Println(m.Step(start, btmember.HeartbeatReceived{Heartbeat: heartbeat}))
 	fmt.Println(m.Admit(start, "engine-1"))
 	heartbeat.State = btmember.Draining
-	fmt.Println(m.Step(start, btmember.Heard{Heartbeat: heartbeat}))
+	fmt.Println(m.Step(start, btmember.HeartbeatReceived{Heartbeat: heartbeat}))
 	fmt.Println(m.Eligible(start, "engine-1"))
 	// Output:
 	// [{engine-1@5}]
--- a/core/btmember/capacity_test.go
+++ b/core/btmember/capacity_test.go
@@ -64,31 +64,31 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, first := one()
-		m.Step(start, btmember.Heard{Heartbeat: first})
+		m.Step(start, btmember.HeartbeatReceived{Heartbeat: first})
 		var h btmember.Heartbeat
 		if cbor.Unmarshal(data, &h) == nil && h.Validate() == nil {
-			m.Step(start, btmember.Heard{Heartbeat: h})
+			m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
 		}
 		var s btmember.Summary
 		if cbor.Unmarshal(data, &s) == nil && s.Validate() == nil {
-			m.Step(start, btmember.Summarised{Summary: s})
+			m.Step(start, btmember.SummaryReceived{Summary: s})
 		}
 		m.Step(start, btmember.Tick{})
 	})
 }
 
 // sized is a fleet of the size to come: 380 entries, 830 targets, 7 data centres.
-func sized(fanOut btmember.FanOut) ([]btmember.EntryPlace, []btmember.Place, *btmember.Plan) {
+func sized(fanOut btmember.FanOut) ([]btmember.EntryLocation, []btmember.TargetLocation, *btmember.Topology) {
 	centre := func(i int) btid.DataCentre { return btid.DataCentre(fmt.Sprintf("dc%d", i%7)) }
-	var entries []btmember.EntryPlace
+	var entries []btmember.EntryLocation
 	for i := range 380 {
-		entries = append(entries, btmember.EntryPlace{Entry: btid.Entry(fmt.Sprintf("entry-%s-%03d", centre(i), i)), DataCentre: centre(i)})
+		entries = append(entries, btmember.EntryLocation{Entry: btid.Entry(fmt.Sprintf("entry-%s-%03d", centre(i), i)), DataCentre: centre(i)})
 	}
-	var targets []btmember.Place
+	var targets []btmember.TargetLocation
 	for i := range 830 {
-		targets = append(targets, btmember.Place{Target: btid.Target(fmt.Sprintf("engine-%s-%04d", centre(i), i)), DataCentre: centre(i)})
+		targets = append(targets, btmember.TargetLocation{Target: btid.Target(fmt.Sprintf("engine-%s-%04d", centre(i), i)), DataCentre: centre(i)})
 	}
-	return entries, targets, btmember.NewPlan(fanOut, entries, targets)
+	return entries, targets, btmember.NewTopology(fanOut, entries, targets)
 }
 
 // BenchmarkFanOut computes the bytes a second of each entry at the size to come
@@ -137,7 +137,7 @@
 // an entry that knows 830 targets.
 func BenchmarkHeard(b *testing.B) {
 	_, targets, _ := sized(btmember.DefaultFanOut())
-	newMember := func() *btmember.Member {
+	newMember := func() *btmember.Membership {
 		m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
 		m.Step(start, btmember.Bundle{Version: 1, Targets: targets})
 		return m
@@ -149,7 +149,7 @@
 		for b.Loop() {
 			h.Target = targets[n%len(targets)].Target
 			h.Sequence = uint64(n + 1)
-			m.Step(start, btmember.Heard{Heartbeat: h})
+			m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
 			n++
 		}
 	})
@@ -164,7 +164,7 @@
 		for b.Loop() {
 			s.Sequence++
 			s.AsOf = s.AsOf.Add(time.Millisecond)
-			m.Step(start, btmember.Summarised{Summary: s})
+			m.Step(start, btmember.SummaryReceived{Summary: s})
 			s.Reset = false
 			s.Rows = s.Rows[:12]
 		}
--- a/core/btmember/configured_test.go
+++ b/core/btmember/configured_test.go
@@ -16,8 +16,8 @@
 func TestConfiguredEndsLeasesSooner(t *testing.T) {
 	m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
 	now := time.Unix(1_700_000_000, 0)
-	m.Step(now, btmember.Bundle{Version: 1, Targets: []btmember.Place{{Target: "t", Host: "h", DataCentre: "d"}}})
-	m.Step(now, btmember.Heard{Heartbeat: btmember.Heartbeat{Target: "t", Incarnation: 1, Sequence: 1, SentAt: now, State: btmember.Serving}})
+	m.Step(now, btmember.Bundle{Version: 1, Targets: []btmember.TargetLocation{{Target: "t", Host: "h", DataCentre: "d"}}})
+	m.Step(now, btmember.HeartbeatReceived{Heartbeat: btmember.Heartbeat{Target: "t", Incarnation: 1, Sequence: 1, SentAt: now, State: btmember.Serving}})
 	now = now.Add(time.Second)
 	_, admitted := m.Admit(now, btid.Target("t"))
 	assert.Assert(t, admitted)
--- a/core/btmember/drain.go
+++ b/core/btmember/drain.go
@@ -18,22 +18,22 @@
 // Terminate is a SIGTERM. A second one changes nothing.
 type Terminate struct{}
 
-// Began is a request that this process took and answers by the deadline.
-type Began struct {
+// RequestBegan is a request that this process took and answers by the deadline.
+type RequestBegan struct {
 	ID       btid.Request
 	Deadline time.Time
 }
 
-// Ended is the end of a request: its last byte is out, or its caller is gone.
-type Ended struct{ ID btid.Request }
+// RequestEnded is the end of a request: its last byte is out, or its caller is gone.
+type RequestEnded struct{ ID btid.Request }
 
 // DrainTick is the passing of time.
 type DrainTick struct{}
 
-func (Terminate) drainEvent() {}
-func (Began) drainEvent()     {}
-func (Ended) drainEvent()     {}
-func (DrainTick) drainEvent() {}
+func (Terminate) drainEvent()    {}
+func (RequestBegan) drainEvent() {}
+func (RequestEnded) drainEvent() {}
+func (DrainTick) drainEvent()    {}
 
 // DrainEffect is a step of the stop: Unready, CloseListener, Goodbye and Exit,
 // in that order, each once.
@@ -62,12 +62,12 @@
 
 // DrainSettings are the times of a planned stop.
 type DrainSettings struct {
-	// Lag is how long the balancer in front may send new connections after the
+	// ReadinessLag is how long the balancer in front may send new connections after the
 	// readiness check failed; zero at an agent, whose peers hear it directly.
-	Lag time.Duration
-	// Grace is how long a request may be past its deadline before the stop no
+	ReadinessLag time.Duration
+	// DeadlineGrace is how long a request may be past its deadline before the stop no
 	// longer waits for it.
-	Grace time.Duration
+	DeadlineGrace time.Duration
 }
 
 // Drain is the machine of a process's planned stop. It is bounded by the
@@ -108,9 +108,9 @@
 			d.began = d.now
 			effects = append(effects, Unready{})
 		}
-	case Began:
+	case RequestBegan:
 		d.flight[e.ID] = e.Deadline
-	case Ended:
+	case RequestEnded:
 		delete(d.flight, e.ID)
 	}
 	return append(effects, d.proceed()...)
@@ -118,7 +118,7 @@
 
 // proceed takes the steps of the stop that are due.
 func (d *Drain) proceed() []DrainEffect {
-	if !d.stopping || d.exited || d.now.Sub(d.began) < d.settings.Lag {
+	if !d.stopping || d.exited || d.now.Sub(d.began) < d.settings.ReadinessLag {
 		return nil
 	}
 	var effects []DrainEffect
@@ -139,7 +139,7 @@
 // waits tells whether a request in flight may still end in time.
 func (d *Drain) waits() bool {
 	for _, deadline := range d.flight {
-		if d.now.Before(deadline.Add(d.settings.Grace)) {
+		if d.now.Before(deadline.Add(d.settings.DeadlineGrace)) {
 			return true
 		}
 	}
--- a/core/btmember/event.go
+++ b/core/btmember/event.go
@@ -11,24 +11,24 @@
 // Event is what a Member hears: one of the types of this file.
 type Event interface{ memberEvent() }
 
-// Heard is a heartbeat that arrived, already validated.
-type Heard struct{ Heartbeat Heartbeat }
+// HeartbeatReceived is a heartbeat that arrived, already validated.
+type HeartbeatReceived struct{ Heartbeat Heartbeat }
 
-// Summarised is a summary that arrived, already validated.
-type Summarised struct{ Summary Summary }
+// SummaryReceived is a summary that arrived, already validated.
+type SummaryReceived struct{ Summary Summary }
 
-// HostWord is what the platform's list says of one host.
-type HostWord struct {
+// HostStatus is what the platform's list says of one host.
+type HostStatus struct {
 	Host    btid.Host
 	Leaving bool
 }
 
 // HostList is a new reading of the platform's list. A host that it doesn't name
 // keeps its last state: the list lags.
-type HostList struct{ Hosts []HostWord }
+type HostList struct{ Hosts []HostStatus }
 
-// Place is where a target stands.
-type Place struct {
+// TargetLocation is where a target stands.
+type TargetLocation struct {
 	Target     btid.Target
 	Host       btid.Host
 	DataCentre btid.DataCentre
@@ -39,7 +39,7 @@
 type Bundle struct {
 	Version btid.BundleVersion
 	Digest  btbundle.Digest
-	Targets []Place
+	Targets []TargetLocation
 }
 
 // Configured replaces settings; zero keeps one. Leases at hand keep their ends,
@@ -53,12 +53,12 @@
 // Tick is the passing of time, due at least every Settings.PauseLimit.
 type Tick struct{}
 
-func (Heard) memberEvent()      {}
-func (Summarised) memberEvent() {}
-func (HostList) memberEvent()   {}
-func (Bundle) memberEvent()     {}
-func (Configured) memberEvent() {}
-func (Tick) memberEvent()       {}
+func (HeartbeatReceived) memberEvent() {}
+func (SummaryReceived) memberEvent()   {}
+func (HostList) memberEvent()          {}
+func (Bundle) memberEvent()            {}
+func (Configured) memberEvent()        {}
+func (Tick) memberEvent()              {}
 
 // Effect is what the entry is told: one of Joined, Left, NewerBundle, AskReset
 // and Ignored.
@@ -80,8 +80,8 @@
 	Digest  btbundle.Digest
 }
 
-// AskReset asks a peer to start its summaries anew, since some were lost.
-type AskReset struct {
+// RequestReset asks a peer to start its summaries anew, since some were lost.
+type RequestReset struct {
 	To     btid.Entry
 	Origin btid.DataCentre
 }
@@ -92,25 +92,25 @@
 	Reason btrequest.Reason
 }
 
-func (Joined) memberEffect()      {}
-func (Left) memberEffect()        {}
-func (NewerBundle) memberEffect() {}
-func (AskReset) memberEffect()    {}
-func (Ignored) memberEffect()     {}
+func (Joined) memberEffect()       {}
+func (Left) memberEffect()         {}
+func (NewerBundle) memberEffect()  {}
+func (RequestReset) memberEffect() {}
+func (Ignored) memberEffect()      {}
 
 // Cause names why a target gets no new work.
 type Cause string
 
 // The causes, in the order in which they are named when several hold.
 const (
-	CauseBundle   Cause = "bundle_removed"
-	CauseHostList Cause = "host_leaving"
-	CauseDraining Cause = "agent_draining"
-	CauseStopped  Cause = "agent_stopped"
-	CauseEngine   Cause = "engine_leaving"
-	CauseLease    Cause = "lease_expired"
-	CausePause    Cause = "entry_paused"
-	CauseReplaced Cause = "agent_restarted"
+	CauseBundleRemoved  Cause = "bundle_removed"
+	CauseHostLeaving    Cause = "host_leaving"
+	CauseAgentDraining  Cause = "agent_draining"
+	CauseAgentStopped   Cause = "agent_stopped"
+	CauseEngineLeaving  Cause = "engine_leaving"
+	CauseLeaseExpired   Cause = "lease_expired"
+	CauseEntryPaused    Cause = "entry_paused"
+	CauseAgentRestarted Cause = "agent_restarted"
 )
 
 // The reasons for which a message is not believed.
@@ -119,7 +119,7 @@
 	ReasonOldIncarnation btrequest.Reason = "heartbeat_old_incarnation"
 	ReasonRepeated       btrequest.Reason = "heartbeat_repeated"
 	ReasonLate           btrequest.Reason = "heartbeat_late"
-	ReasonClock          btrequest.Reason = "heartbeat_clock"
+	ReasonSentInFuture   btrequest.Reason = "heartbeat_clock"
 	ReasonAfterLeaving   btrequest.Reason = "heartbeat_after_leaving"
 	ReasonSummaryOld     btrequest.Reason = "summary_old"
 	ReasonSummaryGap     btrequest.Reason = "summary_gap"
--- a/core/btmember/fleet_test.go
+++ b/core/btmember/fleet_test.go
@@ -31,7 +31,7 @@
 }
 
 type agent struct {
-	place  btmember.Place
+	place  btmember.TargetLocation
 	offset time.Duration
 	lives  []*life
 }
@@ -39,7 +39,7 @@
 func (a *agent) current() *life { return a.lives[len(a.lives)-1] }
 
 type node struct {
-	place  btmember.EntryPlace
+	place  btmember.EntryLocation
 	view   view
 	relay  *btmember.Relay
 	paused time.Time
@@ -62,7 +62,7 @@
 	faults   bool
 	// restamp is the naive relay: each hop calls what it knows fresh.
 	restamp bool
-	plan    *btmember.Plan
+	plan    *btmember.Topology
 	agents  []*agent
 	nodes   []*node
 	network []letter
@@ -79,16 +79,16 @@
 	if fanOut.Watchers < centres*entries {
 		f.settings.Lease = 6 * time.Second
 	}
-	var places []btmember.EntryPlace
-	var targetPlaces []btmember.Place
+	var places []btmember.EntryLocation
+	var targetPlaces []btmember.TargetLocation
 	for c := range centres {
 		centre := btid.DataCentre(fmt.Sprintf("dc%d", c))
 		for e := range entries {
-			places = append(places, btmember.EntryPlace{Entry: btid.Entry(fmt.Sprintf("entry-%d-%d", c, e)), DataCentre: centre})
+			places = append(places, btmember.EntryLocation{Entry: btid.Entry(fmt.Sprintf("entry-%d-%d", c, e)), DataCentre: centre})
 		}
 		for i := range targets {
 			name := fmt.Sprintf("target-%d-%d", c, i)
-			p := btmember.Place{Target: btid.Target(name), Host: btid.Host("host-" + name), DataCentre: centre}
+			p := btmember.TargetLocation{Target: btid.Target(name), Host: btid.Host("host-" + name), DataCentre: centre}
 			targetPlaces = append(targetPlaces, p)
 			offset := time.Duration(f.random.Int64N(int64(f.settings.ClockError))) - f.settings.ClockError/2
 			f.agents = append(f.agents, &agent{place: p, offset: offset})
@@ -97,7 +97,7 @@
 	for _, a := range f.agents {
 		f.boot(a)
 	}
-	f.plan = btmember.NewPlan(fanOut, places, targetPlaces)
+	f.plan = btmember.NewTopology(fanOut, places, targetPlaces)
 	for _, p := range places {
 		n := &node{place: p, told: map[btid.Target]bool{}}
 		f.nodes = append(f.nodes, n)
@@ -108,7 +108,7 @@
 		m := btmember.New(f.settings, btassert.New(btassert.Panic()))
 		n.view = m
 		n.relay = btmember.NewRelay(btmember.DefaultRelaySettings(), p.Entry, 1, m)
-		n.relay.Step(f.now, btmember.Planned{Links: f.plan.Links(p)})
+		n.relay.Step(f.now, btmember.LinksUpdated{Links: f.plan.Links(p)})
 	}
 	f.publish(nil)
 	return f
@@ -202,17 +202,17 @@
 	watchers := f.plan.Watchers(a.place)
 	for _, n := range f.nodes {
 		if slices.Contains(watchers, n.place.Entry) {
-			f.post(n, func() { f.apply(n, btmember.Heard{Heartbeat: h}) })
+			f.post(n, func() { f.apply(n, btmember.HeartbeatReceived{Heartbeat: h}) })
 		}
 	}
 }
 
 func (f *fleet) apply(n *node, event btmember.Event) {
 	for _, effect := range n.view.Step(f.now, event) {
-		if e, ok := effect.(btmember.AskReset); ok {
+		if e, ok := effect.(btmember.RequestReset); ok {
 			ask := btmember.SummaryAsk{From: n.place.Entry, Origin: e.Origin}
 			peer := f.node(e.To)
-			f.post(peer, func() { peer.relay.Step(f.now, btmember.Asked{Ask: ask}) })
+			f.post(peer, func() { peer.relay.Step(f.now, btmember.ResetRequested{Request: ask}) })
 		}
 	}
 }
@@ -236,12 +236,12 @@
 	}
 	if n.relay != nil {
 		for _, effect := range n.relay.Step(f.now, btmember.RelayTick{}) {
-			s := effect.(btmember.Send)
+			s := effect.(btmember.SendSummary)
 			if f.restamp {
 				s.Summary.AsOf = f.now
 			}
 			peer := f.node(s.To)
-			f.post(peer, func() { f.apply(peer, btmember.Summarised{Summary: s.Summary}) })
+			f.post(peer, func() { f.apply(peer, btmember.SummaryReceived{Summary: s.Summary}) })
 		}
 	}
 	for _, a := range f.agents {
@@ -302,7 +302,7 @@
 }
 
 func (f *fleet) hostWord(a *agent, leaving bool) {
-	word := btmember.HostList{Hosts: []btmember.HostWord{{Host: a.place.Host, Leaving: leaving}}}
+	word := btmember.HostList{Hosts: []btmember.HostStatus{{Host: a.place.Host, Leaving: leaving}}}
 	for _, n := range f.nodes {
 		n.inbox = append(n.inbox, func() { f.apply(n, word) })
 	}
--- a/core/btmember/listed_test.go
+++ b/core/btmember/listed_test.go
@@ -20,7 +20,7 @@
 	list := func(version btid.BundleVersion, targets ...btid.Target) []btmember.Effect {
 		b := btmember.Bundle{Version: version, Digest: btbundle.Digest{1}}
 		for _, name := range targets {
-			b.Targets = append(b.Targets, btmember.Place{Target: name, Host: "h", DataCentre: "north"})
+			b.Targets = append(b.Targets, btmember.TargetLocation{Target: name, Host: "h", DataCentre: "north"})
 		}
 		return m.Step(now, b)
 	}
@@ -32,14 +32,14 @@
 		for _, name := range names {
 			s.Rows = append(s.Rows, btmember.Row{Target: name, Incarnation: 5, State: btmember.Serving})
 		}
-		return m.Step(now, btmember.Summarised{Summary: s})
+		return m.Step(now, btmember.SummaryReceived{Summary: s})
 	}
 	list(1, "t1")
 	tell(true, "t1", "t2")
 	assert.Equal(t, len(tell(false)), 0)
 	list(2, "t1", "t2")
 	effects := tell(false)
-	assert.Equal(t, effects[len(effects)-1], btmember.Effect(btmember.AskReset{To: "e2", Origin: "north"}))
+	assert.Equal(t, effects[len(effects)-1], btmember.Effect(btmember.RequestReset{To: "e2", Origin: "north"}))
 	tell(true, "t1", "t2")
 	_, admitted := m.Admit(now, "t2")
 	assert.Assert(t, admitted)
--- a/core/btmember/plan.go
+++ b/core/btmember/plan.go
@@ -19,8 +19,8 @@
 // DefaultFanOut returns a full mesh for up to eight entries.
 func DefaultFanOut() FanOut { return FanOut{Watchers: 8, Branching: 3} }
 
-// EntryPlace is where an entry stands.
-type EntryPlace struct {
+// EntryLocation is where an entry stands.
+type EntryLocation struct {
 	Entry      btid.Entry
 	DataCentre btid.DataCentre
 }
@@ -33,7 +33,7 @@
 	Targets []btid.Target
 }
 
-// Plan is who tells whom, computed alike by every process from one bundle.
+// Topology is who tells whom, computed alike by every process from one bundle.
 //
 // An agent sends its heartbeats to Watchers entries, those of its own data
 // centre first. For each origin data centre, the entries of every data centre
@@ -41,18 +41,18 @@
 // of the inner nodes is spread. In the origin data centre summaries go up the
 // tree from the watchers to its root; the root sends them to the roots of the
 // other data centres, and all roots send them down.
-type Plan struct {
+type Topology struct {
 	fanOut  FanOut
-	entries []EntryPlace
-	targets []Place
+	entries []EntryLocation
+	targets []TargetLocation
 	// centres is the entries of each data centre, names its sorted names.
 	centres map[btid.DataCentre][]btid.Entry
 	names   []btid.DataCentre
 }
 
-// NewPlan returns the plan for the entries and targets of one bundle.
-func NewPlan(fanOut FanOut, entries []EntryPlace, targets []Place) *Plan {
-	p := &Plan{
+// NewTopology returns the plan for the entries and targets of one bundle.
+func NewTopology(fanOut FanOut, entries []EntryLocation, targets []TargetLocation) *Topology {
+	p := &Topology{
 		fanOut:  FanOut{Watchers: max(fanOut.Watchers, 1), Branching: max(fanOut.Branching, 1)},
 		entries: entries,
 		targets: targets,
@@ -68,11 +68,11 @@
 	return p
 }
 
-// Mesh tells whether every entry hears every agent itself.
-func (p *Plan) Mesh() bool { return len(p.entries) <= p.fanOut.Watchers }
+// FullMesh tells whether every entry hears every agent itself.
+func (p *Topology) FullMesh() bool { return len(p.entries) <= p.fanOut.Watchers }
 
 // Watchers returns the entries that an agent sends its heartbeats to.
-func (p *Plan) Watchers(target Place) []btid.Entry {
+func (p *Topology) Watchers(target TargetLocation) []btid.Entry {
 	near := p.centres[target.DataCentre]
 	order := btrendezvous.Order(string(target.Target), near)
 	if len(order) < p.fanOut.Watchers {
@@ -82,7 +82,7 @@
 	return order[:min(len(order), p.fanOut.Watchers)]
 }
 
-func (p *Plan) outside(centre btid.DataCentre) []btid.Entry {
+func (p *Topology) outside(centre btid.DataCentre) []btid.Entry {
 	var far []btid.Entry
 	for _, e := range p.entries {
 		if e.DataCentre != centre {
@@ -93,7 +93,7 @@
 }
 
 // Watched returns the targets whose heartbeats the entry hears itself.
-func (p *Plan) Watched(entry btid.Entry) []btid.Target {
+func (p *Topology) Watched(entry btid.Entry) []btid.Target {
 	var watched []btid.Target
 	for _, t := range p.targets {
 		if slices.Contains(p.Watchers(t), entry) {
@@ -104,11 +104,11 @@
 }
 
 // Links returns whom the entry sends summaries to, ordered by origin.
-func (p *Plan) Links(self EntryPlace) []Link {
-	if p.Mesh() {
+func (p *Topology) Links(self EntryLocation) []Link {
+	if p.FullMesh() {
 		return nil
 	}
-	byOrigin := map[btid.DataCentre][]Place{}
+	byOrigin := map[btid.DataCentre][]TargetLocation{}
 	for _, t := range p.targets {
 		byOrigin[t.DataCentre] = append(byOrigin[t.DataCentre], t)
 	}
@@ -124,7 +124,7 @@
 	return links
 }
 
-func (p *Plan) linksOf(self EntryPlace, origin btid.DataCentre, targets []Place) []Link {
+func (p *Topology) linksOf(self EntryLocation, origin btid.DataCentre, targets []TargetLocation) []Link {
 	all := make([]btid.Target, len(targets))
 	for i, t := range targets {
 		all[i] = t.Target
@@ -155,7 +155,7 @@
 }
 
 // home is the data centre whose tree gathers what is known of an origin.
-func (p *Plan) home(origin btid.DataCentre) btid.DataCentre {
+func (p *Topology) home(origin btid.DataCentre) btid.DataCentre {
 	if len(p.centres[origin]) > 0 {
 		return origin
 	}
@@ -165,11 +165,11 @@
 
 // tree is the entries of a data centre in the order of an origin's tree: the
 // children of i stand at branching*i+1 and after.
-func (p *Plan) tree(origin, centre btid.DataCentre) []btid.Entry {
+func (p *Topology) tree(origin, centre btid.DataCentre) []btid.Entry {
 	return btrendezvous.Order("tree/"+string(origin), p.centres[centre])
 }
 
-func (p *Plan) children(tree []btid.Entry, at int) []int {
+func (p *Topology) children(tree []btid.Entry, at int) []int {
 	var children []int
 	for i := range p.fanOut.Branching {
 		if child := p.fanOut.Branching*at + 1 + i; child < len(tree) {
@@ -180,7 +180,7 @@
 }
 
 // below returns the targets heard by the entry or by those under it.
-func (p *Plan) below(tree []btid.Entry, at int, targets []Place) []btid.Target {
+func (p *Topology) below(tree []btid.Entry, at int, targets []TargetLocation) []btid.Target {
 	under := map[btid.Entry]bool{}
 	for stack := []int{at}; len(stack) > 0; {
 		i := stack[len(stack)-1]
--- a/core/btmember/record.go
+++ b/core/btmember/record.go
@@ -10,7 +10,7 @@
 
 // record is what is known of one target.
 type record struct {
-	place    Place
+	place    TargetLocation
 	listed   bool
 	unlisted time.Time
 	// incarnation is the highest heard of, sequence the highest of its
@@ -40,7 +40,7 @@
 
 // View is what the router may know of a target.
 type View struct {
-	Place    Place
+	Location TargetLocation
 	Executor btid.Executor
 	// LeaseEnd is when the target stops getting work unless it is heard of.
 	LeaseEnd time.Time
--- a/core/btmember/relay.go
+++ b/core/btmember/relay.go
@@ -12,59 +12,59 @@
 // RelayEvent is what a Relay hears: Planned, Asked or RelayTick.
 type RelayEvent interface{ relayEvent() }
 
-// Planned is a new plan's links of this entry.
-type Planned struct{ Links []Link }
+// LinksUpdated is a new plan's links of this entry.
+type LinksUpdated struct{ Links []Link }
 
-// Asked is a peer's ask to start anew.
-type Asked struct{ Ask SummaryAsk }
+// ResetRequested is a peer's ask to start anew.
+type ResetRequested struct{ Request SummaryAsk }
 
 // RelayTick is the passing of time, due every RelaySettings.Urgent.
 type RelayTick struct{}
 
-func (Planned) relayEvent()   {}
-func (Asked) relayEvent()     {}
-func (RelayTick) relayEvent() {}
+func (LinksUpdated) relayEvent()   {}
+func (ResetRequested) relayEvent() {}
+func (RelayTick) relayEvent()      {}
 
 // RelayEffect is what a Relay wants done: Send.
 type RelayEffect interface{ relayEffect() }
 
-// Send carries a summary to a peer.
-type Send struct {
+// SendSummary carries a summary to a peer.
+type SendSummary struct {
 	To      btid.Entry
 	Summary Summary
 }
 
-func (Send) relayEffect() {}
+func (SendSummary) relayEffect() {}
 
 // RelaySettings bound what a Relay sends.
 type RelaySettings struct {
-	// Interval is how much a summary renews leases by: it is sent once the
+	// RenewalInterval is how much a summary renews leases by: it is sent once the
 	// evidence at hand is that much newer than what the peer was told, so that a
 	// chain of relays adds no more than Urgent a hop.
-	Interval time.Duration
-	// Urgent is the least time between two summaries to a peer, which is kept
+	RenewalInterval time.Duration
+	// MinInterval is the least time between two summaries to a peer, which is kept
 	// when a target came or went.
-	Urgent time.Duration
-	// Rows bounds the rows of a summary, and its levels; more wait for the next,
+	MinInterval time.Duration
+	// RowsPerSummary bounds the rows of a summary, and its levels; more wait for the next,
 	// the largest changes of load first.
-	Rows int
+	RowsPerSummary int
 	// SilentAfter is the age of a target's last heartbeat beyond which a watcher
 	// calls it silent; what peers vouched for may be two intervals older. Both
 	// lie well below the lease, so that one silent target never ages the leases
 	// of the others for long.
 	SilentAfter time.Duration
-	// LevelStep is the smallest change of load that is told.
-	LevelStep uint8
+	// MinLevelChange is the smallest change of load that is told.
+	MinLevelChange uint8
 }
 
 // DefaultRelaySettings go with DefaultSettings.
 func DefaultRelaySettings() RelaySettings {
 	return RelaySettings{
-		Interval:    time.Second,
-		Urgent:      100 * time.Millisecond,
-		Rows:        24,
-		SilentAfter: 2500 * time.Millisecond,
-		LevelStep:   1,
+		RenewalInterval: time.Second,
+		MinInterval:     100 * time.Millisecond,
+		RowsPerSummary:  24,
+		SilentAfter:     2500 * time.Millisecond,
+		MinLevelChange:  1,
 	}
 }
 
@@ -77,7 +77,7 @@
 	settings    RelaySettings
 	self        btid.Entry
 	incarnation btid.Incarnation
-	member      *Member
+	member      *Membership
 	outs        []*out
 }
 
@@ -107,17 +107,17 @@
 }
 
 // NewRelay returns a relay that reads, and never changes, the member.
-func NewRelay(settings RelaySettings, self btid.Entry, incarnation btid.Incarnation, member *Member) *Relay {
+func NewRelay(settings RelaySettings, self btid.Entry, incarnation btid.Incarnation, member *Membership) *Relay {
 	return &Relay{settings: settings, self: self, incarnation: incarnation, member: member}
 }
 
 // Step applies one event.
 func (y *Relay) Step(now time.Time, event RelayEvent) []RelayEffect {
 	switch e := event.(type) {
-	case Planned:
+	case LinksUpdated:
 		y.planned(e)
-	case Asked:
-		y.asked(e.Ask)
+	case ResetRequested:
+		y.asked(e.Request)
 	case RelayTick:
 		return y.tick(now)
 	}
@@ -125,7 +125,7 @@
 }
 
 // planned keeps the numbering of links that stay and starts them anew.
-func (y *Relay) planned(e Planned) {
+func (y *Relay) planned(e LinksUpdated) {
 	sequences := map[streamKey]uint64{}
 	for _, o := range y.outs {
 		sequences[streamKey{o.link.To, o.link.Origin}] = o.sequence
@@ -157,7 +157,7 @@
 	for _, o := range y.outs {
 		c := y.changes(now, o)
 		if y.due(now, o, len(c.rows) > 0) {
-			effects = append(effects, Send{To: o.link.To, Summary: y.summary(now, o, c)})
+			effects = append(effects, SendSummary{To: o.link.To, Summary: y.summary(now, o, c)})
 		}
 	}
 	return effects
@@ -167,13 +167,13 @@
 // hears so at times, which shows it what it missed.
 func (y *Relay) due(now time.Time, o *out, urgent bool) bool {
 	quiet := now.Sub(o.sent)
-	if quiet < y.settings.Urgent {
+	if quiet < y.settings.MinInterval {
 		return false
 	}
-	if urgent || o.reset || quiet >= keepAlive*y.settings.Interval {
+	if urgent || o.reset || quiet >= keepAlive*y.settings.RenewalInterval {
 		return true
 	}
-	return y.asOf(now, o).Sub(o.asOf) >= y.settings.Interval
+	return y.asOf(now, o).Sub(o.asOf) >= y.settings.RenewalInterval
 }
 
 func (y *Relay) summary(now time.Time, o *out, c changes) Summary {
@@ -243,12 +243,12 @@
 			continue
 		}
 		size := max(row.Level, told.Level) - min(row.Level, told.Level)
-		if size >= max(y.settings.LevelStep, 1) {
+		if size >= max(y.settings.MinLevelChange, 1) {
 			c.levels = append(c.levels, levelChange{row: row, size: size})
 		}
 	}
 	slices.SortStableFunc(c.levels, func(a, b levelChange) int { return cmp.Compare(b.size, a.size) })
-	most := min(y.settings.Rows, MaxRows)
+	most := min(y.settings.RowsPerSummary, MaxRows)
 	c.rows = c.rows[:min(len(c.rows), most)]
 	c.levels = c.levels[:min(len(c.levels), most)]
 	return c
@@ -274,5 +274,5 @@
 	if now.Sub(r.heard) <= y.settings.SilentAfter {
 		return false
 	}
-	return now.Sub(r.told) > y.settings.SilentAfter+keepAlive*y.settings.Interval
+	return now.Sub(r.told) > y.settings.SilentAfter+keepAlive*y.settings.RenewalInterval
 }
--- a/core/btmember/stream.go
+++ b/core/btmember/stream.go
@@ -29,7 +29,7 @@
 	named []btid.Target
 }
 
-func (m *Member) summarised(s Summary) {
+func (m *Membership) summarised(s Summary) {
 	key := streamKey{from: s.From, origin: s.Origin}
 	t := m.streams[key]
 	if t == nil {
@@ -48,7 +48,7 @@
 		t.whole = false
 		m.farewellRows(s)
 		m.ignore("", ReasonSummaryGap)
-		m.effects = append(m.effects, AskReset{To: s.From, Origin: s.Origin})
+		m.effects = append(m.effects, RequestReset{To: s.From, Origin: s.Origin})
 		return
 	}
 	if s.Reset {
@@ -75,7 +75,7 @@
 }
 
 // levelTold applies a changed load.
-func (m *Member) levelTold(t *stream, l Level) {
+func (m *Membership) levelTold(t *stream, l Level) {
 	if int(l.Number) >= len(t.named) {
 		return
 	}
@@ -88,7 +88,7 @@
 
 // farewellRows believes what a summary after a gap says of leaving, which is
 // final whatever was missed.
-func (m *Member) farewellRows(s Summary) {
+func (m *Membership) farewellRows(s Summary) {
 	for _, w := range s.Rows {
 		r := m.records[w.Target]
 		if r == nil || !w.State.leaves() || w.Incarnation < r.incarnation {
@@ -102,7 +102,7 @@
 }
 
 // row applies one changed target.
-func (m *Member) row(t *stream, w Row) {
+func (m *Membership) row(t *stream, w Row) {
 	delete(t.vouched, w.Target)
 	r := m.records[w.Target]
 	if r == nil || !r.listed || w.Incarnation < r.incarnation {
@@ -127,7 +127,7 @@
 }
 
 // renew renews the leases of all that the stream vouches for.
-func (m *Member) renew(t *stream) {
+func (m *Membership) renew(t *stream) {
 	end := m.leaseEnd(t.asOf)
 	for _, name := range m.names {
 		r := m.records[name]
@@ -140,7 +140,7 @@
 }
 
 // silent takes back what a peer vouched for, and keeps what others do.
-func (m *Member) silent(r *record) {
+func (m *Membership) silent(r *record) {
 	r.told = time.Time{}
 	for _, t := range m.streams {
 		if incarnation, ok := t.vouched[r.place.Target]; ok && incarnation == r.incarnation {
@@ -157,14 +157,14 @@
 // distrustStreams makes every peer start anew with its next summary: a row about
 // a target that was not listed yet is lost, and peers with a newer bundle send
 // it once. Leases at hand go on meanwhile.
-func (m *Member) distrustStreams() {
+func (m *Membership) distrustStreams() {
 	for _, t := range m.streams {
 		t.whole = false
 	}
 }
 
 // forgetStreams makes every peer start anew.
-func (m *Member) forgetStreams() {
+func (m *Membership) forgetStreams() {
 	for _, t := range m.streams {
 		t.whole = false
 		t.asOf = time.Time{}
@@ -174,7 +174,7 @@
 
 // forgetOldStreams drops peers that no longer send, once nothing of theirs
 // could renew a lease.
-func (m *Member) forgetOldStreams() {
+func (m *Membership) forgetOldStreams() {
 	for key, t := range m.streams {
 		if !m.leaseEnd(t.heard).After(m.now) {
 			delete(m.streams, key)
--- a/io/btagent/btagent.go
+++ b/io/btagent/btagent.go
@@ -86,7 +86,7 @@
 		self:     btid.Executor{Target: o.Target, Incarnation: btid.Incarnation(o.Clock().UnixNano())},
 		starting: make(chan func(context.Context), startQueue),
 	}
-	a.stop = btprocess.NewStop(btmember.DrainSettings{Grace: stopGrace}, o.Elapsed, o.Assert, o.Log)
+	a.stop = btprocess.NewStop(btmember.DrainSettings{DeadlineGrace: stopGrace}, o.Elapsed, o.Assert, o.Log)
 	a.home = newKeyHome(o, a.self, o.Bundles)
 	a.isolation = btprocess.NewIsolation(o.Bundles)
 	a.heartbeat = newHeartbeat(o, a.self, a.report, a.remind)
--- a/io/btentry/btentry.go
+++ b/io/btentry/btentry.go
@@ -87,7 +87,7 @@
 // New returns an entry and sets the node's handlers. The bundles must not run
 // yet.
 func New(o Options) *Entry {
-	place := btmember.EntryPlace{Entry: o.Name, DataCentre: o.DataCentre}
+	place := btmember.EntryLocation{Entry: o.Name, DataCentre: o.DataCentre}
 	incarnation := btid.Incarnation(o.Clock().UnixNano())
 	e := &Entry{
 		options:     o,
@@ -95,7 +95,7 @@
 		fleet:       newFleet(o, place, incarnation),
 	}
 	e.summaries = newSummaries(o, e.fleet)
-	e.stop = btprocess.NewStop(btmember.DrainSettings{Lag: o.BalancerLag, Grace: stopGrace}, o.Elapsed, o.Assert, o.Log)
+	e.stop = btprocess.NewStop(btmember.DrainSettings{ReadinessLag: o.BalancerLag, DeadlineGrace: stopGrace}, o.Elapsed, o.Assert, o.Log)
 	end := &dispatch{entry: e, sender: sender{entry: e}}
 	e.limit = newLimit(e)
 	e.reserve = newReserve(o.Clock, o.Meter)
@@ -181,9 +181,9 @@
 	for ctx.Err() == nil {
 		hosts, err := e.options.Platform.Hosts(ctx)
 		if err == nil {
-			words := make([]btmember.HostWord, 0, len(hosts))
+			words := make([]btmember.HostStatus, 0, len(hosts))
 			for _, h := range hosts {
-				words = append(words, btmember.HostWord{Host: h.Name, Leaving: h.State == btplatform.Leaving})
+				words = append(words, btmember.HostStatus{Host: h.Name, Leaving: h.State == btplatform.Leaving})
 			}
 			e.fleet.tell(btmember.HostList{Hosts: words})
 		}
--- a/io/btentry/configure.go
+++ b/io/btentry/configure.go
@@ -93,13 +93,13 @@
 func (f *fleet) setMembers(now time.Time, a *btbundle.Approved) {
 	plan := btprocess.PlanOf(a)
 	lease := a.Bundle.Timeouts.TargetLease.Duration
-	if !plan.Mesh() {
+	if !plan.FullMesh() {
 		lease = max(lease, summaryLease)
 	}
 	clockError := a.Bundle.Idempotency.ClockError.Duration
 	f.lease = lease + clockError
 	f.links = plan.Links(f.place)
-	f.relay.Step(now, btmember.Planned{Links: f.links})
+	f.relay.Step(now, btmember.LinksUpdated{Links: f.links})
 	f.joined(f.member.Step(now, btmember.Configured{Lease: lease, ClockError: clockError}))
 	order := a.Order()
 	f.joined(f.member.Step(now, btmember.Bundle{Version: order.Version, Digest: order.Digest, Targets: btprocess.PlacesOf(a)}))
@@ -110,7 +110,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	f.joined(f.member.Step(now, btmember.Summarised{Summary: s}))
+	f.joined(f.member.Step(now, btmember.SummaryReceived{Summary: s}))
 	if f.bundle == nil {
 		return
 	}
@@ -140,15 +140,15 @@
 }
 
 // passOn returns the summaries that are due.
-func (f *fleet) passOn() []btmember.Send {
+func (f *fleet) passOn() []btmember.SendSummary {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.links) == 0 {
 		return nil
 	}
-	var sends []btmember.Send
+	var sends []btmember.SendSummary
 	for _, effect := range f.relay.Step(f.clock(), btmember.RelayTick{}) {
-		if send, ok := effect.(btmember.Send); ok {
+		if send, ok := effect.(btmember.SendSummary); ok {
 			sends = append(sends, send)
 		}
 	}
@@ -159,7 +159,7 @@
 func (f *fleet) asked(ask btmember.SummaryAsk) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.relay.Step(f.clock(), btmember.Asked{Ask: ask})
+	f.relay.Step(f.clock(), btmember.ResetRequested{Request: ask})
 }
 
 // linked returns the entries that summaries go to.
--- a/io/btentry/fleet.go
+++ b/io/btentry/fleet.go
@@ -34,7 +34,7 @@
 	log     *slog.Logger
 
 	mu      sync.Mutex
-	member  *btmember.Member
+	member  *btmember.Membership
 	router  *btroute.Router
 	tracker *btload.Tracker
 	// ejected holds the targets that are out of rotation, for operators.
@@ -44,7 +44,7 @@
 	budget  *btretry.Budget
 	decider *btretry.Decider
 	serial  uint64
-	place   btmember.EntryPlace
+	place   btmember.EntryLocation
 	// relay passes on what this entry hears, where not every entry hears all.
 	relay *btmember.Relay
 	links []btmember.Link
@@ -54,10 +54,10 @@
 	// lease is how long a lease lasts from its evidence on, by this clock.
 	lease time.Duration
 	// ask has a peer start its summaries anew.
-	ask func(btmember.AskReset)
+	ask func(btmember.RequestReset)
 }
 
-func newFleet(o Options, place btmember.EntryPlace, incarnation btid.Incarnation) *fleet {
+func newFleet(o Options, place btmember.EntryLocation, incarnation btid.Incarnation) *fleet {
 	config := btroute.Defaults()
 	config.DataCentre = place.DataCentre
 	tracker := btload.New(btload.Defaults())
@@ -106,7 +106,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	f.joined(f.member.Step(now, btmember.Heard{Heartbeat: h}))
+	f.joined(f.member.Step(now, btmember.HeartbeatReceived{Heartbeat: h}))
 	f.renew(now, h.Target)
 	f.report(now, h.Load)
 }
@@ -145,7 +145,7 @@
 			f.renew(now, e.Executor.Target)
 		case btmember.Left:
 			f.left(now, e)
-		case btmember.AskReset:
+		case btmember.RequestReset:
 			f.ask(e)
 		case btmember.Ignored:
 			f.meter.Refused(e.Reason)
@@ -170,7 +170,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	cause, _ := f.member.Cause(target)
-	return cause == btmember.CauseHostList
+	return cause == btmember.CauseHostLeaving
 }
 
 // stopped tells whether a target's agent said good-bye, and nobody has answered
@@ -179,7 +179,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	cause, _ := f.member.Cause(target)
-	return cause == btmember.CauseStopped
+	return cause == btmember.CauseAgentStopped
 }
 
 // cached takes changes of a target's prefix cache.
--- a/io/btentry/outcome_test.go
+++ b/io/btentry/outcome_test.go
@@ -240,7 +240,7 @@
 	w.agents["p1"].Stop().Terminate()
 	w.await(func() bool {
 		return slices.ContainsFunc(w.entry.Status().Targets, func(s btprocess.TargetStatus) bool {
-			return s.Target == "p1" && s.Cause == string(btmember.CauseStopped)
+			return s.Target == "p1" && s.Cause == string(btmember.CauseAgentStopped)
 		})
 	})
 	told := false
--- a/io/btentry/summary.go
+++ b/io/btentry/summary.go
@@ -52,7 +52,7 @@
 
 func newSummaries(o Options, f *fleet) *summaries {
 	s := &summaries{options: o, fleet: f, peers: map[btid.Entry]*summaryPeer{}}
-	f.ask = func(ask btmember.AskReset) { go s.askReset(ask) }
+	f.ask = func(ask btmember.RequestReset) { go s.askReset(ask) }
 	o.Node.Handle(btprocess.KindSummary, s.hear)
 	o.Node.Handle(btprocess.KindSummaryAsk, btpeer.Answer(s.answerAsk))
 	return s
@@ -70,7 +70,7 @@
 
 // send queues a summary. One that finds no room is dropped: the peer notices
 // the gap, and is told anew.
-func (s *summaries) send(ctx context.Context, send btmember.Send) {
+func (s *summaries) send(ctx context.Context, send btmember.SendSummary) {
 	p := s.peer(ctx, send.To)
 	s.options.Meter.Counter(metricSummaries).Inc(1)
 	s.options.Meter.Counter(metricRows).Inc(int64(len(send.Summary.Rows)))
@@ -171,7 +171,7 @@
 	return ask, nil
 }
 
-func (s *summaries) askReset(a btmember.AskReset) {
+func (s *summaries) askReset(a btmember.RequestReset) {
 	current := s.options.Bundles.Current()
 	if current == nil {
 		return
--- a/io/btprocess/bundles_test.go
+++ b/io/btprocess/bundles_test.go
@@ -248,7 +248,7 @@
 		approved := large(t, c.entries)
 		plan := btprocess.PlanOf(approved)
 		assert.Equal(t, len(plan.Watchers(btprocess.PlacesOf(approved)[0])), c.watchers)
-		assert.Equal(t, plan.Mesh(), c.watchers == c.entries)
+		assert.Equal(t, plan.FullMesh(), c.watchers == c.entries)
 	}
 }
 
@@ -256,7 +256,7 @@
 // further event.
 func TestStopTakesItsSteps(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	stop := btprocess.NewStop(btmember.DrainSettings{Lag: 100 * time.Millisecond}, time.Now, btassert.New(btassert.Panic()), log)
+	stop := btprocess.NewStop(btmember.DrainSettings{ReadinessLag: 100 * time.Millisecond}, time.Now, btassert.New(btassert.Panic()), log)
 	var steps []string
 	note := func(step string) func() { return func() { steps = append(steps, step) } }
 	stop.Terminate()
--- a/io/btprocess/capacity_test.go
+++ b/io/btprocess/capacity_test.go
@@ -149,7 +149,7 @@
 		all[to].peers["entry/"+string(from)] = true
 	}
 	for _, e := range a.Bundle.Entries {
-		for _, l := range plan.Links(btmember.EntryPlace{Entry: e.Name, DataCentre: e.DataCentre}) {
+		for _, l := range plan.Links(btmember.EntryLocation{Entry: e.Name, DataCentre: e.DataCentre}) {
 			both(e.Name, l.To, 1, s.summary+levelChanges*float64(len(l.Targets))*s.level, messageOverhead)
 		}
 		// One call a round, whose answer is as large.
@@ -194,7 +194,7 @@
 			self := a.Bundle.Entries[0]
 			for b.Loop() {
 				plan := btprocess.PlanOf(a)
-				plan.Links(btmember.EntryPlace{Entry: self.Name, DataCentre: self.DataCentre})
+				plan.Links(btmember.EntryLocation{Entry: self.Name, DataCentre: self.DataCentre})
 			}
 			entries := float64(f.entries)
 			b.ReportMetric(sum.messages/entries, "mean_messages/s")
@@ -249,7 +249,7 @@
 			m.Step(now, btmember.Bundle{Version: 1, Targets: places})
 			load := make([]byte, 64)
 			for _, p := range places {
-				m.Step(now, btmember.Heard{Heartbeat: btmember.Heartbeat{
+				m.Step(now, btmember.HeartbeatReceived{Heartbeat: btmember.Heartbeat{
 					Target: p.Target, Incarnation: 1, Sequence: 1, SentAt: now, State: btmember.Serving, BundleVersion: 1, Load: append([]byte(nil), load...),
 				}})
 			}
--- a/io/btprocess/stop.go
+++ b/io/btprocess/stop.go
@@ -51,11 +51,11 @@
 
 // Began counts a request that this process has to answer.
 func (s *Stop) Began(id btid.Request, deadline time.Time) {
-	s.loop.Post(btmember.Began{ID: id, Deadline: deadline})
+	s.loop.Post(btmember.RequestBegan{ID: id, Deadline: deadline})
 }
 
 // Ended counts the end of a request.
-func (s *Stop) Ended(id btid.Request) { s.loop.Post(btmember.Ended{ID: id}) }
+func (s *Stop) Ended(id btid.Request) { s.loop.Post(btmember.RequestEnded{ID: id}) }
 
 // Terminate begins the stop; a second call changes nothing.
 func (s *Stop) Terminate() { s.loop.Post(btmember.Terminate{}) }
