--- a/core/btmember/btmember.go
+++ b/core/btmember/btmember.go
@@ -1,19 +1,23 @@
-// Package btmember is an entry's view of which targets may be given work.
+// Package btmember tracks, for one entry, which targets may be given work, and runs
+// the planned stop of a process.
 //
-// An entry holds a lease for each target, which the heartbeats of the agent
-// beside it renew. A heartbeat counts from the time at which it was sent, so a
-// late one renews little or nothing, and a repeated one or one of an earlier
-// incarnation renews nothing. A target leaves on the first of: the bundle
-// removing it, the host list calling its host leaving, the agent draining or
-// saying goodbye, the engine's own report, and the end of the lease. It comes
-// back only by later evidence of the same kind: a later bundle, a later host
-// list, a later incarnation of the agent, or a fresh heartbeat.
+// An entry holds a lease for each target. Heartbeats of the agent next to the
+// target renew the lease. A lease counts from the time at which the heartbeat was
+// sent, so a late heartbeat renews little or nothing; a repeated heartbeat or one
+// of an earlier incarnation renews nothing.
 //
-// No lease outlives the sending of its heartbeat by more than the lease time
-// and twice the clock error.
+// A target becomes ineligible as soon as one of these happens: the bundle removes
+// it, the host list marks its host as leaving, its agent drains or stops, the
+// engine reports that it is leaving, or the lease expires. It becomes eligible
+// again only by later evidence of the same kind: a later bundle, a later host list,
+// a later incarnation of the agent, or a fresh heartbeat.
 //
-// In a small fleet each entry hears each agent. In a large one each agent is
-// heard by a few entries, and the rest by summaries: see Plan and Relay.
+// No lease ends later than the lease time plus twice the clock error after its
+// heartbeat was sent.
+//
+// In a small fleet every entry receives the heartbeats of every agent. In a large
+// fleet a few entries receive them and pass them on in summaries: see Topology and
+// Relay.
 package btmember
 
 import (
@@ -30,29 +34,30 @@
 	"bilberrytide/core/btrequest"
 )
 
-// The invariants that a Member asserts.
+// The invariants that a Membership asserts.
 const (
-	// NoWorkWithoutLease: work is admitted only while evidence at hand vouches
-	// for the target.
+	// NoWorkWithoutLease: work is admitted only while a heartbeat or a summary
+	// proves that the target was recently serving.
 	NoWorkWithoutLease btassert.Name = "member_no_work_without_lease"
-	// LeavingIsFinal: an incarnation that said it was leaving never joins again.
+	// LeavingIsFinal: an incarnation that announced that it is leaving never
+	// becomes eligible again.
 	LeavingIsFinal btassert.Name = "member_leaving_is_final"
 )
 
-// Settings are the times of a Member.
+// Settings configures a Membership.
 type Settings struct {
-	// Lease is how long a target gets work after a heartbeat was sent.
+	// Lease is how long a target may be given work after a heartbeat was sent.
 	Lease time.Duration
-	// ClockError is the largest difference between two hosts' clocks.
+	// ClockError is the largest difference between the clocks of two hosts.
 	ClockError time.Duration
-	// PauseLimit is the longest time between two steps of a running entry; after
-	// a longer one it believes none of its leases.
+	// PauseLimit is the longest time between two steps of a running entry. After a
+	// longer gap the entry trusts none of its leases.
 	PauseLimit time.Duration
-	// Level quantises a load report to a few steps; nil stands for level 0.
+	// Level quantises a load report; nil means that every level is 0.
 	Level func(load cbor.RawMessage) uint8
 }
 
-// DefaultSettings returns settings for heartbeats of one a second.
+// DefaultSettings returns the settings for one heartbeat a second.
 func DefaultSettings() Settings {
 	return Settings{
 		Lease:      3 * time.Second,
@@ -61,51 +66,52 @@
 	}
 }
 
-// Membership is the machine of one entry.
+// Membership is the state machine of one entry. It is not safe for concurrent use.
 type Membership struct {
 	settings Settings
 	asserter *btassert.Asserter
 
-	now     time.Time
-	version btid.BundleVersion
-	digest  btbundle.Digest
-	records map[btid.Target]*record
-	names   []btid.Target
-	leaving map[btid.Host]bool
-	streams map[streamKey]*stream
-	// farewells is the highest incarnation of each target that said it was
-	// leaving, kept apart from the records to check them.
-	farewells map[btid.Target]btid.Incarnation
-	effects   []Effect
+	now          time.Time
+	version      btid.BundleVersion
+	digest       btbundle.Digest
+	records      map[btid.Target]*record
+	targets      []btid.Target
+	leavingHosts map[btid.Host]bool
+	streams      map[streamKey]*inboundStream
+	// leftIncarnations is the highest incarnation of each target that announced
+	// that it is leaving. It is kept apart from the records so that LeavingIsFinal
+	// can check them.
+	leftIncarnations map[btid.Target]btid.Incarnation
+	effects          []Effect
 }
 
 var _ btcore.Machine[Event, Effect] = (*Membership)(nil)
 
-// New returns a view that knows no target until the first Bundle.
+// New returns a Membership without targets; the first Bundle adds them.
 func New(settings Settings, asserter *btassert.Asserter) *Membership {
 	return &Membership{
-		settings:  settings,
-		asserter:  asserter,
-		records:   map[btid.Target]*record{},
-		leaving:   map[btid.Host]bool{},
-		streams:   map[streamKey]*stream{},
-		farewells: map[btid.Target]btid.Incarnation{},
+		settings:         settings,
+		asserter:         asserter,
+		records:          map[btid.Target]*record{},
+		leavingHosts:     map[btid.Host]bool{},
+		streams:          map[streamKey]*inboundStream{},
+		leftIncarnations: map[btid.Target]btid.Incarnation{},
 	}
 }
 
-// Step applies one event.
+// Step applies one event and returns its effects in order.
 func (m *Membership) Step(now time.Time, event Event) []Effect {
 	m.effects = nil
 	m.advance(now)
 	switch e := event.(type) {
 	case HeartbeatReceived:
-		m.heard(e.Heartbeat)
+		m.applyHeartbeat(e.Heartbeat)
 	case SummaryReceived:
-		m.summarised(e.Summary)
+		m.applySummary(e.Summary)
 	case HostList:
-		m.hostList(e)
+		m.applyHostList(e)
 	case Bundle:
-		m.bundle(e)
+		m.applyBundle(e)
 	case Configured:
 		m.configure(e)
 	case Tick:
@@ -118,15 +124,16 @@
 	m.settings.Lease = cmp.Or(e.Lease, m.settings.Lease)
 	m.settings.ClockError = cmp.Or(e.ClockError, m.settings.ClockError)
 	m.settings.PauseLimit = cmp.Or(e.PauseLimit, m.settings.PauseLimit)
-	for _, name := range m.names {
+	for _, name := range m.targets {
 		r := m.records[name]
 		if evidence := r.evidence(); !evidence.IsZero() {
-			r.until = earlier(r.until, m.leaseEnd(evidence))
+			r.leaseEnd = earlier(r.leaseEnd, m.leaseEnd(evidence))
 		}
 	}
 }
 
-// advance moves the time and forgets every lease after a pause.
+// advance moves the clock forward and drops every lease after a pause longer than
+// PauseLimit.
 func (m *Membership) advance(now time.Time) {
 	if now.Before(m.now) {
 		return
@@ -136,42 +143,44 @@
 	if !paused {
 		return
 	}
-	m.forgetStreams()
-	for _, name := range m.names {
+	m.resetStreams()
+	for _, name := range m.targets {
 		r := m.records[name]
-		r.heard = time.Time{}
-		r.told = time.Time{}
-		r.until = time.Time{}
+		r.heartbeatAt = time.Time{}
+		r.summaryAt = time.Time{}
+		r.leaseEnd = time.Time{}
 		m.leave(r, CauseEntryPaused)
 	}
 }
 
-// adopt turns a record to a later incarnation, of which nothing is known yet.
-func (m *Membership) adopt(r *record, incarnation btid.Incarnation) {
+// startIncarnation resets the record for a later incarnation, about which nothing
+// is known yet.
+func (m *Membership) startIncarnation(r *record, incarnation btid.Incarnation) {
 	m.leave(r, CauseAgentRestarted)
-	*r = record{place: r.place, listed: r.listed, incarnation: incarnation}
+	*r = record{location: r.location, listed: r.listed, incarnation: incarnation}
 }
 
-// tick ends leases that ran out and forgets targets long unlisted.
+// tick expires leases and removes targets that have been unlisted for longer than
+// any lease lasts.
 func (m *Membership) tick() {
-	for _, name := range slices.Clone(m.names) {
+	for _, name := range slices.Clone(m.targets) {
 		r := m.records[name]
 		m.refresh(r)
-		if !r.listed && m.now.Sub(r.unlisted) > m.settings.Lease+2*m.settings.ClockError {
-			m.forget(name)
+		if !r.listed && m.now.Sub(r.unlistedAt) > m.settings.Lease+2*m.settings.ClockError {
+			m.removeTarget(name)
 		}
 	}
-	m.forgetOldStreams()
+	m.pruneStreams()
 }
 
-func (m *Membership) forget(name btid.Target) {
+func (m *Membership) removeTarget(name btid.Target) {
 	delete(m.records, name)
-	delete(m.farewells, name)
-	at, _ := slices.BinarySearch(m.names, name)
-	m.names = slices.Delete(m.names, at, at+1)
+	delete(m.leftIncarnations, name)
+	at, _ := slices.BinarySearch(m.targets, name)
+	m.targets = slices.Delete(m.targets, at, at+1)
 }
 
-func (m *Membership) heard(h Heartbeat) {
+func (m *Membership) applyHeartbeat(h Heartbeat) {
 	r := m.records[h.Target]
 	if r == nil || !r.listed {
 		m.ignore(h.Target, ReasonUnlisted)
@@ -180,35 +189,36 @@
 	if h.BundleVersion > m.version || h.BundleVersion == m.version && digestAbove(h.BundleDigest, m.digest) {
 		m.effects = append(m.effects, NewerBundle{From: h.Target, Version: h.BundleVersion, Digest: h.BundleDigest})
 	}
-	if reason, ok := m.believe(r, h); !ok {
+	if reason, ok := m.checkHeartbeat(r, h); !ok {
 		m.ignore(h.Target, reason)
 		return
 	}
 	if h.Incarnation > r.incarnation {
-		m.adopt(r, h.Incarnation)
+		m.startIncarnation(r, h.Incarnation)
 	}
-	if h.State.leaves() {
-		m.farewell(r, h.State)
+	if h.State.leaving() {
+		m.markLeaving(r, h.State)
 		return
 	}
 	r.sequence = h.Sequence
-	r.heard = earlier(h.SentAt, m.now)
+	r.heartbeatAt = earlier(h.SentAt, m.now)
 	r.load = h.Load
 	r.level = m.level(h.Load)
-	r.until = later(r.until, m.leaseEnd(r.heard))
+	r.leaseEnd = later(r.leaseEnd, m.leaseEnd(r.heartbeatAt))
 	m.refresh(r)
 }
 
-// believe tells whether a heartbeat may change the record. A leaving state of
-// the present or a later incarnation is believed however late it is.
-func (m *Membership) believe(r *record, h Heartbeat) (btrequest.Reason, bool) {
+// checkHeartbeat reports whether a heartbeat may change the record, and the reason
+// if not. A leaving state of the current or a later incarnation is accepted however
+// late it arrives.
+func (m *Membership) checkHeartbeat(r *record, h Heartbeat) (btrequest.Reason, bool) {
 	if h.Incarnation < r.incarnation {
 		return ReasonOldIncarnation, false
 	}
-	if h.State.leaves() {
+	if h.State.leaving() {
 		return "", true
 	}
-	if h.Incarnation == r.incarnation && r.farewell != 0 {
+	if h.Incarnation == r.incarnation && r.leavingState != 0 {
 		return ReasonAfterLeaving, false
 	}
 	if h.Incarnation == r.incarnation && h.Sequence <= r.sequence {
@@ -223,28 +233,28 @@
 	return "", true
 }
 
-// farewell ends the work of the record's incarnation for good.
-func (m *Membership) farewell(r *record, state State) {
-	if r.farewell == 0 || r.farewell == Draining {
-		r.farewell = state
+// markLeaving makes the record's incarnation ineligible for good.
+func (m *Membership) markLeaving(r *record, state State) {
+	if r.leavingState == 0 || r.leavingState == Draining {
+		r.leavingState = state
 	}
-	r.until = time.Time{}
-	m.farewells[r.place.Target] = max(m.farewells[r.place.Target], r.incarnation)
+	r.leaseEnd = time.Time{}
+	m.leftIncarnations[r.location.Target] = max(m.leftIncarnations[r.location.Target], r.incarnation)
 	m.refresh(r)
 }
 
-func (m *Membership) hostList(e HostList) {
+func (m *Membership) applyHostList(e HostList) {
 	for _, w := range e.Hosts {
 		if w.Leaving {
-			m.leaving[w.Host] = true
+			m.leavingHosts[w.Host] = true
 		} else {
-			delete(m.leaving, w.Host)
+			delete(m.leavingHosts, w.Host)
 		}
 	}
 	m.refreshAll()
 }
 
-func (m *Membership) bundle(e Bundle) {
+func (m *Membership) applyBundle(e Bundle) {
 	if e.Version < m.version || e.Version == m.version && !digestAbove(e.Digest, m.digest) {
 		return
 	}
@@ -254,57 +264,56 @@
 	added := false
 	for _, p := range e.Targets {
 		listed[p.Target] = true
-		added = m.list(p) || added
+		added = m.addTarget(p) || added
 	}
 	if added {
-		m.distrustStreams()
+		m.invalidateStreams()
 	}
-	for _, name := range m.names {
+	for _, name := range m.targets {
 		if r := m.records[name]; r.listed && !listed[name] {
 			r.listed = false
-			r.unlisted = m.now
+			r.unlistedAt = m.now
 		}
 	}
-	m.forgetHosts()
+	m.pruneHosts()
 	m.refreshAll()
 }
 
-// list notes a target, and tells whether it was not listed before.
-func (m *Membership) list(p TargetLocation) bool {
+// addTarget adds or updates a target and reports whether it was not listed before.
+func (m *Membership) addTarget(p TargetLocation) bool {
 	r := m.records[p.Target]
 	if r == nil {
 		r = &record{}
 		m.records[p.Target] = r
-		at, _ := slices.BinarySearch(m.names, p.Target)
-		m.names = slices.Insert(m.names, at, p.Target)
+		at, _ := slices.BinarySearch(m.targets, p.Target)
+		m.targets = slices.Insert(m.targets, at, p.Target)
 	}
 	added := !r.listed
-	r.place = p
+	r.location = p
 	r.listed = true
 	return added
 }
 
-// forgetHosts drops the states of hosts that carry no target, which bounds
-// them.
-func (m *Membership) forgetHosts() {
+// pruneHosts drops hosts without targets, which bounds the size of leavingHosts.
+func (m *Membership) pruneHosts() {
 	used := map[btid.Host]bool{}
 	for _, r := range m.records {
-		used[r.place.Host] = true
+		used[r.location.Host] = true
 	}
-	for host := range m.leaving {
+	for host := range m.leavingHosts {
 		if !used[host] {
-			delete(m.leaving, host)
+			delete(m.leavingHosts, host)
 		}
 	}
 }
 
 func (m *Membership) refreshAll() {
-	for _, name := range m.names {
+	for _, name := range m.targets {
 		m.refresh(m.records[name])
 	}
 }
 
-// refresh tells of a target that may be given work from now on, or no more.
+// refresh emits Joined or Left where the eligibility of the target has changed.
 func (m *Membership) refresh(r *record) {
 	cause, out := m.cause(r)
 	if out {
@@ -314,28 +323,28 @@
 	if r.joined {
 		return
 	}
-	final := m.farewells[r.place.Target]
-	if !m.asserter.That(r.incarnation > final, LeavingIsFinal, "%s joins after %s left", r.executor(), final) {
+	final := m.leftIncarnations[r.location.Target]
+	if !m.asserter.That(r.incarnation > final, LeavingIsFinal, "%s became eligible after incarnation %s left", r.executor(), final) {
 		return
 	}
 	r.joined = true
 	m.effects = append(m.effects, Joined{Executor: r.executor()})
 }
 
-// cause returns why a target may not be given work, false where it may.
+// cause returns why the target is ineligible, and false if it is eligible.
 func (m *Membership) cause(r *record) (Cause, bool) {
 	switch {
 	case !r.listed:
 		return CauseBundleRemoved, true
-	case m.leaving[r.place.Host]:
+	case m.leavingHosts[r.location.Host]:
 		return CauseHostLeaving, true
-	case r.farewell == Draining:
+	case r.leavingState == Draining:
 		return CauseAgentDraining, true
-	case r.farewell == Stopped:
+	case r.leavingState == Stopped:
 		return CauseAgentStopped, true
-	case r.farewell == EngineLeaving:
+	case r.leavingState == EngineLeaving:
 		return CauseEngineLeaving, true
-	case !r.until.After(m.now):
+	case !r.leaseEnd.After(m.now):
 		return CauseLeaseExpired, true
 	}
 	return "", false
@@ -360,7 +369,7 @@
 	return m.settings.Level(load)
 }
 
-// leaseEnd is the end of a lease on evidence of that time.
+// leaseEnd returns when a lease ends that rests on evidence of the given time.
 func (m *Membership) leaseEnd(evidence time.Time) time.Time {
 	return evidence.Add(m.settings.ClockError + m.settings.Lease)
 }
--- a/core/btmember/btmember_test.go
+++ b/core/btmember/btmember_test.go
@@ -17,22 +17,22 @@
 
 var seeds = flag.Uint64("seeds", 12, "seeds of each randomised run")
 
-// lastWins is the naive view: any heartbeat renews for the whole lease, and a
-// leaving one ends it.
-type lastWins struct {
-	settings btmember.Settings
-	until    map[btid.Target]time.Time
-	life     map[btid.Target]btid.Incarnation
+// lastMessageWins is a naive membership: any heartbeat renews the whole lease, and
+// a leaving one ends it.
+type lastMessageWins struct {
+	settings     btmember.Settings
+	until        map[btid.Target]time.Time
+	incarnations map[btid.Target]btid.Incarnation
 }
 
-func newLastWins(settings btmember.Settings) view {
-	return &lastWins{settings: settings, until: map[btid.Target]time.Time{}, life: map[btid.Target]btid.Incarnation{}}
+func newLastMessageWins(settings btmember.Settings) view {
+	return &lastMessageWins{settings: settings, until: map[btid.Target]time.Time{}, incarnations: map[btid.Target]btid.Incarnation{}}
 }
 
-func (w *lastWins) Step(now time.Time, event btmember.Event) []btmember.Effect {
+func (w *lastMessageWins) Step(now time.Time, event btmember.Event) []btmember.Effect {
 	if e, ok := event.(btmember.HeartbeatReceived); ok {
 		h := e.Heartbeat
-		w.life[h.Target] = h.Incarnation
+		w.incarnations[h.Target] = h.Incarnation
 		w.until[h.Target] = now.Add(w.settings.Lease)
 		if h.State != btmember.Serving {
 			w.until[h.Target] = now
@@ -41,61 +41,71 @@
 	return nil
 }
 
-func (w *lastWins) Admit(now time.Time, target btid.Target) (btid.Executor, bool) {
-	return btid.Executor{Target: target, Incarnation: w.life[target]}, w.until[target].After(now)
+func (w *lastMessageWins) Admit(now time.Time, target btid.Target) (btid.Executor, bool) {
+	return btid.Executor{Target: target, Incarnation: w.incarnations[target]}, w.until[target].After(now)
 }
 
 var mesh = btmember.FanOut{Watchers: 8, Branching: 3}
 
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
-	var revived int
+// TestLeavingTargetGetsNoNewWork guards against work for a target that has left.
+// Heartbeats are lost, delayed, repeated and reordered while agents die, drain and
+// restart, entries pause, and bundles and host lists change. The naive membership
+// must fail in the same run.
+func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+	var stale int
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		f := newFleet(seed, mesh, 1, 3, 8, nil)
+		f := newSimulation(seed, mesh, 1, 3, 8, nil)
 		f.run(3 * time.Minute)
-		assert.Check(t, len(f.wrong) == 0, "seed %d: %d wrong, first %q", seed, len(f.wrong), f.wrong)
+		assert.Check(t, len(f.violations) == 0, "seed %d: %d violations: %q", seed, len(f.violations), f.violations)
 		assert.Check(t, f.admitted > 1000, "seed %d: admitted only %d", seed, f.admitted)
-		naive := newFleet(seed, mesh, 1, 3, 8, newLastWins)
+		naive := newSimulation(seed, mesh, 1, 3, 8, newLastMessageWins)
 		naive.run(3 * time.Minute)
-		revived += naive.revived
-		t.Logf("seed %d: admitted %d, wrong 0, naive revived %d", seed, f.admitted, naive.revived)
+		stale += naive.staleAdmissions
+		t.Logf("seed %d: admitted %d, no violation, stale admissions of the naive variant %d", seed, f.admitted, naive.staleAdmissions)
 	}
-	assert.Check(t, revived > 0, "the run does not find what the naive view does wrong")
+	assert.Check(t, stale > 0, "the naive membership made no stale admission, so the run proves nothing")
 }
 
-func TestLeavingTargetGetsNothingNewThroughSummaries(t *testing.T) {
+// TestLeavingTargetGetsNoNewWorkThroughSummaries is the same for entries that hear
+// of targets through summaries. The naive relay, which gives each summary the
+// present time, must fail in the same run.
+func TestLeavingTargetGetsNoNewWorkThroughSummaries(t *testing.T) {
 	tree := btmember.FanOut{Watchers: 2, Branching: 2}
-	var revived int
+	var stale int
 	for seed := uint64(1); seed <= max(*seeds/4, 1); seed++ {
-		naive := newFleet(seed, tree, 2, 7, 5, nil)
+		naive := newSimulation(seed, tree, 2, 7, 5, nil)
 		naive.restamp = true
 		naive.run(2 * time.Minute)
-		revived += naive.revived
-		f := newFleet(seed, tree, 2, 7, 5, nil)
+		stale += naive.staleAdmissions
+		f := newSimulation(seed, tree, 2, 7, 5, nil)
 		f.run(2 * time.Minute)
-		assert.Check(t, len(f.wrong) == 0, "seed %d: %d wrong, first %q", seed, len(f.wrong), f.wrong)
+		assert.Check(t, len(f.violations) == 0, "seed %d: %d violations: %q", seed, len(f.violations), f.violations)
 		assert.Check(t, f.admitted > 1000, "seed %d: admitted only %d", seed, f.admitted)
-		t.Logf("seed %d: admitted %d, wrong 0, naive revived %d", seed, f.admitted, naive.revived)
+		t.Logf("seed %d: admitted %d, no violation, stale admissions of the naive variant %d", seed, f.admitted, naive.staleAdmissions)
 	}
-	assert.Check(t, revived > 0, "the run does not find what the naive relay does wrong")
+	assert.Check(t, stale > 0, "the naive relay caused no stale admission, so the run proves nothing")
 }
 
-// seenBy counts the entries that may give the target work.
-func (f *fleet) seenBy(a *agent) int {
+// entriesAdmitting counts the entries that may give the agent's target work.
+func (f *simulation) entriesAdmitting(a *agent) int {
 	var seen int
 	for _, n := range f.nodes {
-		if _, ok := n.view.Admit(f.now, a.place.Target); ok {
+		if _, ok := n.view.Admit(f.now, a.location.Target); ok {
 			seen++
 		}
 	}
 	return seen
 }
 
+// TestSummariesReachEveryEntry guards against entries of other data centres that
+// miss a target, its drain or its death, and against one dead target expiring the
+// leases of others.
 func TestSummariesReachEveryEntry(t *testing.T) {
-	f := newFleet(1, btmember.FanOut{Watchers: 2, Branching: 2}, 3, 8, 10, nil)
+	f := newSimulation(1, btmember.FanOut{Watchers: 2, Branching: 2}, 3, 8, 10, nil)
 	f.faults = false
 	f.run(15 * time.Second)
 	for _, a := range f.agents {
-		assert.Equal(t, f.seenBy(a), len(f.nodes), "%s", a.place.Target)
+		assert.Equal(t, f.entriesAdmitting(a), len(f.nodes), "%s", a.location.Target)
 	}
 	drained, killed := f.agents[0], f.agents[1]
 	drained.current().state = btmember.Draining
@@ -103,26 +113,29 @@
 	took := map[*agent]time.Duration{}
 	for began := f.now; f.now.Sub(began) < f.settings.Lease+2*f.settings.ClockError; f.run(100 * time.Millisecond) {
 		for _, a := range []*agent{drained, killed} {
-			if took[a] == 0 && f.seenBy(a) == 0 {
+			if took[a] == 0 && f.entriesAdmitting(a) == 0 {
 				took[a] = f.now.Sub(began)
 			}
 		}
 	}
-	t.Logf("no entry sends after: drained %s, killed %s", took[drained], took[killed])
+	t.Logf("no entry admits work after: drained %s, killed %s", took[drained], took[killed])
 	assert.Check(t, took[drained] > 0 && took[drained] <= 4*time.Second, "drained")
 	assert.Check(t, took[killed] > 0, "killed")
 	f.run(30 * time.Second)
-	assert.Equal(t, f.seenBy(f.agents[2]), len(f.nodes), "one target's death ages no other")
+	assert.Equal(t, f.entriesAdmitting(f.agents[2]), len(f.nodes), "a dead target let the lease of another expire")
 }
 
-// one is a Member with one target, and the heartbeat that makes it eligible.
-func one() (*btmember.Membership, btmember.Heartbeat) {
+// newSingleTarget returns a Membership with one target and a heartbeat that makes
+// it eligible.
+func newSingleTarget() (*btmember.Membership, btmember.Heartbeat) {
 	m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
 	m.Step(start, btmember.Bundle{Version: 1, Targets: []btmember.TargetLocation{{Target: "engine-1", Host: "h1", DataCentre: "dc0"}}})
 	return m, btmember.Heartbeat{Target: "engine-1", Incarnation: 5, Sequence: 7, SentAt: start, State: btmember.Serving}
 }
 
-func TestWhatRenews(t *testing.T) {
+// TestHeartbeatRenewal checks which heartbeats renew a lease: late, repeated,
+// out-of-date and future ones don't.
+func TestHeartbeatRenewal(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(h *btmember.Heartbeat)
 		at     time.Duration
@@ -132,14 +145,14 @@
 		"repeated later":     {func(*btmember.Heartbeat) {}, 4 * time.Second, false},
 		"next":               {func(h *btmember.Heartbeat) { h.Sequence++; h.SentAt = start.Add(4 * time.Second) }, 4 * time.Second, true},
 		"late":               {func(h *btmember.Heartbeat) { h.Sequence++ }, 4 * time.Second, false},
-		"older life":         {func(h *btmember.Heartbeat) { h.Incarnation--; h.SentAt = start.Add(4 * time.Second) }, 4 * time.Second, false},
-		"newer life":         {func(h *btmember.Heartbeat) { h.Incarnation++; h.Sequence = 1 }, time.Second, true},
+		"older incarnation":  {func(h *btmember.Heartbeat) { h.Incarnation--; h.SentAt = start.Add(4 * time.Second) }, 4 * time.Second, false},
+		"newer incarnation":  {func(h *btmember.Heartbeat) { h.Incarnation++; h.Sequence = 1 }, time.Second, true},
 		"from the future":    {func(h *btmember.Heartbeat) { h.Sequence++; h.SentAt = start.Add(time.Hour) }, 4 * time.Second, false},
 		"leaving, reordered": {func(h *btmember.Heartbeat) { h.Sequence--; h.State = btmember.Draining }, time.Second, false},
-		"engine's word":      {func(h *btmember.Heartbeat) { h.Sequence++; h.State = btmember.EngineLeaving }, time.Second, false},
+		"engine leaving":     {func(h *btmember.Heartbeat) { h.Sequence++; h.State = btmember.EngineLeaving }, time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, h := one()
+			m, h := newSingleTarget()
 			m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
 			for at := time.Duration(0); at < c.at; at += time.Second {
 				m.Step(start.Add(at), btmember.Tick{})
@@ -152,8 +165,11 @@
 	}
 }
 
-func TestLeavingIsFinalUntilALaterWordOfItsKind(t *testing.T) {
-	m, h := one()
+// TestLeavingIsFinalUntilLaterEvidence guards against a target that becomes
+// eligible again by evidence of another kind than that by which it left, or by
+// older evidence of the same kind.
+func TestLeavingIsFinalUntilLaterEvidence(t *testing.T) {
+	m, h := newSingleTarget()
 	heard := func(change func(h *btmember.Heartbeat)) {
 		h.Sequence++
 		change(&h)
@@ -182,23 +198,26 @@
 	eligible(false)
 }
 
-func TestPausedEntryBelievesNoLease(t *testing.T) {
-	m, h := one()
+// TestPausedEntryDropsLeases guards against an entry that resumes after a pause and
+// trusts leases from before it.
+func TestPausedEntryDropsLeases(t *testing.T) {
+	m, h := newSingleTarget()
 	m.Step(start, btmember.HeartbeatReceived{Heartbeat: h})
-	woke := start.Add(2500 * time.Millisecond)
-	assert.Check(t, !m.Eligible(woke, "engine-1"))
-	m.Step(woke, btmember.Tick{})
-	assert.Check(t, !m.Eligible(woke, "engine-1"))
+	resumed := start.Add(2500 * time.Millisecond)
+	assert.Check(t, !m.Eligible(resumed, "engine-1"))
+	m.Step(resumed, btmember.Tick{})
+	assert.Check(t, !m.Eligible(resumed, "engine-1"))
 	h.Sequence++
-	h.SentAt = woke
-	m.Step(woke, btmember.HeartbeatReceived{Heartbeat: h})
-	assert.Check(t, m.Eligible(woke, "engine-1"))
+	h.SentAt = resumed
+	m.Step(resumed, btmember.HeartbeatReceived{Heartbeat: h})
+	assert.Check(t, m.Eligible(resumed, "engine-1"))
 	next, ok := m.NextExpiry()
-	assert.Check(t, ok && next.Equal(woke.Add(3500*time.Millisecond)))
+	assert.Check(t, ok && next.Equal(resumed.Add(3500*time.Millisecond)))
 }
 
-// first returns the oldest request in flight, the zero one where there is none.
-func first(flight map[btid.Request]time.Time) btid.Request {
+// oldestRequest returns the oldest request in flight, or the zero value if there is
+// none.
+func oldestRequest(flight map[btid.Request]time.Time) btid.Request {
 	var oldest btid.Request
 	for id := range flight {
 		if oldest.Number == 0 || id.Number < oldest.Number {
@@ -208,7 +227,9 @@
 	return oldest
 }
 
-func TestDrainCutsNoRequestInFlight(t *testing.T) {
+// TestDrainWaitsForRequestsInFlight guards against a planned stop that cuts off
+// answers before their deadlines or takes its steps out of order.
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	for seed := uint64(1); seed <= 200; seed++ {
 		random := rand.New(rand.NewPCG(seed, 3))
 		d := btmember.NewDrain(btmember.DrainSettings{ReadinessLag: 2 * time.Second, DeadlineGrace: time.Second}, btassert.New(btassert.Panic()))
@@ -226,7 +247,7 @@
 			case p == 4 && n > 50:
 				event = btmember.Terminate{}
 			case p < 8:
-				if oldest := first(flight); oldest.Number > 0 {
+				if oldest := oldestRequest(flight); oldest.Number > 0 {
 					delete(flight, oldest)
 					event = btmember.RequestEnded{ID: oldest}
 				}
@@ -243,7 +264,7 @@
 }
 
 func ExampleMembership() {
-	m, heartbeat := one()
+	m, heartbeat := newSingleTarget()
 	fmt.Println(m.Step(start, btmember.HeartbeatReceived{Heartbeat: heartbeat}))
 	fmt.Println(m.Admit(start, "engine-1"))
 	heartbeat.State = btmember.Draining
--- a/core/btmember/capacity_test.go
+++ b/core/btmember/capacity_test.go
@@ -14,8 +14,8 @@
 	"bilberrytide/core/btmember"
 )
 
-// size is the encoded size of a message, in bytes.
-func size(t testing.TB, message any) int {
+// encodedSize returns the encoded size of a message in bytes.
+func encodedSize(t testing.TB, message any) int {
 	data, err := cbor.Marshal(message)
 	assert.NilError(t, err)
 	return len(data)
@@ -41,7 +41,7 @@
 	return s
 }
 
-func TestMessagesSurviveTheirCodec(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	data, err := cbor.Marshal(exampleSummary(3))
 	assert.NilError(t, err)
 	var s btmember.Summary
@@ -57,13 +57,15 @@
 	assert.ErrorIs(t, h.Validate(), btmember.ErrMessage)
 }
 
+// FuzzValidate guards against valid messages with unexpected content that make a
+// Membership panic.
 func FuzzValidate(f *testing.F) {
 	for _, message := range []any{exampleHeartbeat(), exampleSummary(2), btmember.SummaryAsk{From: "e1", Origin: "dc1"}} {
 		data, _ := cbor.Marshal(message)
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, first := one()
+		m, first := newSingleTarget()
 		m.Step(start, btmember.HeartbeatReceived{Heartbeat: first})
 		var h btmember.Heartbeat
 		if cbor.Unmarshal(data, &h) == nil && h.Validate() == nil {
@@ -77,8 +79,9 @@
 	})
 }
 
-// sized is a fleet of the size to come: 380 entries, 830 targets, 7 data centres.
-func sized(fanOut btmember.FanOut) ([]btmember.EntryLocation, []btmember.TargetLocation, *btmember.Topology) {
+// largeFleet returns a fleet of the size that is planned for: 380 entries and 830
+// targets in 7 data centres.
+func largeFleet(fanOut btmember.FanOut) ([]btmember.EntryLocation, []btmember.TargetLocation, *btmember.Topology) {
 	centre := func(i int) btid.DataCentre { return btid.DataCentre(fmt.Sprintf("dc%d", i%7)) }
 	var entries []btmember.EntryLocation
 	for i := range 380 {
@@ -91,24 +94,25 @@
 	return entries, targets, btmember.NewTopology(fanOut, entries, targets)
 }
 
-// BenchmarkFanOut computes the bytes a second of each entry at the size to come
-// from encoded sizes: a heartbeat a second for each watched target, one summary
-// a second for each link, each target changing its quantised level once in ten
-// seconds and coming and going once a day. Transport headers aren't counted.
+// BenchmarkFanOut computes the bytes per second of each entry in the large fleet
+// from encoded sizes: one heartbeat a second for each watched target and one
+// summary a second for each link, where each target changes its quantised level
+// every ten seconds and comes and goes once a day. Transport headers aren't
+// counted.
 func BenchmarkFanOut(b *testing.B) {
 	const changes = 0.1
 	const moves = 2.0 / 86400
-	heartbeat := float64(size(b, exampleHeartbeat()))
-	head := float64(size(b, exampleSummary(0)))
-	row := float64(size(b, exampleSummary(20))-size(b, exampleSummary(0))) / 20
+	heartbeat := float64(encodedSize(b, exampleHeartbeat()))
+	head := float64(encodedSize(b, exampleSummary(0)))
+	row := float64(encodedSize(b, exampleSummary(20))-encodedSize(b, exampleSummary(0))) / 20
 	levels := exampleSummary(0)
 	for i := range 20 {
 		levels.Levels = append(levels.Levels, btmember.Level{Number: uint16(300 + i), Level: 40})
 	}
-	level := (float64(size(b, levels)) - head) / 20
+	level := (float64(encodedSize(b, levels)) - head) / 20
 	fmt.Printf("heartbeat %.0f B, summary %.0f B, %.1f B a row and %.1f B a level, mesh %.0f B/s an entry\n", heartbeat, head, row, level, 830*heartbeat)
 	for _, fanOut := range []btmember.FanOut{{Watchers: 2, Branching: 2}, {Watchers: 2, Branching: 3}, {Watchers: 3, Branching: 2}} {
-		entries, _, plan := sized(fanOut)
+		entries, _, plan := largeFleet(fanOut)
 		in, out := map[btid.Entry]float64{}, map[btid.Entry]float64{}
 		for _, e := range entries {
 			in[e.Entry] += heartbeat * float64(len(plan.Watched(e.Entry)))
@@ -128,15 +132,15 @@
 			fanOut.Watchers, fanOut.Branching, sum/380, most, heartbeat*float64(fanOut.Watchers))
 	}
 	for b.Loop() {
-		entries, _, plan := sized(btmember.FanOut{Watchers: 2, Branching: 2})
+		entries, _, plan := largeFleet(btmember.FanOut{Watchers: 2, Branching: 2})
 		plan.Links(entries[0])
 	}
 }
 
-// BenchmarkHeard measures a heartbeat, and a summary of all of a data centre, at
-// an entry that knows 830 targets.
-func BenchmarkHeard(b *testing.B) {
-	_, targets, _ := sized(btmember.DefaultFanOut())
+// BenchmarkReceive measures processing a heartbeat, a summary of a whole data
+// centre and a tick at an entry with 830 targets.
+func BenchmarkReceive(b *testing.B) {
+	_, targets, _ := largeFleet(btmember.DefaultFanOut())
 	newMember := func() *btmember.Membership {
 		m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
 		m.Step(start, btmember.Bundle{Version: 1, Targets: targets})
--- a/core/btmember/drain.go
+++ b/core/btmember/drain.go
@@ -8,26 +8,29 @@
 	"bilberrytide/core/btid"
 )
 
-// DrainCutsNothing is the invariant that a planned stop exits only when nothing
-// is in flight whose deadline lies ahead.
+// DrainCutsNothing is the invariant that a planned stop exits only when no request
+// in flight has its deadline in the future.
 const DrainCutsNothing btassert.Name = "drain_cuts_nothing"
 
-// DrainEvent is what a Drain hears: Terminate, Began, Ended or DrainTick.
+// DrainEvent is an input of Drain: Terminate, RequestBegan, RequestEnded or
+// DrainTick.
 type DrainEvent interface{ drainEvent() }
 
-// Terminate is a SIGTERM. A second one changes nothing.
+// Terminate reports a SIGTERM. Repeated ones have no effect.
 type Terminate struct{}
 
-// RequestBegan is a request that this process took and answers by the deadline.
+// RequestBegan reports a request that this process accepted and answers by the
+// deadline.
 type RequestBegan struct {
 	ID       btid.Request
 	Deadline time.Time
 }
 
-// RequestEnded is the end of a request: its last byte is out, or its caller is gone.
+// RequestEnded reports that the last byte of a request's answer was sent or that
+// its caller disconnected.
 type RequestEnded struct{ ID btid.Request }
 
-// DrainTick is the passing of time.
+// DrainTick reports the current time.
 type DrainTick struct{}
 
 func (Terminate) drainEvent()    {}
@@ -35,23 +38,23 @@
 func (RequestEnded) drainEvent() {}
 func (DrainTick) drainEvent()    {}
 
-// DrainEffect is a step of the stop: Unready, CloseListener, Goodbye and Exit,
-// in that order, each once.
+// DrainEffect is a step of the stop. The steps are Unready, CloseListener, Goodbye
+// and Exit, in that order, each once.
 type DrainEffect interface{ drainEffect() }
 
-// Unready makes the readiness check fail and, at an agent, makes heartbeats say
-// draining at once.
+// Unready makes the readiness check fail. At an agent it also makes heartbeats
+// report Draining immediately.
 type Unready struct{}
 
-// CloseListener stops taking connections; those open are served on.
+// CloseListener stops accepting connections; open ones are still served.
 type CloseListener struct{}
 
-// Goodbye tells peers that nothing is in flight any more.
+// Goodbye tells peers that no request is in flight any more.
 type Goodbye struct{}
 
 // Exit ends the process with status 0.
 type Exit struct {
-	// Overdue is how many requests were past their deadlines, yet not ended.
+	// Overdue is how many requests were past their deadlines and hadn't ended.
 	Overdue int
 }
 
@@ -60,44 +63,45 @@
 func (Goodbye) drainEffect()       {}
 func (Exit) drainEffect()          {}
 
-// DrainSettings are the times of a planned stop.
+// DrainSettings configures a planned stop.
 type DrainSettings struct {
-	// ReadinessLag is how long the balancer in front may send new connections after the
-	// readiness check failed; zero at an agent, whose peers hear it directly.
+	// ReadinessLag is how long the load balancer in front may send new connections
+	// after the readiness check has failed. It is zero at an agent, whose peers are
+	// notified directly.
 	ReadinessLag time.Duration
-	// DeadlineGrace is how long a request may be past its deadline before the stop no
-	// longer waits for it.
+	// DeadlineGrace is how long after its deadline the stop still waits for a
+	// request.
 	DeadlineGrace time.Duration
 }
 
-// Drain is the machine of a process's planned stop. It is bounded by the
-// deadlines of the requests in flight and by nothing shorter: a limit below
-// them would cut off answers.
+// Drain is the state machine of a process's planned stop. The stop is bounded only
+// by the deadlines of the requests in flight: any shorter limit would cut off
+// answers. It is not safe for concurrent use.
 type Drain struct {
-	settings DrainSettings
-	asserter *btassert.Asserter
-	now      time.Time
-	flight   map[btid.Request]time.Time
-	began    time.Time
-	stopping bool
-	closed   bool
-	exited   bool
+	settings      DrainSettings
+	asserter      *btassert.Asserter
+	now           time.Time
+	inFlight      map[btid.Request]time.Time
+	stoppingSince time.Time
+	stopping      bool
+	closed        bool
+	exited        bool
 }
 
 var _ btcore.Machine[DrainEvent, DrainEffect] = (*Drain)(nil)
 
-// NewDrain returns the machine of a running process.
+// NewDrain returns the Drain of a running process.
 func NewDrain(settings DrainSettings, asserter *btassert.Asserter) *Drain {
-	return &Drain{settings: settings, asserter: asserter, flight: map[btid.Request]time.Time{}}
+	return &Drain{settings: settings, asserter: asserter, inFlight: map[btid.Request]time.Time{}}
 }
 
-// InFlight returns how many requests have begun and not ended.
-func (d *Drain) InFlight() int { return len(d.flight) }
+// InFlight returns the number of requests in flight.
+func (d *Drain) InFlight() int { return len(d.inFlight) }
 
-// Stopping tells whether a planned stop has begun.
+// Stopping reports whether a planned stop has begun.
 func (d *Drain) Stopping() bool { return d.stopping }
 
-// Step applies one event.
+// Step applies one event and returns the steps of the stop that are due.
 func (d *Drain) Step(now time.Time, event DrainEvent) []DrainEffect {
 	d.now = later(d.now, now)
 	var effects []DrainEffect
@@ -105,20 +109,20 @@
 	case Terminate:
 		if !d.stopping {
 			d.stopping = true
-			d.began = d.now
+			d.stoppingSince = d.now
 			effects = append(effects, Unready{})
 		}
 	case RequestBegan:
-		d.flight[e.ID] = e.Deadline
+		d.inFlight[e.ID] = e.Deadline
 	case RequestEnded:
-		delete(d.flight, e.ID)
+		delete(d.inFlight, e.ID)
 	}
 	return append(effects, d.proceed()...)
 }
 
-// proceed takes the steps of the stop that are due.
+// proceed returns the steps of the stop that are due.
 func (d *Drain) proceed() []DrainEffect {
-	if !d.stopping || d.exited || d.now.Sub(d.began) < d.settings.ReadinessLag {
+	if !d.stopping || d.exited || d.now.Sub(d.stoppingSince) < d.settings.ReadinessLag {
 		return nil
 	}
 	var effects []DrainEffect
@@ -126,19 +130,20 @@
 		d.closed = true
 		effects = append(effects, CloseListener{})
 	}
-	if d.waits() {
+	if d.hasPending() {
 		return effects
 	}
-	for id, deadline := range d.flight {
-		d.asserter.That(!deadline.After(d.now), DrainCutsNothing, "%s due %s, stopped %s", id, deadline, d.now)
+	for id, deadline := range d.inFlight {
+		d.asserter.That(!deadline.After(d.now), DrainCutsNothing, "request %s is due at %s, process exits at %s", id, deadline, d.now)
 	}
 	d.exited = true
-	return append(effects, Goodbye{}, Exit{Overdue: len(d.flight)})
+	return append(effects, Goodbye{}, Exit{Overdue: len(d.inFlight)})
 }
 
-// waits tells whether a request in flight may still end in time.
-func (d *Drain) waits() bool {
-	for _, deadline := range d.flight {
+// hasPending reports whether a request in flight is still within its deadline and
+// grace.
+func (d *Drain) hasPending() bool {
+	for _, deadline := range d.inFlight {
 		if d.now.Before(deadline.Add(d.settings.DeadlineGrace)) {
 			return true
 		}
--- a/core/btmember/event.go
+++ b/core/btmember/event.go
@@ -8,49 +8,49 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Event is what a Member hears: one of the types of this file.
+// Event is an input of Membership: one of the types below.
 type Event interface{ memberEvent() }
 
-// HeartbeatReceived is a heartbeat that arrived, already validated.
+// HeartbeatReceived carries a heartbeat that has been validated.
 type HeartbeatReceived struct{ Heartbeat Heartbeat }
 
-// SummaryReceived is a summary that arrived, already validated.
+// SummaryReceived carries a summary that has been validated.
 type SummaryReceived struct{ Summary Summary }
 
-// HostStatus is what the platform's list says of one host.
+// HostStatus is the platform's status of one host.
 type HostStatus struct {
 	Host    btid.Host
 	Leaving bool
 }
 
-// HostList is a new reading of the platform's list. A host that it doesn't name
-// keeps its last state: the list lags.
+// HostList is an update of the platform's host list. A host that it omits keeps its
+// last status, since the list lags.
 type HostList struct{ Hosts []HostStatus }
 
-// TargetLocation is where a target stands.
+// TargetLocation is the host and data centre of a target.
 type TargetLocation struct {
 	Target     btid.Target
 	Host       btid.Host
 	DataCentre btid.DataCentre
 }
 
-// Bundle is a bundle that came into force. One that isn't higher by version
-// and digest than the last changes nothing.
+// Bundle is a bundle that took effect. It is ignored unless it is higher, by
+// version and then digest, than the last one.
 type Bundle struct {
 	Version btid.BundleVersion
 	Digest  btbundle.Digest
 	Targets []TargetLocation
 }
 
-// Configured replaces settings; zero keeps one. Leases at hand keep their ends,
-// or end sooner where the new settings say so.
+// Configured changes the settings; zero keeps the present value. Current leases are
+// never extended, only shortened where the new settings require it.
 type Configured struct {
 	Lease      time.Duration
 	ClockError time.Duration
 	PauseLimit time.Duration
 }
 
-// Tick is the passing of time, due at least every Settings.PauseLimit.
+// Tick reports the current time. It is due at least every Settings.PauseLimit.
 type Tick struct{}
 
 func (HeartbeatReceived) memberEvent() {}
@@ -60,33 +60,33 @@
 func (Configured) memberEvent()        {}
 func (Tick) memberEvent()              {}
 
-// Effect is what the entry is told: one of Joined, Left, NewerBundle, AskReset
-// and Ignored.
+// Effect is an output of Membership: Joined, Left, NewerBundle, RequestReset or
+// Ignored.
 type Effect interface{ memberEffect() }
 
-// Joined says that a target may be given work.
+// Joined reports that a target became eligible for work.
 type Joined struct{ Executor btid.Executor }
 
-// Left says that a target may not be given work any more.
+// Left reports that a target became ineligible.
 type Left struct {
 	Executor btid.Executor
 	Cause    Cause
 }
 
-// NewerBundle says that an agent has a bundle higher than the one in force.
+// NewerBundle reports that an agent has a higher bundle than the current one.
 type NewerBundle struct {
 	From    btid.Target
 	Version btid.BundleVersion
 	Digest  btbundle.Digest
 }
 
-// RequestReset asks a peer to start its summaries anew, since some were lost.
+// RequestReset asks a peer to restart its summaries, since some were lost.
 type RequestReset struct {
 	To     btid.Entry
 	Origin btid.DataCentre
 }
 
-// Ignored says why a message was not believed.
+// Ignored reports why a message was ignored.
 type Ignored struct {
 	Target btid.Target
 	Reason btrequest.Reason
@@ -98,10 +98,10 @@
 func (RequestReset) memberEffect() {}
 func (Ignored) memberEffect()      {}
 
-// Cause names why a target gets no new work.
+// Cause is why a target is ineligible.
 type Cause string
 
-// The causes, in the order in which they are named when several hold.
+// The causes. If several hold, the first in this order is reported.
 const (
 	CauseBundleRemoved  Cause = "bundle_removed"
 	CauseHostLeaving    Cause = "host_leaving"
@@ -113,7 +113,7 @@
 	CauseAgentRestarted Cause = "agent_restarted"
 )
 
-// The reasons for which a message is not believed.
+// The reasons for ignoring a message.
 const (
 	ReasonUnlisted       btrequest.Reason = "heartbeat_unlisted"
 	ReasonOldIncarnation btrequest.Reason = "heartbeat_old_incarnation"
--- a/core/btmember/message.go
+++ b/core/btmember/message.go
@@ -11,34 +11,34 @@
 	"bilberrytide/core/btid"
 )
 
-// ErrMessage is wrapped by the error of every malformed message.
+// ErrMessage is wrapped by all validation errors of this package.
 var ErrMessage = errors.New("malformed membership message")
 
 const (
-	// MaxLoadBytes bounds the load report inside a heartbeat.
+	// MaxLoadBytes is the largest load report in a heartbeat, in bytes.
 	MaxLoadBytes = 512
-	// MaxRows bounds the rows of one summary, and its levels.
+	// MaxRows is the largest number of rows, and of levels, in a summary.
 	MaxRows = 512
 )
 
-// State is what a process says of a target.
+// State is the state of a target that an agent or a peer reports.
 type State uint8
 
 const (
-	// Serving: the target takes new work.
+	// Serving: the target accepts new work.
 	Serving State = iota + 1
-	// Draining: a planned stop has begun; no new work.
+	// Draining: a planned stop has begun; the target accepts no new work.
 	Draining
-	// Stopped: the agent says goodbye; nothing is in flight.
+	// Stopped: the agent is about to exit; no request is in flight.
 	Stopped
-	// EngineLeaving: the target itself says that it is leaving or gone.
+	// EngineLeaving: the engine reports that it is leaving or has stopped.
 	EngineLeaving
-	// Silent: the sender of a summary has no fresh heartbeat of the target.
-	// Agents never say it.
+	// Silent: the sender of a summary has no fresh heartbeat of the target. Agents
+	// never report it.
 	Silent
 )
 
-// String writes the state as it stands in logs.
+// String returns the state as it appears in logs.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -55,29 +55,29 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// leaves tells whether the state ends an incarnation's work for good.
-func (s State) leaves() bool { return s == Draining || s == Stopped || s == EngineLeaving }
+// leaving reports whether the state makes an incarnation ineligible for good.
+func (s State) leaving() bool { return s == Draining || s == Stopped || s == EngineLeaving }
 
-// Heartbeat renews an agent's leases at the entries that watch it. A leaving
-// state is final for the incarnation: an agent whose engine comes back takes a
-// new incarnation. It is written as an array to keep it small.
+// Heartbeat renews a target's lease at the entries that watch its agent. A leaving
+// state is final for the incarnation: an agent whose engine comes back takes a new
+// incarnation. It is encoded as an array to keep it small.
 type Heartbeat struct {
 	_           struct{}         `cbor:",toarray"`
 	Target      btid.Target      `cbor:"target" json:"target"`
 	Incarnation btid.Incarnation `cbor:"incarnation" json:"incarnation"`
-	// Sequence rises with each heartbeat of an incarnation, from 1.
+	// Sequence increases with each heartbeat of an incarnation, starting at 1.
 	Sequence uint64 `cbor:"sequence" json:"sequence"`
-	// SentAt is the agent's clock, right within the stated clock error.
+	// SentAt is the agent's clock, accurate to Settings.ClockError.
 	SentAt        time.Time          `cbor:"sent_at" json:"sent_at"`
 	State         State              `cbor:"state" json:"state"`
 	BundleVersion btid.BundleVersion `cbor:"bundle_version" json:"bundle_version"`
 	BundleDigest  btbundle.Digest    `cbor:"bundle_digest" json:"bundle_digest"`
-	// Load is the target's load report, which membership passes on unread.
+	// Load is the target's load report. This package doesn't decode it.
 	Load cbor.RawMessage `cbor:"load,omitempty" json:"-"`
 }
 
-// Validate reports a heartbeat that no agent could have sent. The error wraps
-// ErrMessage.
+// Validate returns an error that wraps ErrMessage if no agent could have sent the
+// heartbeat.
 func (h Heartbeat) Validate() error {
 	if err := btid.CheckName(string(h.Target)); err != nil {
 		return fmt.Errorf("%w: heartbeat target: %w", ErrMessage, err)
@@ -88,8 +88,8 @@
 	if h.SentAt.IsZero() {
 		return fmt.Errorf("%w: heartbeat sent_at is missing", ErrMessage)
 	}
-	if h.State != Serving && !h.State.leaves() {
-		return fmt.Errorf("%w: heartbeat in %s", ErrMessage, h.State)
+	if h.State != Serving && !h.State.leaving() {
+		return fmt.Errorf("%w: heartbeat state must not be %s", ErrMessage, h.State)
 	}
 	if len(h.Load) > MaxLoadBytes {
 		return fmt.Errorf("%w: heartbeat load of %d bytes, at most %d", ErrMessage, len(h.Load), MaxLoadBytes)
@@ -102,47 +102,49 @@
 	return nil
 }
 
-// Row is one target in a summary. It is written as an array to keep summaries
-// small.
+// Row is the state of one target in a summary. It is encoded as an array to keep
+// summaries small.
 type Row struct {
 	_           struct{}         `cbor:",toarray"`
 	Target      btid.Target      `json:"target"`
 	Incarnation btid.Incarnation `json:"incarnation"`
 	State       State            `json:"state"`
-	// Level is the target's load in the quantised steps of Settings.Level.
+	// Level is the target's load, quantised by Settings.Level.
 	Level uint8 `json:"level"`
 }
 
-// Level is a changed load of a target that a row told of before.
+// Level is the changed load of a target that an earlier row introduced.
 type Level struct {
 	_ struct{} `cbor:",toarray"`
-	// Number is the target's place in the order in which the summaries since the
-	// last Reset first named it, from 0.
+	// Number is the target's index, from 0, in the order in which the summaries
+	// since the last Reset first named the targets.
 	Number uint16 `json:"number"`
 	Level  uint8  `json:"level"`
 }
 
-// Summary tells a peer what changed among the targets that the sender vouches
-// for, and renews the leases of all the others at once.
+// Summary tells a peer which of the targets that the sender knows to be serving
+// have changed, and renews the leases of all the others.
 type Summary struct {
 	From        btid.Entry       `cbor:"from" json:"from"`
 	Incarnation btid.Incarnation `cbor:"incarnation" json:"incarnation"`
 	// Origin is the data centre of the targets.
 	Origin btid.DataCentre `cbor:"origin" json:"origin"`
-	// Sequence rises by one with each summary to this peer about this origin. A
-	// gap means that changes were missed: nothing is renewed until a Reset.
+	// Sequence increases by one with each summary to this peer about this origin. A
+	// gap means that changes were lost: no lease is renewed until a Reset.
 	Sequence uint64 `cbor:"sequence" json:"sequence"`
-	// Reset starts anew: only rows from here on are vouched for.
+	// Reset discards the earlier state of the stream: only targets in rows from
+	// this summary on count as serving.
 	Reset bool `cbor:"reset,omitempty" json:"reset"`
-	// AsOf is the time of the oldest heartbeat behind the targets vouched for.
+	// AsOf is when the oldest of the heartbeats was sent on which the serving
+	// states of this stream rest.
 	AsOf time.Time `cbor:"as_of" json:"as_of"`
 	Rows []Row     `cbor:"rows,omitempty" json:"rows"`
-	// Levels come after Rows; one with a number not yet given is ignored.
+	// Levels are applied after Rows; a level with an unassigned number is ignored.
 	Levels []Level `cbor:"levels,omitempty" json:"levels"`
 }
 
-// Validate reports a summary that no entry could have sent. The error wraps
-// ErrMessage.
+// Validate returns an error that wraps ErrMessage if no entry could have sent the
+// summary.
 func (s Summary) Validate() error {
 	if err := btid.CheckName(string(s.From)); err != nil {
 		return fmt.Errorf("%w: summary from: %w", ErrMessage, err)
@@ -175,25 +177,25 @@
 		return errors.New("incarnation must not be zero")
 	}
 	if r.State < Serving || r.State > Silent {
-		return fmt.Errorf("unknown %s", r.State)
+		return fmt.Errorf("invalid state %s", r.State)
 	}
 	return nil
 }
 
-// SummaryAsk asks a peer to start its summaries of an origin anew.
+// SummaryAsk asks a peer to restart its summaries of an origin.
 type SummaryAsk struct {
 	From   btid.Entry      `cbor:"from" json:"from"`
 	Origin btid.DataCentre `cbor:"origin" json:"origin"`
 }
 
-// Validate reports an ask that no entry could have sent. The error wraps
-// ErrMessage.
+// Validate returns an error that wraps ErrMessage if no entry could have sent the
+// request.
 func (a SummaryAsk) Validate() error {
 	if err := btid.CheckName(string(a.From)); err != nil {
-		return fmt.Errorf("%w: ask from: %w", ErrMessage, err)
+		return fmt.Errorf("%w: reset request from: %w", ErrMessage, err)
 	}
 	if err := btid.CheckName(string(a.Origin)); err != nil {
-		return fmt.Errorf("%w: ask origin: %w", ErrMessage, err)
+		return fmt.Errorf("%w: reset request origin: %w", ErrMessage, err)
 	}
 	return nil
 }
--- a/core/btmember/relay.go
+++ b/core/btmember/relay.go
@@ -9,26 +9,26 @@
 	"bilberrytide/core/btid"
 )
 
-// RelayEvent is what a Relay hears: Planned, Asked or RelayTick.
+// RelayEvent is an input of Relay: LinksUpdated, ResetRequested or RelayTick.
 type RelayEvent interface{ relayEvent() }
 
-// LinksUpdated is a new plan's links of this entry.
+// LinksUpdated carries this entry's links in a new topology.
 type LinksUpdated struct{ Links []Link }
 
-// ResetRequested is a peer's ask to start anew.
+// ResetRequested carries a peer's request to restart its stream.
 type ResetRequested struct{ Request SummaryAsk }
 
-// RelayTick is the passing of time, due every RelaySettings.Urgent.
+// RelayTick reports the current time. It is due every RelaySettings.MinInterval.
 type RelayTick struct{}
 
 func (LinksUpdated) relayEvent()   {}
 func (ResetRequested) relayEvent() {}
 func (RelayTick) relayEvent()      {}
 
-// RelayEffect is what a Relay wants done: Send.
+// RelayEffect is an output of Relay: SendSummary.
 type RelayEffect interface{ relayEffect() }
 
-// SendSummary carries a summary to a peer.
+// SendSummary sends a summary to a peer.
 type SendSummary struct {
 	To      btid.Entry
 	Summary Summary
@@ -36,28 +36,28 @@
 
 func (SendSummary) relayEffect() {}
 
-// RelaySettings bound what a Relay sends.
+// RelaySettings limits what a Relay sends.
 type RelaySettings struct {
-	// RenewalInterval is how much a summary renews leases by: it is sent once the
-	// evidence at hand is that much newer than what the peer was told, so that a
-	// chain of relays adds no more than Urgent a hop.
+	// RenewalInterval is the least gain of a summary that only renews leases: it is
+	// sent once the present evidence is that much newer than what the peer has. A
+	// chain of relays therefore adds no more than MinInterval per hop.
 	RenewalInterval time.Duration
-	// MinInterval is the least time between two summaries to a peer, which is kept
-	// when a target came or went.
+	// MinInterval is the least time between two summaries to a peer, also when
+	// targets have come or gone.
 	MinInterval time.Duration
-	// RowsPerSummary bounds the rows of a summary, and its levels; more wait for the next,
-	// the largest changes of load first.
+	// RowsPerSummary limits the rows of a summary, and its levels. The rest waits
+	// for the next summary; the largest changes of load go first.
 	RowsPerSummary int
 	// SilentAfter is the age of a target's last heartbeat beyond which a watcher
-	// calls it silent; what peers vouched for may be two intervals older. Both
-	// lie well below the lease, so that one silent target never ages the leases
-	// of the others for long.
+	// reports the target as silent. Evidence from peers may be two intervals older.
+	// Both are well below the lease time, so that one silent target doesn't hold
+	// back the renewal of the others for long.
 	SilentAfter time.Duration
-	// MinLevelChange is the smallest change of load that is told.
+	// MinLevelChange is the smallest change of load that is sent.
 	MinLevelChange uint8
 }
 
-// DefaultRelaySettings go with DefaultSettings.
+// DefaultRelaySettings returns the settings that match DefaultSettings.
 func DefaultRelaySettings() RelaySettings {
 	return RelaySettings{
 		RenewalInterval: time.Second,
@@ -68,34 +68,36 @@
 	}
 }
 
-// keepAlive is how many intervals a peer hears nothing at most.
-const keepAlive = 2
+// keepAliveIntervals is the longest gap between two summaries to a peer, in renewal
+// intervals.
+const keepAliveIntervals = 2
 
-// Relay tells the peers of a plan what its Member knows: only what changed, at
-// most Rows a summary, with one time that renews all the rest.
+// Relay sends the state of a Membership to the linked peers. A summary carries only
+// what changed, up to RowsPerSummary, and one time that renews the leases of all
+// other targets. It is not safe for concurrent use.
 type Relay struct {
 	settings    RelaySettings
 	self        btid.Entry
 	incarnation btid.Incarnation
 	member      *Membership
-	outs        []*out
+	streams     []*outboundStream
 }
 
 var _ btcore.Machine[RelayEvent, RelayEffect] = (*Relay)(nil)
 
-// out is what one peer was told about one origin.
-type out struct {
+// outboundStream is what was sent to one peer about one origin.
+type outboundStream struct {
 	link     Link
 	sequence uint64
 	reset    bool
-	sent     time.Time
+	sentAt   time.Time
 	asOf     time.Time
-	told     map[btid.Target]Row
-	// numbers holds the place of each target among those named since the reset.
+	sentRows map[btid.Target]Row
+	// numbers is the index of each target among those named since the last reset.
 	numbers map[btid.Target]uint16
 }
 
-// changes are what a peer is to be told.
+// changes are the updates that a peer needs.
 type changes struct {
 	rows   []Row
 	levels []levelChange
@@ -106,47 +108,48 @@
 	size uint8
 }
 
-// NewRelay returns a relay that reads, and never changes, the member.
+// NewRelay returns a relay that reads the membership and never changes it.
 func NewRelay(settings RelaySettings, self btid.Entry, incarnation btid.Incarnation, member *Membership) *Relay {
 	return &Relay{settings: settings, self: self, incarnation: incarnation, member: member}
 }
 
-// Step applies one event.
+// Step applies one event and returns the summaries to send.
 func (y *Relay) Step(now time.Time, event RelayEvent) []RelayEffect {
 	switch e := event.(type) {
 	case LinksUpdated:
-		y.planned(e)
+		y.setLinks(e)
 	case ResetRequested:
-		y.asked(e.Request)
+		y.resetStream(e.Request)
 	case RelayTick:
 		return y.tick(now)
 	}
 	return nil
 }
 
-// planned keeps the numbering of links that stay and starts them anew.
-func (y *Relay) planned(e LinksUpdated) {
+// setLinks replaces the links. A link that stays keeps its sequence numbers and
+// restarts its stream.
+func (y *Relay) setLinks(e LinksUpdated) {
 	sequences := map[streamKey]uint64{}
-	for _, o := range y.outs {
+	for _, o := range y.streams {
 		sequences[streamKey{o.link.To, o.link.Origin}] = o.sequence
 	}
-	y.outs = nil
+	y.streams = nil
 	for _, l := range e.Links {
-		y.outs = append(y.outs, &out{
+		y.streams = append(y.streams, &outboundStream{
 			link:     l,
 			sequence: sequences[streamKey{l.To, l.Origin}],
 			reset:    true,
-			told:     map[btid.Target]Row{},
+			sentRows: map[btid.Target]Row{},
 			numbers:  map[btid.Target]uint16{},
 		})
 	}
 }
 
-func (y *Relay) asked(ask SummaryAsk) {
-	for _, o := range y.outs {
+func (y *Relay) resetStream(ask SummaryAsk) {
+	for _, o := range y.streams {
 		if o.link.To == ask.From && o.link.Origin == ask.Origin {
 			o.reset = true
-			clear(o.told)
+			clear(o.sentRows)
 			clear(o.numbers)
 		}
 	}
@@ -154,8 +157,8 @@
 
 func (y *Relay) tick(now time.Time) []RelayEffect {
 	var effects []RelayEffect
-	for _, o := range y.outs {
-		c := y.changes(now, o)
+	for _, o := range y.streams {
+		c := y.pendingChanges(now, o)
 		if y.due(now, o, len(c.rows) > 0) {
 			effects = append(effects, SendSummary{To: o.link.To, Summary: y.summary(now, o, c)})
 		}
@@ -163,30 +166,30 @@
 	return effects
 }
 
-// due tells whether the peer is to hear something now. When nothing is new it
-// hears so at times, which shows it what it missed.
-func (y *Relay) due(now time.Time, o *out, urgent bool) bool {
-	quiet := now.Sub(o.sent)
-	if quiet < y.settings.MinInterval {
+// due reports whether to send a summary to the peer now. Without changes, one is
+// still sent every keepAliveIntervals, from which the peer detects lost summaries.
+func (y *Relay) due(now time.Time, o *outboundStream, urgent bool) bool {
+	sinceLast := now.Sub(o.sentAt)
+	if sinceLast < y.settings.MinInterval {
 		return false
 	}
-	if urgent || o.reset || quiet >= keepAlive*y.settings.RenewalInterval {
+	if urgent || o.reset || sinceLast >= keepAliveIntervals*y.settings.RenewalInterval {
 		return true
 	}
 	return y.asOf(now, o).Sub(o.asOf) >= y.settings.RenewalInterval
 }
 
-func (y *Relay) summary(now time.Time, o *out, c changes) Summary {
+func (y *Relay) summary(now time.Time, o *outboundStream, c changes) Summary {
 	for _, r := range c.rows {
-		o.tell(r)
+		o.recordRow(r)
 	}
 	var levels []Level
 	for _, l := range c.levels {
-		o.told[l.row.Target] = l.row
+		o.sentRows[l.row.Target] = l.row
 		levels = append(levels, Level{Number: o.numbers[l.row.Target], Level: l.row.Level})
 	}
 	o.sequence++
-	o.sent = now
+	o.sentAt = now
 	o.asOf = y.asOf(now, o)
 	s := Summary{
 		From:        y.self,
@@ -202,19 +205,19 @@
 	return s
 }
 
-func (o *out) tell(r Row) {
-	o.told[r.Target] = r
+func (o *outboundStream) recordRow(r Row) {
+	o.sentRows[r.Target] = r
 	if _, named := o.numbers[r.Target]; !named {
 		o.numbers[r.Target] = uint16(len(o.numbers))
 	}
 }
 
-// asOf is the oldest evidence among the targets that the peer holds serving.
-// One of which the peer has yet to be told that it went or restarted renews
-// nothing.
-func (y *Relay) asOf(now time.Time, o *out) time.Time {
+// asOf returns the oldest evidence among the targets that the peer believes to be
+// serving. A target that left or restarted without the peer having been told holds
+// the time back at the last one sent, so that nothing is renewed.
+func (y *Relay) asOf(now time.Time, o *outboundStream) time.Time {
 	oldest := now
-	for name, r := range o.told {
+	for name, r := range o.sentRows {
 		if r.State != Serving {
 			continue
 		}
@@ -228,51 +231,51 @@
 	return oldest
 }
 
-// changes returns what the peer is to be told: the targets that came or went,
-// and the largest changes of load. More than Rows of either wait.
-func (y *Relay) changes(now time.Time, o *out) changes {
+// pendingChanges returns the targets that came or went and the largest changes of
+// load. What exceeds RowsPerSummary in either list waits.
+func (y *Relay) pendingChanges(now time.Time, o *outboundStream) changes {
 	var c changes
 	for _, name := range o.link.Targets {
-		row := y.row(now, name)
-		told, known := o.told[name]
+		row := y.currentRow(now, name)
+		sent, known := o.sentRows[name]
 		if !known && row.State == Silent {
 			continue
 		}
-		if row.State != told.State || row.Incarnation != told.Incarnation {
+		if row.State != sent.State || row.Incarnation != sent.Incarnation {
 			c.rows = append(c.rows, row)
 			continue
 		}
-		size := max(row.Level, told.Level) - min(row.Level, told.Level)
+		size := max(row.Level, sent.Level) - min(row.Level, sent.Level)
 		if size >= max(y.settings.MinLevelChange, 1) {
 			c.levels = append(c.levels, levelChange{row: row, size: size})
 		}
 	}
 	slices.SortStableFunc(c.levels, func(a, b levelChange) int { return cmp.Compare(b.size, a.size) })
-	most := min(y.settings.RowsPerSummary, MaxRows)
-	c.rows = c.rows[:min(len(c.rows), most)]
-	c.levels = c.levels[:min(len(c.levels), most)]
+	limit := min(y.settings.RowsPerSummary, MaxRows)
+	c.rows = c.rows[:min(len(c.rows), limit)]
+	c.levels = c.levels[:min(len(c.levels), limit)]
 	return c
 }
 
-// row is what the member knows of a target now.
-func (y *Relay) row(now time.Time, name btid.Target) Row {
+// currentRow returns the present state of a target.
+func (y *Relay) currentRow(now time.Time, name btid.Target) Row {
 	r := y.member.records[name]
 	if r == nil || r.incarnation == 0 {
 		return Row{Target: name, State: Silent}
 	}
 	row := Row{Target: name, Incarnation: r.incarnation, State: Serving, Level: r.level}
 	switch {
-	case r.farewell != 0:
-		row.State = r.farewell
-	case y.silent(now, r):
+	case r.leavingState != 0:
+		row.State = r.leavingState
+	case y.isSilent(now, r):
 		row.State = Silent
 	}
 	return row
 }
 
-func (y *Relay) silent(now time.Time, r *record) bool {
-	if now.Sub(r.heard) <= y.settings.SilentAfter {
+func (y *Relay) isSilent(now time.Time, r *record) bool {
+	if now.Sub(r.heartbeatAt) <= y.settings.SilentAfter {
 		return false
 	}
-	return now.Sub(r.told) > y.settings.SilentAfter+keepAlive*y.settings.RenewalInterval
+	return now.Sub(r.summaryAt) > y.settings.SilentAfter+keepAliveIntervals*y.settings.RenewalInterval
 }
--- a/core/btmember/configured_test.go
+++ b/core/btmember/settings_test.go
@@ -11,9 +11,9 @@
 	"bilberrytide/core/btmember"
 )
 
-// TestConfiguredEndsLeasesSooner: shorter times are in force for leases at hand
-// too, so that nothing is admitted on evidence that they call old.
-func TestConfiguredEndsLeasesSooner(t *testing.T) {
+// TestConfiguredShortensLeases guards against work that is admitted on evidence
+// that is too old under newly shortened settings.
+func TestConfiguredShortensLeases(t *testing.T) {
 	m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
 	now := time.Unix(1_700_000_000, 0)
 	m.Step(now, btmember.Bundle{Version: 1, Targets: []btmember.TargetLocation{{Target: "t", Host: "h", DataCentre: "d"}}})
--- a/core/btmember/stream.go
+++ b/core/btmember/stream.go
@@ -8,175 +8,176 @@
 	"bilberrytide/core/btid"
 )
 
-// streamKey names the summaries of one sender about one origin.
+// streamKey identifies a stream of summaries: the peer and the origin.
 type streamKey struct {
 	from   btid.Entry
 	origin btid.DataCentre
 }
 
-// stream is what one peer vouches for.
-type stream struct {
+// inboundStream is what one peer has reported about one origin.
+type inboundStream struct {
 	incarnation btid.Incarnation
 	sequence    uint64
-	// whole is false once a summary was missed, until the next reset.
-	whole bool
-	asOf  time.Time
-	// heard is when the last summary arrived.
-	heard time.Time
-	// vouched holds the incarnation of each target vouched for.
-	vouched map[btid.Target]btid.Incarnation
-	// named holds the targets in the order in which they were first named.
-	named []btid.Target
+	// complete is false from the first lost summary to the next reset.
+	complete bool
+	asOf     time.Time
+	// receivedAt is when the last summary arrived.
+	receivedAt time.Time
+	// serving is the incarnation of each target that the peer reports as serving.
+	serving map[btid.Target]btid.Incarnation
+	// numbered is the targets in the order in which they were first named.
+	numbered []btid.Target
 }
 
-func (m *Membership) summarised(s Summary) {
+func (m *Membership) applySummary(s Summary) {
 	key := streamKey{from: s.From, origin: s.Origin}
 	t := m.streams[key]
 	if t == nil {
-		t = &stream{vouched: map[btid.Target]btid.Incarnation{}}
+		t = &inboundStream{serving: map[btid.Target]btid.Incarnation{}}
 		m.streams[key] = t
 	}
 	if s.Incarnation < t.incarnation || s.Incarnation == t.incarnation && s.Sequence <= t.sequence {
 		m.ignore("", ReasonSummaryOld)
 		return
 	}
-	next := s.Incarnation == t.incarnation && s.Sequence == t.sequence+1 && t.whole
+	next := s.Incarnation == t.incarnation && s.Sequence == t.sequence+1 && t.complete
 	t.incarnation = s.Incarnation
 	t.sequence = s.Sequence
-	t.heard = m.now
+	t.receivedAt = m.now
 	if !next && !s.Reset {
-		t.whole = false
-		m.farewellRows(s)
+		t.complete = false
+		m.applyLeavingRows(s)
 		m.ignore("", ReasonSummaryGap)
 		m.effects = append(m.effects, RequestReset{To: s.From, Origin: s.Origin})
 		return
 	}
 	if s.Reset {
-		clear(t.vouched)
-		t.named = nil
+		clear(t.serving)
+		t.numbered = nil
 	}
-	t.whole = true
+	t.complete = true
 	t.asOf = earlier(s.AsOf, m.now)
 	for _, r := range s.Rows {
-		t.name(r.Target)
-		m.row(t, r)
+		t.assignNumber(r.Target)
+		m.applyRow(t, r)
 	}
 	for _, l := range s.Levels {
-		m.levelTold(t, l)
+		m.applyLevel(t, l)
 	}
-	m.renew(t)
+	m.renewLeases(t)
 }
 
-// name gives the target its number, unless it has one or all are given.
-func (t *stream) name(target btid.Target) {
-	if len(t.named) <= math.MaxUint16 && !slices.Contains(t.named, target) {
-		t.named = append(t.named, target)
+// assignNumber gives the target the next number, unless it has one or none is left.
+func (t *inboundStream) assignNumber(target btid.Target) {
+	if len(t.numbered) <= math.MaxUint16 && !slices.Contains(t.numbered, target) {
+		t.numbered = append(t.numbered, target)
 	}
 }
 
-// levelTold applies a changed load.
-func (m *Membership) levelTold(t *stream, l Level) {
-	if int(l.Number) >= len(t.named) {
+// applyLevel applies a changed load.
+func (m *Membership) applyLevel(t *inboundStream, l Level) {
+	if int(l.Number) >= len(t.numbered) {
 		return
 	}
-	name := t.named[l.Number]
-	incarnation, vouched := t.vouched[name]
-	if r := m.records[name]; vouched && r != nil && r.incarnation == incarnation {
+	name := t.numbered[l.Number]
+	incarnation, known := t.serving[name]
+	if r := m.records[name]; known && r != nil && r.incarnation == incarnation {
 		r.level = l.Level
 	}
 }
 
-// farewellRows believes what a summary after a gap says of leaving, which is
-// final whatever was missed.
-func (m *Membership) farewellRows(s Summary) {
+// applyLeavingRows applies only the leaving states of a summary after a gap. They
+// are final whatever was lost.
+func (m *Membership) applyLeavingRows(s Summary) {
 	for _, w := range s.Rows {
 		r := m.records[w.Target]
-		if r == nil || !w.State.leaves() || w.Incarnation < r.incarnation {
+		if r == nil || !w.State.leaving() || w.Incarnation < r.incarnation {
 			continue
 		}
 		if w.Incarnation > r.incarnation {
-			m.adopt(r, w.Incarnation)
+			m.startIncarnation(r, w.Incarnation)
 		}
-		m.farewell(r, w.State)
+		m.markLeaving(r, w.State)
 	}
 }
 
-// row applies one changed target.
-func (m *Membership) row(t *stream, w Row) {
-	delete(t.vouched, w.Target)
+// applyRow applies one changed target.
+func (m *Membership) applyRow(t *inboundStream, w Row) {
+	delete(t.serving, w.Target)
 	r := m.records[w.Target]
 	if r == nil || !r.listed || w.Incarnation < r.incarnation {
 		return
 	}
 	if w.State == Silent {
-		m.silent(r)
+		m.recomputeLease(r)
 		return
 	}
 	if w.Incarnation > r.incarnation {
-		m.adopt(r, w.Incarnation)
+		m.startIncarnation(r, w.Incarnation)
 	}
-	if w.State.leaves() {
-		m.farewell(r, w.State)
+	if w.State.leaving() {
+		m.markLeaving(r, w.State)
 		return
 	}
-	if r.farewell != 0 {
+	if r.leavingState != 0 {
 		return
 	}
-	t.vouched[w.Target] = w.Incarnation
+	t.serving[w.Target] = w.Incarnation
 	r.level = w.Level
 }
 
-// renew renews the leases of all that the stream vouches for.
-func (m *Membership) renew(t *stream) {
+// renewLeases renews the leases of all targets that the peer reports as serving.
+func (m *Membership) renewLeases(t *inboundStream) {
 	end := m.leaseEnd(t.asOf)
-	for _, name := range m.names {
+	for _, name := range m.targets {
 		r := m.records[name]
-		if incarnation, ok := t.vouched[name]; ok && incarnation == r.incarnation && r.farewell == 0 {
-			r.told = later(r.told, t.asOf)
-			r.until = later(r.until, end)
+		if incarnation, ok := t.serving[name]; ok && incarnation == r.incarnation && r.leavingState == 0 {
+			r.summaryAt = later(r.summaryAt, t.asOf)
+			r.leaseEnd = later(r.leaseEnd, end)
 			m.refresh(r)
 		}
 	}
 }
 
-// silent takes back what a peer vouched for, and keeps what others do.
-func (m *Membership) silent(r *record) {
-	r.told = time.Time{}
+// recomputeLease recomputes a lease after a peer reported the target as silent,
+// from the heartbeats and the other peers' reports.
+func (m *Membership) recomputeLease(r *record) {
+	r.summaryAt = time.Time{}
 	for _, t := range m.streams {
-		if incarnation, ok := t.vouched[r.place.Target]; ok && incarnation == r.incarnation {
-			r.told = later(r.told, t.asOf)
+		if incarnation, ok := t.serving[r.location.Target]; ok && incarnation == r.incarnation {
+			r.summaryAt = later(r.summaryAt, t.asOf)
 		}
 	}
-	r.until = time.Time{}
+	r.leaseEnd = time.Time{}
 	if evidence := r.evidence(); !evidence.IsZero() {
-		r.until = m.leaseEnd(evidence)
+		r.leaseEnd = m.leaseEnd(evidence)
 	}
 	m.refresh(r)
 }
 
-// distrustStreams makes every peer start anew with its next summary: a row about
-// a target that was not listed yet is lost, and peers with a newer bundle send
-// it once. Leases at hand go on meanwhile.
-func (m *Membership) distrustStreams() {
+// invalidateStreams makes every peer restart its stream at its next summary. A peer
+// with a newer bundle sends a row once, and a row about a target that isn't listed
+// yet is lost. Current leases stay in force meanwhile.
+func (m *Membership) invalidateStreams() {
 	for _, t := range m.streams {
-		t.whole = false
+		t.complete = false
 	}
 }
 
-// forgetStreams makes every peer start anew.
-func (m *Membership) forgetStreams() {
+// resetStreams discards what every peer has reported and requires a reset of each.
+func (m *Membership) resetStreams() {
 	for _, t := range m.streams {
-		t.whole = false
+		t.complete = false
 		t.asOf = time.Time{}
-		clear(t.vouched)
+		clear(t.serving)
 	}
 }
 
-// forgetOldStreams drops peers that no longer send, once nothing of theirs
-// could renew a lease.
-func (m *Membership) forgetOldStreams() {
+// pruneStreams drops the streams of peers that have stopped sending, once they
+// could renew no lease.
+func (m *Membership) pruneStreams() {
 	for key, t := range m.streams {
-		if !m.leaseEnd(t.heard).After(m.now) {
+		if !m.leaseEnd(t.receivedAt).After(m.now) {
 			delete(m.streams, key)
 		}
 	}
--- a/core/btmember/listed_test.go
+++ b/core/btmember/unlisted_target_test.go
@@ -12,9 +12,10 @@
 	"bilberrytide/core/btmember"
 )
 
-// TestTargetToldOfBeforeItIsListed: a peer with a newer bundle tells of a target
-// once; an entry that lists it only later asks to be told again.
-func TestTargetToldOfBeforeItIsListed(t *testing.T) {
+// TestSummaryBeforeTargetIsListed guards against a target that stays unknown: a
+// peer with a newer bundle sends its row once, before this entry lists the target,
+// so the entry must request a reset when it does.
+func TestSummaryBeforeTargetIsListed(t *testing.T) {
 	m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
 	now := start
 	list := func(version btid.BundleVersion, targets ...btid.Target) []btmember.Effect {
@@ -25,7 +26,7 @@
 		return m.Step(now, b)
 	}
 	sequence := uint64(0)
-	tell := func(reset bool, names ...btid.Target) []btmember.Effect {
+	summarise := func(reset bool, names ...btid.Target) []btmember.Effect {
 		sequence++
 		now = now.Add(time.Second)
 		s := btmember.Summary{From: "e2", Incarnation: 1, Origin: "north", Sequence: sequence, Reset: reset, AsOf: now}
@@ -35,14 +36,14 @@
 		return m.Step(now, btmember.SummaryReceived{Summary: s})
 	}
 	list(1, "t1")
-	tell(true, "t1", "t2")
-	assert.Equal(t, len(tell(false)), 0)
+	summarise(true, "t1", "t2")
+	assert.Equal(t, len(summarise(false)), 0)
 	list(2, "t1", "t2")
-	effects := tell(false)
+	effects := summarise(false)
 	assert.Equal(t, effects[len(effects)-1], btmember.Effect(btmember.RequestReset{To: "e2", Origin: "north"}))
-	tell(true, "t1", "t2")
+	summarise(true, "t1", "t2")
 	_, admitted := m.Admit(now, "t2")
 	assert.Assert(t, admitted)
 	list(3, "t1")
-	assert.Equal(t, len(tell(false)), 0, "a bundle that lists nothing new asks for nothing")
+	assert.Equal(t, len(summarise(false)), 0, "a bundle without new targets caused a request for a reset")
 }
