--- a/core/btquarantine/crash.go
+++ b/core/btquarantine/crash.go
@@ -42,7 +42,7 @@
 	}
 	c.ends = append(c.ends, e)
 	slices.SortFunc(c.ends, func(a, b end) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.target, b.target)) })
-	c.ends = c.ends[max(len(c.ends)-MaxEnds, 0):]
+	c.ends = c.ends[max(len(c.ends)-MaxCrashReports, 0):]
 }
 
 // same tells whether two are copies of one report.
@@ -61,7 +61,7 @@
 // may still arrive.
 func (c *record) forget(e end) {
 	c.cleared = append(c.cleared, e.observation)
-	c.cleared = c.cleared[max(len(c.cleared)-MaxEnds, 0):]
+	c.cleared = c.cleared[max(len(c.cleared)-MaxCrashReports, 0):]
 }
 
 // crashes counts the crashes that the reports are of, and those of targets that had begun
@@ -108,7 +108,7 @@
 	if told.ServedMillis >= 0 {
 		c.mergeServed(before(now, told.ServedMillis))
 	}
-	for _, e := range told.Ends {
+	for _, e := range told.Crashes {
 		c.add(end{target: e.Target, began: e.Began, at: before(now, e.AgeMillis), observation: e.Observation})
 	}
 }
@@ -125,7 +125,7 @@
 // decided tells whether the reported crashes quarantine the request.
 func (c *record) decided(p Policy) bool {
 	all, begun := c.crashes()
-	return begun >= p.Begun || all >= p.Sent
+	return begun >= p.BegunCrashes || all >= p.AllCrashes
 }
 
 // until returns until when the request is quarantined; zero where it isn't.
--- a/core/btquarantine/delay_test.go
+++ b/core/btquarantine/delay_test.go
@@ -40,7 +40,7 @@
 	d := &delayed{random: rand.New(rand.NewPCG(seed, 1)), now: start, anonymous: anonymous}
 	for i := range processes {
 		r := btquarantine.New(btquarantine.DefaultPolicy())
-		r.ObserveAs(uint64(i) + 1)
+		r.SetObserver(uint64(i) + 1)
 		d.registers = append(d.registers, r)
 	}
 	return d
@@ -49,11 +49,11 @@
 // tell has a process send what it knows to the others, once or twice, on time or after it
 // or the receiver was frozen.
 func (d *delayed) tell(from int) {
-	told := d.registers[from].Tell(d.now)
+	told := d.registers[from].Export(d.now)
 	if d.anonymous {
 		for _, r := range told {
-			for i := range r.Ends {
-				r.Ends[i].Observation = btquarantine.Observation(d.random.Uint64())
+			for i := range r.Crashes {
+				r.Crashes[i].Observation = btquarantine.Observation(d.random.Uint64())
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 				left = append(left, m)
 				continue
 			}
-			d.registers[m.to].Heard(d.now, m.told)
+			d.registers[m.to].Merge(d.now, m.told)
 		}
 		d.sent = left
 	}
@@ -89,7 +89,7 @@
 func (d *delayed) crashes(n int) []int {
 	for range n {
 		by := d.random.IntN(processes)
-		d.registers[by].Ended(d.now, request(1), 7, btquarantine.Sent)
+		d.registers[by].RecordCrash(d.now, request(1), 7, btquarantine.Sent)
 		d.tell(by)
 		d.pass(restartAfter)
 		d.tell(d.random.IntN(processes))
@@ -98,7 +98,7 @@
 	d.settle()
 	var counted []int
 	for _, r := range d.registers {
-		counted = append(counted, crashesIn(r.TellOf(d.now, request(1))))
+		counted = append(counted, crashesIn(r.ExportRecord(d.now, request(1))))
 	}
 	return counted
 }
@@ -109,7 +109,7 @@
 		for _, from := range d.registers {
 			for _, to := range d.registers {
 				if from.Digest() != to.Digest() && !d.anonymous {
-					to.Heard(d.now, from.Tell(d.now))
+					to.Merge(d.now, from.Export(d.now))
 				}
 			}
 		}
@@ -120,7 +120,7 @@
 func crashesIn(r btquarantine.Record) int {
 	n := 0
 	last := int64(-1)
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if last < 0 || last-e.AgeMillis >= time.Second.Milliseconds() {
 			n++
 			last = e.AgeMillis
@@ -142,7 +142,7 @@
 		}
 		for _, r := range d.registers {
 			assert.Equal(t, r.Digest(), d.registers[0].Digest(), "seed %d", seed)
-			assert.Equal(t, r.Held(d.now, request(1)), n >= btquarantine.DefaultPolicy().Sent, "seed %d", seed)
+			assert.Equal(t, r.Quarantined(d.now, request(1)), n >= btquarantine.DefaultPolicy().AllCrashes, "seed %d", seed)
 		}
 		for _, counted := range newDelayed(seed, true).crashes(n) {
 			if counted != n {
@@ -157,23 +157,23 @@
 // happened before the request was served.
 func TestAReportOfAServedRequestIsNoNewCrash(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
-	a.Ended(start, request(1), 1, btquarantine.Answering)
-	told := a.Tell(after(100 * time.Millisecond))
-	b.Heard(after(100*time.Millisecond), told)
-	b.Served(after(time.Second), request(1))
-	b.Heard(after(2600*time.Millisecond), told)
-	assert.Equal(t, len(b.TellOf(after(2600*time.Millisecond), request(1)).Ends), 0)
+	a.RecordCrash(start, request(1), 1, btquarantine.Answering)
+	told := a.Export(after(100 * time.Millisecond))
+	b.Merge(after(100*time.Millisecond), told)
+	b.RecordServed(after(time.Second), request(1))
+	b.Merge(after(2600*time.Millisecond), told)
+	assert.Equal(t, len(b.ExportRecord(after(2600*time.Millisecond), request(1)).Crashes), 0)
 }
 
 // TestAMessageOfCrashReportsIsBounded guards against reports that outgrow a greeting: a
 // full message of requests with two crashes each stays below 5 KB.
 func TestAMessageOfCrashReportsIsBounded(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	for n := range 2 * btquarantine.MaxTold {
-		r.Ended(start, request(n), uint64(1)<<60, btquarantine.Answering)
-		r.Ended(after(2*time.Second), request(n), uint64(2)<<60, btquarantine.Answering)
+	for n := range 2 * btquarantine.MaxRecordsPerMessage {
+		r.RecordCrash(start, request(n), uint64(1)<<60, btquarantine.Answering)
+		r.RecordCrash(after(2*time.Second), request(n), uint64(2)<<60, btquarantine.Answering)
 	}
-	data, err := btwire.Encode(r.Tell(after(time.Minute)))
+	data, err := btwire.Encode(r.Export(after(time.Minute)))
 	assert.NilError(t, err)
 	assert.Assert(t, len(data) < 5<<10, "%d bytes", len(data))
 }
--- a/core/btquarantine/fuzz_test.go
+++ b/core/btquarantine/fuzz_test.go
@@ -12,11 +12,11 @@
 // Whatever another process sends, a register that takes it in stays within its bounds.
 func FuzzDecodeRecords(f *testing.F) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	r.Ended(start, request(1), 1, btquarantine.Answering)
-	r.Ended(start, request(1), 2, btquarantine.Sent)
-	r.Served(start, request(1))
-	r.Ended(after(1), request(2), 3, btquarantine.Answering)
-	data, err := btwire.Encode(r.Tell(after(1)))
+	r.RecordCrash(start, request(1), 1, btquarantine.Answering)
+	r.RecordCrash(start, request(1), 2, btquarantine.Sent)
+	r.RecordServed(start, request(1))
+	r.RecordCrash(after(1), request(2), 3, btquarantine.Answering)
+	data, err := btwire.Encode(r.Export(after(1)))
 	assert.NilError(f, err)
 	f.Add([]byte(data))
 	f.Add([]byte{0x80})
@@ -26,12 +26,12 @@
 			return
 		}
 		r := btquarantine.New(btquarantine.DefaultPolicy())
-		r.Heard(start, records)
+		r.Merge(start, records)
 		assert.Assert(t, r.Len() <= btquarantine.MaxRecords)
-		told := r.Tell(start)
+		told := r.Export(start)
 		assert.NilError(t, told.Validate())
 		again := btquarantine.New(btquarantine.DefaultPolicy())
-		again.Heard(start, told)
+		again.Merge(start, told)
 		assert.Assert(t, again.Len() <= r.Len())
 	})
 }
--- a/core/btquarantine/record.go
+++ b/core/btquarantine/record.go
@@ -13,15 +13,15 @@
 type Record struct {
 	_           struct{}    `cbor:",toarray"`
 	Fingerprint Fingerprint `cbor:"fingerprint"`
-	// Ends are reports of targets that crashed under the request, the latest MaxEnds.
-	Ends []End `cbor:"ends"`
+	// Crashes are reports of targets that crashed under the request, the latest MaxEnds.
+	Crashes []CrashReport `cbor:"ends"`
 	// ServedMillis is how long ago a target answered the request whole, in
 	// milliseconds; negative where none has.
 	ServedMillis int64 `cbor:"served_ms"`
 }
 
-// End is one process's report of a target that crashed under a request.
-type End struct {
+// CrashReport is one process's report of a target that crashed under a request.
+type CrashReport struct {
 	_ struct{} `cbor:",toarray"`
 	// Target stands for the start of the target that ended.
 	Target uint64 `cbor:"target"`
@@ -42,13 +42,13 @@
 
 // Validate reports a record that can't hold. The error wraps ErrRecord.
 func (r Record) Validate() error {
-	if len(r.Ends) > MaxEnds {
-		return fmt.Errorf("%w: %d ends, at most %d", ErrRecord, len(r.Ends), MaxEnds)
+	if len(r.Crashes) > MaxCrashReports {
+		return fmt.Errorf("%w: %d ends, at most %d", ErrRecord, len(r.Crashes), MaxCrashReports)
 	}
 	if r.ServedMillis > TTL.Milliseconds() {
 		return fmt.Errorf("%w: served %d ms ago, kept for %s", ErrRecord, r.ServedMillis, TTL)
 	}
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if e.AgeMillis < 0 || e.AgeMillis > TTL.Milliseconds() {
 			return fmt.Errorf("%w: an end %d ms ago, kept for %s", ErrRecord, e.AgeMillis, TTL)
 		}
@@ -61,16 +61,16 @@
 
 // Validate reports records that are too many or that can't hold. The error wraps
 // ErrRecord.
-func (rs Records) Validate() error { return btwire.ValidateList(rs, MaxTold, ErrRecord) }
+func (rs Records) Validate() error { return btwire.ValidateList(rs, MaxRecordsPerMessage, ErrRecord) }
 
-// News is what one message tells.
-type News struct {
+// Update is what one message tells.
+type Update struct {
 	Records  Records
 	Suspects Suspects
 }
 
 // Validate reports news that can't hold. The error wraps ErrRecord.
-func (n News) Validate() error {
+func (n Update) Validate() error {
 	if err := n.Records.Validate(); err != nil {
 		return err
 	}
--- a/core/btquarantine/register.go
+++ b/core/btquarantine/register.go
@@ -12,14 +12,14 @@
 const (
 	// TTL is how long a crash counts against a request.
 	TTL = 10 * time.Minute
-	// MaxEnds bounds the reports of crashes that are kept of a request: what decides by
+	// MaxCrashReports bounds the reports of crashes that are kept of a request: what decides by
 	// any policy and one to spare, each reported by two processes.
-	MaxEnds = 8
+	MaxCrashReports = 8
 	// MaxRecords bounds the requests that are remembered: those in flight at some forty
 	// targets of a dozen places each.
 	MaxRecords = 512
-	// MaxTold bounds the records of one message.
-	MaxTold = 64
+	// MaxRecordsPerMessage bounds the records of one message.
+	MaxRecordsPerMessage = 64
 	// sameEnd is within which time the reports of two processes on one target are of the
 	// same crash. A platform that doesn't tell starts apart shows one target that crashes
 	// twice, seconds apart.
@@ -28,24 +28,24 @@
 
 // Policy is how many targets must have ended under a request for it to be held.
 type Policy struct {
-	// Begun counts targets that had begun to answer it.
-	Begun int
-	// Sent counts all that it was sent to, begun or not: callers see a plain target's
+	// BegunCrashes counts targets that had begun to answer it.
+	BegunCrashes int
+	// AllCrashes counts all that it was sent to, begun or not: callers see a plain target's
 	// answer begin only once its work is done.
-	Sent int
-	// Suspect is for how long one end holds a request that a member of a group had only
+	AllCrashes int
+	// SuspectTime is for how long one end holds a request that a member of a group had only
 	// begun to answer; zero for not at all.
-	Suspect time.Duration
+	SuspectTime time.Duration
 }
 
 // DefaultPolicy is the policy of a register that has lost no state. One crash alone may be
 // due to any request in flight at the target; only one that the target had just begun to
 // answer is suspected after it.
-func DefaultPolicy() Policy { return Policy{Begun: 2, Sent: 3, Suspect: SuspectFor} }
+func DefaultPolicy() Policy { return Policy{BegunCrashes: 2, AllCrashes: 3, SuspectTime: SuspectFor} }
 
 // ConservativePolicy is the policy of a register that may have lost state: it quarantines
 // a request after its first crash.
-func ConservativePolicy() Policy { return Policy{Begun: 1, Sent: 1} }
+func ConservativePolicy() Policy { return Policy{BegunCrashes: 1, AllCrashes: 1} }
 
 // Register remembers under which requests targets have ended, of late. It is not safe
 // for concurrent use.
@@ -67,9 +67,9 @@
 	return &Register{policy: p, records: make(map[Fingerprint]*record), suspects: make(suspects)}
 }
 
-// ObserveAs sets the number that identifies this process in its reports. Processes draw
+// SetObserver sets the number that identifies this process in its reports. Processes draw
 // one as they start.
-func (r *Register) ObserveAs(observer uint64) { r.observer = observer }
+func (r *Register) SetObserver(observer uint64) { r.observer = observer }
 
 // observe returns the identity of a crash that this process sees.
 func (r *Register) observe(now time.Time, f Fingerprint, target uint64) Observation {
@@ -95,22 +95,22 @@
 // TargetID stands for the start of a target in records.
 func TargetID(instance string) uint64 { return xxhash.Sum64String(instance) }
 
-// Ended notes that a target ended with the request sent to it. It returns whether the
+// RecordCrash notes that a target ended with the request sent to it. It returns whether the
 // request is held for that from now on.
-func (r *Register) Ended(now time.Time, f Fingerprint, target uint64, p Progress) (newly bool) {
+func (r *Register) RecordCrash(now time.Time, f Fingerprint, target uint64, p Progress) (newly bool) {
 	before := r.hold(now, f)
 	seen := end{target: target, began: p != Sent, at: now, observation: r.observe(now, f, target)}
 	r.change(f, func(c *record) { c.add(seen) })
 	r.bound()
-	if p == Beginning {
+	if p == BegunWithoutOutput {
 		r.suspects.add(f, now)
 	}
 	return r.hold(now, f) > before
 }
 
-// Served notes that a target answered the request whole: what ended before did not end
+// RecordServed notes that a target answered the request whole: what ended before did not end
 // by it. It tells whether anything was remembered of the request.
-func (r *Register) Served(now time.Time, f Fingerprint) bool {
+func (r *Register) RecordServed(now time.Time, f Fingerprint) bool {
 	r.served.add(now, f)
 	c, found := r.records[f]
 	_, suspected := r.suspects[f]
@@ -121,15 +121,15 @@
 	return true
 }
 
-// Held tells whether the request is kept from targets.
-func (r *Register) Held(now time.Time, f Fingerprint) bool {
-	return r.Until(now, f).After(now)
+// Quarantined tells whether the request is kept from targets.
+func (r *Register) Quarantined(now time.Time, f Fingerprint) bool {
+	return r.QuarantinedUntil(now, f).After(now)
 }
 
-// Until returns until when the request is kept from targets; zero where it isn't. One
+// QuarantinedUntil returns until when the request is kept from targets; zero where it isn't. One
 // that was served here within the last minute isn't: a request that many callers send
 // alike is at work at all targets, also at several that end at once for another reason.
-func (r *Register) Until(now time.Time, f Fingerprint) time.Time {
+func (r *Register) QuarantinedUntil(now time.Time, f Fingerprint) time.Time {
 	if r.served.has(now, f) {
 		return time.Time{}
 	}
@@ -152,7 +152,7 @@
 // hold tells how a request is held: not at all, as a suspect, or by its ends.
 func (r *Register) hold(now time.Time, f Fingerprint) int {
 	switch {
-	case !r.Held(now, f):
+	case !r.Quarantined(now, f):
 		return notHeld
 	case r.decidedUntil(now, f).IsZero():
 		return heldAsSuspect
@@ -177,18 +177,18 @@
 	}
 }
 
-// Tell returns the latest records, for another entry.
-func (r *Register) Tell(now time.Time) Records {
+// Export returns the latest records, for another entry.
+func (r *Register) Export(now time.Time) Records {
 	fingerprints := r.latestFirst()
-	told := make(Records, 0, min(len(fingerprints), MaxTold))
-	for _, f := range fingerprints[:min(len(fingerprints), MaxTold)] {
+	told := make(Records, 0, min(len(fingerprints), MaxRecordsPerMessage))
+	for _, f := range fingerprints[:min(len(fingerprints), MaxRecordsPerMessage)] {
 		told = append(told, r.told(now, f))
 	}
 	return told
 }
 
-// TellOf returns the record of one request.
-func (r *Register) TellOf(now time.Time, f Fingerprint) Record { return r.told(now, f) }
+// ExportRecord returns the record of one request.
+func (r *Register) ExportRecord(now time.Time, f Fingerprint) Record { return r.told(now, f) }
 
 // told returns a record as it is told.
 func (r *Register) told(now time.Time, f Fingerprint) Record {
@@ -202,15 +202,15 @@
 	}
 	for _, e := range c.ends {
 		if now.Sub(e.at) <= TTL {
-			told.Ends = append(told.Ends, End{Target: e.target, Began: e.began, AgeMillis: age(now, e.at), Observation: e.observation})
+			told.Crashes = append(told.Crashes, CrashReport{Target: e.target, Began: e.began, AgeMillis: age(now, e.at), Observation: e.observation})
 		}
 	}
 	return told
 }
 
-// Heard takes in what another entry tells. It returns the requests that are held from
+// Merge takes in what another entry tells. It returns the requests that are held from
 // now on.
-func (r *Register) Heard(now time.Time, told Records) []Fingerprint {
+func (r *Register) Merge(now time.Time, told Records) []Fingerprint {
 	var newly []Fingerprint
 	for _, t := range told {
 		before := r.hold(now, t.Fingerprint)
--- a/core/btquarantine/register_test.go
+++ b/core/btquarantine/register_test.go
@@ -22,65 +22,65 @@
 
 func TestTwoTargetsThatHadBegunOrThreeHoldARequest(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	assert.Assert(t, !r.Ended(start, request(1), 1, btquarantine.Answering))
-	assert.Assert(t, !r.Ended(after(10*time.Millisecond), request(1), 1, btquarantine.Answering), "the same end")
-	assert.Assert(t, !r.Held(after(time.Second), request(1)))
-	assert.Assert(t, r.Ended(after(time.Second), request(1), 2, btquarantine.Answering))
-	assert.Assert(t, r.Held(after(time.Second), request(1)))
-	assert.Assert(t, !r.Held(after(time.Second), request(2)))
-
-	assert.Assert(t, !r.Ended(start, request(2), 1, btquarantine.Sent))
-	assert.Assert(t, !r.Ended(start, request(2), 2, btquarantine.Answering))
-	assert.Assert(t, r.Ended(start, request(2), 3, btquarantine.Sent))
+	assert.Assert(t, !r.RecordCrash(start, request(1), 1, btquarantine.Answering))
+	assert.Assert(t, !r.RecordCrash(after(10*time.Millisecond), request(1), 1, btquarantine.Answering), "the same end")
+	assert.Assert(t, !r.Quarantined(after(time.Second), request(1)))
+	assert.Assert(t, r.RecordCrash(after(time.Second), request(1), 2, btquarantine.Answering))
+	assert.Assert(t, r.Quarantined(after(time.Second), request(1)))
+	assert.Assert(t, !r.Quarantined(after(time.Second), request(2)))
+
+	assert.Assert(t, !r.RecordCrash(start, request(2), 1, btquarantine.Sent))
+	assert.Assert(t, !r.RecordCrash(start, request(2), 2, btquarantine.Answering))
+	assert.Assert(t, r.RecordCrash(start, request(2), 3, btquarantine.Sent))
 }
 
 // A platform that doesn't tell a target's starts apart shows one that ends again.
 func TestOneTargetThatEndsAgainCountsAgain(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	r.Ended(start, request(1), 1, btquarantine.Answering)
-	assert.Assert(t, r.Ended(after(5*time.Second), request(1), 1, btquarantine.Answering))
+	r.RecordCrash(start, request(1), 1, btquarantine.Answering)
+	assert.Assert(t, r.RecordCrash(after(5*time.Second), request(1), 1, btquarantine.Answering))
 }
 
 // TestRegisterDeduplicatesDelayedCrashReports guards against quarantining a request that is
 // counted twice after one crash, as a frozen host receives the report again when it wakes.
 func TestRegisterDeduplicatesDelayedCrashReports(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
-	a.Ended(start, request(1), 1, btquarantine.Answering)
-	told := a.Tell(after(100 * time.Millisecond))
-	b.Heard(after(100*time.Millisecond), told)
-	b.Heard(after(2600*time.Millisecond), told)
-	assert.Assert(t, !b.Held(after(2600*time.Millisecond), request(1)), "one end counts twice")
+	a.RecordCrash(start, request(1), 1, btquarantine.Answering)
+	told := a.Export(after(100 * time.Millisecond))
+	b.Merge(after(100*time.Millisecond), told)
+	b.Merge(after(2600*time.Millisecond), told)
+	assert.Assert(t, !b.Quarantined(after(2600*time.Millisecond), request(1)), "one end counts twice")
 	assert.Equal(t, a.Digest(), b.Digest())
 }
 
 func TestARequestThatIsServedIsFree(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	assert.Assert(t, !r.Served(start, request(1)))
-	r.Ended(after(2*time.Minute), request(1), 1, btquarantine.Answering)
-	assert.Assert(t, r.Served(after(3*time.Minute), request(1)))
-	assert.Assert(t, !r.Ended(after(6*time.Minute), request(1), 2, btquarantine.Answering), "one end since")
-	assert.Assert(t, r.Ended(after(7*time.Minute), request(1), 3, btquarantine.Answering))
+	assert.Assert(t, !r.RecordServed(start, request(1)))
+	r.RecordCrash(after(2*time.Minute), request(1), 1, btquarantine.Answering)
+	assert.Assert(t, r.RecordServed(after(3*time.Minute), request(1)))
+	assert.Assert(t, !r.RecordCrash(after(6*time.Minute), request(1), 2, btquarantine.Answering), "one end since")
+	assert.Assert(t, r.RecordCrash(after(7*time.Minute), request(1), 3, btquarantine.Answering))
 }
 
 // A request that many callers send alike is at work at all targets when some end at
 // once.
 func TestARequestServedOfLateIsNotHeld(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	r.Served(start, request(1))
+	r.RecordServed(start, request(1))
 	for target := range uint64(3) {
-		assert.Assert(t, !r.Ended(after(time.Second), request(1), target, btquarantine.Answering))
+		assert.Assert(t, !r.RecordCrash(after(time.Second), request(1), target, btquarantine.Answering))
 	}
-	assert.Assert(t, !r.Held(after(time.Second), request(1)))
-	assert.Assert(t, r.Held(after(3*time.Minute), request(1)), "not served for three minutes")
+	assert.Assert(t, !r.Quarantined(after(time.Second), request(1)))
+	assert.Assert(t, r.Quarantined(after(3*time.Minute), request(1)), "not served for three minutes")
 }
 
 func TestWhatIsHeldIsFreeAfterItsLife(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	r.Ended(start, request(1), 1, btquarantine.Answering)
-	r.Ended(after(time.Minute), request(1), 2, btquarantine.Answering)
-	assert.Equal(t, r.Until(after(time.Minute), request(1)), after(time.Minute+btquarantine.TTL))
-	assert.Assert(t, r.Held(after(btquarantine.TTL-time.Second), request(1)))
-	assert.Assert(t, !r.Held(after(btquarantine.TTL+time.Second), request(1)))
+	r.RecordCrash(start, request(1), 1, btquarantine.Answering)
+	r.RecordCrash(after(time.Minute), request(1), 2, btquarantine.Answering)
+	assert.Equal(t, r.QuarantinedUntil(after(time.Minute), request(1)), after(time.Minute+btquarantine.TTL))
+	assert.Assert(t, r.Quarantined(after(btquarantine.TTL-time.Second), request(1)))
+	assert.Assert(t, !r.Quarantined(after(btquarantine.TTL+time.Second), request(1)))
 	r.Expire(after(2*time.Minute + btquarantine.TTL))
 	assert.Assert(t, r.Empty())
 	assert.Equal(t, r.Digest(), uint64(0))
@@ -90,44 +90,44 @@
 // that nothing was.
 func TestACautiousRegisterHoldsAtTheFirstEnd(t *testing.T) {
 	r := btquarantine.New(btquarantine.ConservativePolicy())
-	assert.Assert(t, r.Ended(start, request(1), 1, btquarantine.Sent))
-	assert.Assert(t, !r.Held(start, request(2)))
+	assert.Assert(t, r.RecordCrash(start, request(1), 1, btquarantine.Sent))
+	assert.Assert(t, !r.Quarantined(start, request(2)))
 	r.SetPolicy(btquarantine.DefaultPolicy())
-	assert.Assert(t, !r.Held(start, request(1)))
+	assert.Assert(t, !r.Quarantined(start, request(1)))
 }
 
 // Two entries that each saw one end hold the request once they have told each other.
 func TestEntriesTellEachOther(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
-	a.Ended(start, request(1), 1, btquarantine.Answering)
-	b.Ended(start, request(1), 2, btquarantine.Answering)
+	a.RecordCrash(start, request(1), 1, btquarantine.Answering)
+	b.RecordCrash(start, request(1), 2, btquarantine.Answering)
 	assert.Assert(t, a.Digest() != b.Digest())
-	assert.DeepEqual(t, b.Heard(after(time.Second), a.Tell(after(time.Second))), []btquarantine.Fingerprint{request(1)})
-	assert.Equal(t, len(a.Heard(after(time.Second), b.Tell(after(time.Second)))), 1)
+	assert.DeepEqual(t, b.Merge(after(time.Second), a.Export(after(time.Second))), []btquarantine.Fingerprint{request(1)})
+	assert.Equal(t, len(a.Merge(after(time.Second), b.Export(after(time.Second)))), 1)
 	assert.Equal(t, a.Digest(), b.Digest())
-	assert.Equal(t, len(a.Heard(after(2*time.Second), b.Tell(after(2*time.Second)))), 0, "nothing new")
+	assert.Equal(t, len(a.Merge(after(2*time.Second), b.Export(after(2*time.Second)))), 0, "nothing new")
 
-	a.Served(after(3*time.Second), request(1))
-	b.Heard(after(3*time.Second), a.Tell(after(3*time.Second)))
-	assert.Assert(t, !b.Held(after(3*time.Second), request(1)))
-	a.Heard(after(3*time.Second), b.Tell(after(3*time.Second)))
-	assert.Assert(t, !a.Held(after(3*time.Second), request(1)))
+	a.RecordServed(after(3*time.Second), request(1))
+	b.Merge(after(3*time.Second), a.Export(after(3*time.Second)))
+	assert.Assert(t, !b.Quarantined(after(3*time.Second), request(1)))
+	a.Merge(after(3*time.Second), b.Export(after(3*time.Second)))
+	assert.Assert(t, !a.Quarantined(after(3*time.Second), request(1)))
 }
 
 // A target that ends with all that was at work there, again and again, fills the
 // register; what is held stays.
 func TestARegisterIsBounded(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	r.Ended(start, request(-1), 1, btquarantine.Answering)
-	r.Ended(start, request(-1), 2, btquarantine.Answering)
+	r.RecordCrash(start, request(-1), 1, btquarantine.Answering)
+	r.RecordCrash(start, request(-1), 2, btquarantine.Answering)
 	for i := range 3 * btquarantine.MaxRecords {
-		r.Ended(after(time.Duration(i)*time.Millisecond), request(i), uint64(i), btquarantine.Answering)
+		r.RecordCrash(after(time.Duration(i)*time.Millisecond), request(i), uint64(i), btquarantine.Answering)
 	}
 	assert.Equal(t, r.Len(), btquarantine.MaxRecords)
 	now := after(time.Minute)
-	assert.Assert(t, r.Held(now, request(-1)))
-	told := r.Tell(now)
-	assert.Equal(t, len(told), btquarantine.MaxTold)
+	assert.Assert(t, r.Quarantined(now, request(-1)))
+	told := r.Export(now)
+	assert.Equal(t, len(told), btquarantine.MaxRecordsPerMessage)
 	assert.Equal(t, told[0].Fingerprint, request(-1))
 	data, err := btwire.Encode(told)
 	assert.NilError(t, err)
@@ -138,21 +138,23 @@
 const tellBytes = 4 << 10
 
 func TestRecordsThatCannotHoldAreRefused(t *testing.T) {
-	good := btquarantine.Record{ServedMillis: -1, Ends: []btquarantine.End{{Target: 1}}}
+	good := btquarantine.Record{ServedMillis: -1, Crashes: []btquarantine.CrashReport{{Target: 1}}}
 	assert.NilError(t, good.Validate())
 	for name, change := range map[string]func(*btquarantine.Record){
-		"ends":   func(r *btquarantine.Record) { r.Ends = make([]btquarantine.End, btquarantine.MaxEnds+1) },
-		"age":    func(r *btquarantine.Record) { r.Ends[0].AgeMillis = -1 },
-		"old":    func(r *btquarantine.Record) { r.Ends[0].AgeMillis = btquarantine.TTL.Milliseconds() + 1 },
+		"ends": func(r *btquarantine.Record) {
+			r.Crashes = make([]btquarantine.CrashReport, btquarantine.MaxCrashReports+1)
+		},
+		"age":    func(r *btquarantine.Record) { r.Crashes[0].AgeMillis = -1 },
+		"old":    func(r *btquarantine.Record) { r.Crashes[0].AgeMillis = btquarantine.TTL.Milliseconds() + 1 },
 		"served": func(r *btquarantine.Record) { r.ServedMillis = btquarantine.TTL.Milliseconds() + 1 },
 	} {
 		r := good
-		r.Ends = []btquarantine.End{{Target: 1}}
+		r.Crashes = []btquarantine.CrashReport{{Target: 1}}
 		change(&r)
 		assert.ErrorIs(t, r.Validate(), btquarantine.ErrRecord, name)
 		assert.ErrorIs(t, btquarantine.Records{r}.Validate(), btquarantine.ErrRecord, name)
 	}
-	assert.ErrorIs(t, make(btquarantine.Records, btquarantine.MaxTold+1).Validate(), btquarantine.ErrRecord)
+	assert.ErrorIs(t, make(btquarantine.Records, btquarantine.MaxRecordsPerMessage+1).Validate(), btquarantine.ErrRecord)
 }
 
 // Whatever entries see and tell each other in whatever order: they come to the same
@@ -170,13 +172,13 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				target := uint64(rapid.IntRange(1, 5).Draw(t, "target"))
-				r.Ended(now, request(n), target, btquarantine.Answering)
+				r.RecordCrash(now, request(n), target, btquarantine.Answering)
 				if ends[n] == nil {
 					ends[n] = map[uint64]bool{}
 				}
 				ends[n][target] = true
 			case 1:
-				r.Heard(now, entries[rapid.IntRange(0, 2).Draw(t, "from")].Tell(now))
+				r.Merge(now, entries[rapid.IntRange(0, 2).Draw(t, "from")].Export(now))
 			case 2:
 				r.Expire(now)
 			}
@@ -184,14 +186,14 @@
 		for range 2 {
 			for _, a := range entries {
 				for _, b := range entries {
-					a.Heard(now, b.Tell(now))
+					a.Merge(now, b.Export(now))
 				}
 			}
 		}
 		for _, r := range entries {
 			for n := range 4 {
-				assert.Check(t, r.Held(now, request(n)) || len(ends[n]) < 2, "request %d with %d ends is sent", n, len(ends[n]))
-				assert.Check(t, !r.Held(now, request(n)) || len(ends[n]) > 0, "request %d is held", n)
+				assert.Check(t, r.Quarantined(now, request(n)) || len(ends[n]) < 2, "request %d with %d ends is sent", n, len(ends[n]))
+				assert.Check(t, !r.Quarantined(now, request(n)) || len(ends[n]) > 0, "request %d is held", n)
 			}
 		}
 	})
--- a/core/btquarantine/replay_test.go
+++ b/core/btquarantine/replay_test.go
@@ -72,7 +72,7 @@
 	case !t.begun:
 		return btquarantine.Sent
 	case now.Sub(t.began) < firstEvent:
-		return btquarantine.Beginning
+		return btquarantine.BegunWithoutOutput
 	}
 	return btquarantine.Answering
 }
@@ -151,10 +151,10 @@
 	if r.now.Sub(t.came) > callerPatient {
 		return
 	}
-	if r.entries[t.entry].Held(r.now, request(t.number)) {
+	if r.entries[t.entry].Quarantined(r.now, request(t.number)) {
 		if t.number != fatalNumber {
 			r.wronglyOf[t.number] = true
-			r.longest = max(r.longest, r.entries[t.entry].Until(r.now, request(t.number)).Sub(r.now))
+			r.longest = max(r.longest, r.entries[t.entry].QuarantinedUntil(r.now, request(t.number)).Sub(r.now))
 		}
 		return
 	}
@@ -189,7 +189,7 @@
 	}
 	delete(r.at, t)
 	r.served++
-	r.entries[t.entry].Served(r.now, request(t.number))
+	r.entries[t.entry].RecordServed(r.now, request(t.number))
 }
 
 // end has a rank end under a request.
@@ -211,7 +211,7 @@
 			continue
 		}
 		delete(r.at, victim)
-		r.entries[victim.entry].Ended(r.now, request(victim.number), target, victim.progress(r.now))
+		r.entries[victim.entry].RecordCrash(r.now, request(victim.number), target, victim.progress(r.now))
 		r.again(victim)
 	}
 	r.after(spread, r.tell)
@@ -240,8 +240,8 @@
 func (r *replay) tell() {
 	for _, a := range r.entries {
 		for _, b := range r.entries {
-			a.Heard(r.now, b.Tell(r.now))
-			a.HeardSuspects(r.now, b.TellSuspects(r.now))
+			a.Merge(r.now, b.Export(r.now))
+			a.MergeSuspects(r.now, b.ExportSuspects(r.now))
 		}
 	}
 }
@@ -267,8 +267,8 @@
 
 // byEnds are the policies that go by ends alone.
 var (
-	never  = btquarantine.Policy{Begun: 1000, Sent: 1000}
-	byEnds = btquarantine.Policy{Begun: 2, Sent: 3}
+	never  = btquarantine.Policy{BegunCrashes: 1000, AllCrashes: 1000}
+	byEnds = btquarantine.Policy{BegunCrashes: 2, AllCrashes: 3}
 )
 
 // A request that ends ranks is kept from them after the first end, as it was about to begin
@@ -297,7 +297,7 @@
 		r := play(btquarantine.DefaultPolicy(), seed, byThemselves)
 		assert.Assert(t, len(r.wronglyOf) <= 2*len(r.ends), "%d refused at %d ends", len(r.wronglyOf), len(r.ends))
 		assert.Assert(t, r.longest <= btquarantine.SuspectFor, "one is held for %s", r.longest)
-		first := play(btquarantine.Policy{Begun: 1, Sent: 1}, seed, byThemselves)
+		first := play(btquarantine.Policy{BegunCrashes: 1, AllCrashes: 1}, seed, byThemselves)
 		assert.Assert(t, len(first.wronglyOf) > len(r.wronglyOf), "the first end refuses %d", len(first.wronglyOf))
 	}
 }
@@ -307,10 +307,10 @@
 	for name, p := range map[string]btquarantine.Policy{
 		"never":                    never,
 		"first end":                btquarantine.ConservativePolicy(),
-		"two sent":                 {Begun: 2, Sent: 2},
+		"two sent":                 {BegunCrashes: 2, AllCrashes: 2},
 		"two begun or three sent":  byEnds,
 		"the same, and suspects":   btquarantine.DefaultPolicy(),
-		"three begun or four sent": {Begun: 3, Sent: 4},
+		"three begun or four sent": {BegunCrashes: 3, AllCrashes: 4},
 	} {
 		b.Run(name, func(b *testing.B) {
 			const seeds = 20
--- a/core/btquarantine/suspect.go
+++ b/core/btquarantine/suspect.go
@@ -28,10 +28,10 @@
 	Sent Progress = iota
 	// Answering tells that the target had begun to answer.
 	Answering
-	// Beginning tells that the target, a member of a group, had begun to answer and that
+	// BegunWithoutOutput tells that the target, a member of a group, had begun to answer and that
 	// nothing of the answer had come. Of the requests at a target few are in that state,
 	// and one that ends targets as it begins always is.
-	Beginning
+	BegunWithoutOutput
 )
 
 // Suspect is what processes tell each other of a request under which a member of a group
@@ -93,8 +93,8 @@
 	return list
 }
 
-// TellSuspects returns the suspects, for another entry.
-func (r *Register) TellSuspects(now time.Time) Suspects {
+// ExportSuspects returns the suspects, for another entry.
+func (r *Register) ExportSuspects(now time.Time) Suspects {
 	r.suspects.expire(now)
 	var told Suspects
 	for _, f := range r.suspects.latestFirst() {
@@ -103,9 +103,9 @@
 	return told
 }
 
-// HeardSuspects takes in what another entry tells. It returns the requests that are held
+// MergeSuspects takes in what another entry tells. It returns the requests that are held
 // from now on, and whether anything was new.
-func (r *Register) HeardSuspects(now time.Time, told Suspects) (newly []Fingerprint, changed bool) {
+func (r *Register) MergeSuspects(now time.Time, told Suspects) (newly []Fingerprint, changed bool) {
 	for _, s := range told {
 		was := r.hold(now, s.Fingerprint)
 		if !r.suspects.add(s.Fingerprint, before(now, s.AgeMillis)) {
@@ -128,11 +128,11 @@
 // it isn't one, or was served since.
 func (r *Register) suspectedUntil(f Fingerprint) time.Time {
 	at, found := r.suspects[f]
-	if !found || r.policy.Suspect == 0 {
+	if !found || r.policy.SuspectTime == 0 {
 		return time.Time{}
 	}
 	if c, known := r.records[f]; known && !c.served.Before(at) {
 		return time.Time{}
 	}
-	return at.Add(r.policy.Suspect)
+	return at.Add(r.policy.SuspectTime)
 }
--- a/core/btquarantine/suspect_test.go
+++ b/core/btquarantine/suspect_test.go
@@ -13,57 +13,57 @@
 
 func TestARequestThatHadOnlyBegunWaitsAfterOneEnd(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	assert.Assert(t, r.Ended(start, request(1), 1, btquarantine.Beginning))
-	assert.Assert(t, !r.Ended(start, request(2), 1, btquarantine.Answering), "it had gone on for a while")
-	assert.Equal(t, r.Until(start, request(1)), after(btquarantine.SuspectFor))
+	assert.Assert(t, r.RecordCrash(start, request(1), 1, btquarantine.BegunWithoutOutput))
+	assert.Assert(t, !r.RecordCrash(start, request(2), 1, btquarantine.Answering), "it had gone on for a while")
+	assert.Equal(t, r.QuarantinedUntil(start, request(1)), after(btquarantine.SuspectFor))
 	assert.Assert(t, r.Suspected(start, request(1)))
-	assert.Assert(t, !r.Held(after(btquarantine.SuspectFor), request(1)), "it may be tried again")
-	assert.Assert(t, r.Ended(after(time.Minute), request(1), 2, btquarantine.Beginning))
-	assert.Equal(t, r.Until(after(time.Minute), request(1)), after(time.Minute+btquarantine.TTL))
+	assert.Assert(t, !r.Quarantined(after(btquarantine.SuspectFor), request(1)), "it may be tried again")
+	assert.Assert(t, r.RecordCrash(after(time.Minute), request(1), 2, btquarantine.BegunWithoutOutput))
+	assert.Equal(t, r.QuarantinedUntil(after(time.Minute), request(1)), after(time.Minute+btquarantine.TTL))
 	assert.Assert(t, !r.Suspected(after(time.Minute), request(1)))
 }
 
 // A suspect that another copy of it, or a caller before, was served with isn't one.
 func TestASuspectThatIsServedIsFree(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
-	a.Ended(start, request(1), 1, btquarantine.Beginning)
-	b.HeardSuspects(start, a.TellSuspects(start))
-	assert.Assert(t, b.Held(start, request(1)))
-	assert.Assert(t, b.Served(after(time.Second), request(1)))
-	assert.Assert(t, !b.Held(after(time.Second), request(1)))
-	a.Heard(after(time.Second), btquarantine.Records{b.TellOf(after(time.Second), request(1))})
-	assert.Assert(t, !a.Held(after(time.Second), request(1)))
+	a.RecordCrash(start, request(1), 1, btquarantine.BegunWithoutOutput)
+	b.MergeSuspects(start, a.ExportSuspects(start))
+	assert.Assert(t, b.Quarantined(start, request(1)))
+	assert.Assert(t, b.RecordServed(after(time.Second), request(1)))
+	assert.Assert(t, !b.Quarantined(after(time.Second), request(1)))
+	a.Merge(after(time.Second), btquarantine.Records{b.ExportRecord(after(time.Second), request(1))})
+	assert.Assert(t, !a.Quarantined(after(time.Second), request(1)))
 
 	r := btquarantine.New(btquarantine.DefaultPolicy())
-	r.Served(start, request(2))
-	assert.Assert(t, !r.Ended(after(time.Second), request(2), 1, btquarantine.Beginning))
+	r.RecordServed(start, request(2))
+	assert.Assert(t, !r.RecordCrash(after(time.Second), request(2), 1, btquarantine.BegunWithoutOutput))
 }
 
 // Entries tell each other of suspects as long as they wait; what is known is no news, and
 // nobody waits longer for being told again.
 func TestSuspectsAreToldOnce(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
-	a.Ended(start, request(1), 1, btquarantine.Beginning)
-	newly, changed := b.HeardSuspects(after(20*time.Millisecond), a.TellSuspects(after(10*time.Millisecond)))
+	a.RecordCrash(start, request(1), 1, btquarantine.BegunWithoutOutput)
+	newly, changed := b.MergeSuspects(after(20*time.Millisecond), a.ExportSuspects(after(10*time.Millisecond)))
 	assert.DeepEqual(t, newly, []btquarantine.Fingerprint{request(1)})
 	assert.Assert(t, changed)
 	for s := range 29 {
 		now := after(time.Duration(s) * time.Second)
-		_, changed = b.HeardSuspects(now, a.TellSuspects(now))
+		_, changed = b.MergeSuspects(now, a.ExportSuspects(now))
 		assert.Assert(t, !changed)
-		_, changed = a.HeardSuspects(now, b.TellSuspects(now))
+		_, changed = a.MergeSuspects(now, b.ExportSuspects(now))
 		assert.Assert(t, !changed)
 	}
-	assert.Assert(t, !b.Held(after(btquarantine.SuspectFor+time.Second), request(1)))
-	assert.Equal(t, len(b.TellSuspects(after(btquarantine.SuspectFor+time.Second))), 0)
+	assert.Assert(t, !b.Quarantined(after(btquarantine.SuspectFor+time.Second), request(1)))
+	assert.Equal(t, len(b.ExportSuspects(after(btquarantine.SuspectFor+time.Second))), 0)
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	for i := range 3 * btquarantine.MaxSuspects {
-		r.Ended(after(time.Duration(i)*time.Millisecond), request(i), uint64(i), btquarantine.Beginning)
+		r.RecordCrash(after(time.Duration(i)*time.Millisecond), request(i), uint64(i), btquarantine.BegunWithoutOutput)
 	}
-	told := r.TellSuspects(after(time.Second))
+	told := r.ExportSuspects(after(time.Second))
 	assert.Equal(t, len(told), btquarantine.MaxSuspects)
 	assert.Equal(t, told[0].Fingerprint, request(3*btquarantine.MaxSuspects-1))
 	data, err := btwire.Encode(told)
@@ -81,5 +81,5 @@
 		assert.ErrorIs(t, btquarantine.Suspects{good, {AgeMillis: age}}.Validate(), btquarantine.ErrRecord)
 	}
 	many := make(btquarantine.Suspects, btquarantine.MaxSuspects+1)
-	assert.ErrorIs(t, btquarantine.News{Suspects: many}.Validate(), btquarantine.ErrRecord)
+	assert.ErrorIs(t, btquarantine.Update{Suspects: many}.Validate(), btquarantine.ErrRecord)
 }
--- a/io/btagent/quarantine.go
+++ b/io/btagent/quarantine.go
@@ -32,7 +32,7 @@
 	if came || !v.agent.group.Shared() {
 		return btquarantine.Answering
 	}
-	return btquarantine.Beginning
+	return btquarantine.BegunWithoutOutput
 }
 
 // remind tells an entry which requests this agent's target has ended under.
--- a/io/btdirect/attempt.go
+++ b/io/btdirect/attempt.go
@@ -116,7 +116,7 @@
 	case t.info.Member == nil || x.route.Kind != btcatalog.Stream || x.answering.Load():
 		return btquarantine.Answering
 	}
-	return btquarantine.Beginning
+	return btquarantine.BegunWithoutOutput
 }
 
 // promptTokens counts a prompt at a target until it has been read there.
--- a/io/btdirect/quarantine.go
+++ b/io/btdirect/quarantine.go
@@ -69,7 +69,7 @@
 // learn takes in what another entry knows, and that this is all where the other knows
 // all.
 func (q *quarantine) learn(w welcome, from netip.AddrPort) {
-	q.Hear(btquarantine.News{Records: w.Quarantine, Suspects: w.Suspects}, from.String())
+	q.Hear(btquarantine.Update{Records: w.Quarantine, Suspects: w.Suspects}, from.String())
 	if w.KnowsAll && !q.whole.Load() {
 		q.complete(from.String())
 	}
@@ -126,8 +126,8 @@
 }
 
 // news is what it tells.
-func (t telling) news() btquarantine.News {
-	return btquarantine.News{Records: t.Records, Suspects: t.Suspects}
+func (t telling) news() btquarantine.Update {
+	return btquarantine.Update{Records: t.Records, Suspects: t.Suspects}
 }
 
 // Validate reports a telling from nowhere or with records that can't hold.
@@ -140,7 +140,7 @@
 
 // tellQuarantine tells other entries at once: a request that ends targets comes again
 // within a second, at any of them.
-func (p *peers) tellQuarantine(ctx context.Context, n btquarantine.News) {
+func (p *peers) tellQuarantine(ctx context.Context, n btquarantine.Update) {
 	message := telling{From: p.entry.options.Settings.Peer, Records: n.Records, Suspects: n.Suspects}
 	others := p.list()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
--- a/io/btisolation/btisolation.go
+++ b/io/btisolation/btisolation.go
@@ -46,7 +46,7 @@
 // New returns one that knows of no request and goes by the policy.
 func New(p btquarantine.Policy, clock btloop.Clock, log *slog.Logger) *Isolation {
 	register := btquarantine.New(p)
-	register.ObserveAs(rand.Uint64())
+	register.SetObserver(rand.Uint64())
 	return &Isolation{
 		clock:    clock,
 		log:      log,
@@ -77,7 +77,7 @@
 		return 0, false
 	}
 	now := i.clock()
-	left = i.register.Until(now, fingerprint()).Sub(now)
+	left = i.register.QuarantinedUntil(now, fingerprint()).Sub(now)
 	return left, left > 0
 }
 
@@ -86,7 +86,7 @@
 func (i *Isolation) Ended(f btquarantine.Fingerprint, target string, p btquarantine.Progress, details ...any) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	newly := i.register.Ended(i.clock(), f, btquarantine.TargetID(target), p)
+	newly := i.register.RecordCrash(i.clock(), f, btquarantine.TargetID(target), p)
 	i.tell(f)
 	if newly {
 		i.hold(f, append([]any{"target", target}, details...)...)
@@ -97,13 +97,13 @@
 func (i *Isolation) Served(f btquarantine.Fingerprint) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.register.Served(i.clock(), f) {
+	if i.register.RecordServed(i.clock(), f) {
 		i.tell(f)
 	}
 }
 
 // Hear takes in what another process tells, and tells whether that was new.
-func (i *Isolation) Hear(n btquarantine.News, from string) (changed bool) {
+func (i *Isolation) Hear(n btquarantine.Update, from string) (changed bool) {
 	if len(n.Records) == 0 && len(n.Suspects) == 0 {
 		return false
 	}
@@ -111,8 +111,8 @@
 	defer i.mu.Unlock()
 	now := i.clock()
 	before := i.register.Digest()
-	suspected, changed := i.register.HeardSuspects(now, n.Suspects)
-	held := i.register.Heard(now, n.Records)
+	suspected, changed := i.register.MergeSuspects(now, n.Suspects)
+	held := i.register.Merge(now, n.Records)
 	for _, f := range append(suspected, held...) {
 		i.hold(f, "from", from)
 	}
@@ -120,7 +120,7 @@
 }
 
 // Pass has others told of what was heard.
-func (i *Isolation) Pass(n btquarantine.News) {
+func (i *Isolation) Pass(n btquarantine.Update) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, r := range n.Records {
@@ -135,7 +135,7 @@
 func (i *Isolation) Suspects() btquarantine.Suspects {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.register.TellSuspects(i.clock())
+	return i.register.ExportSuspects(i.clock())
 }
 
 // Digest identifies what is known.
@@ -152,18 +152,18 @@
 	if i.register.Digest() == digest {
 		return nil
 	}
-	return i.register.Tell(i.clock())
+	return i.register.Export(i.clock())
 }
 
 // Record returns what is known of one request.
 func (i *Isolation) Record(f btquarantine.Fingerprint) btquarantine.Record {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.register.TellOf(i.clock(), f)
+	return i.register.ExportRecord(i.clock(), f)
 }
 
 // Run hands news to tell, and drops what is of no more use, until the context ends.
-func (i *Isolation) Run(ctx context.Context, tell func(context.Context, btquarantine.News)) {
+func (i *Isolation) Run(ctx context.Context, tell func(context.Context, btquarantine.Update)) {
 	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
 	for {
@@ -196,25 +196,25 @@
 	now := i.clock()
 	suspected := i.register.Suspected(now, f)
 	withdrawn := i.withdraw(f, suspected)
-	left := i.register.Until(now, f).Sub(now)
+	left := i.register.QuarantinedUntil(now, f).Sub(now)
 	i.log.Warn("request held", append([]any{"fingerprint", f, "for_ms", left.Milliseconds(), "suspected", suspected, "withdrawn", withdrawn}, evidence...)...)
 }
 
 // takeNews returns what others are to be told, as much as one message holds, with all
 // suspects.
-func (i *Isolation) takeNews() btquarantine.News {
+func (i *Isolation) takeNews() btquarantine.Update {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.clock()
 	var records btquarantine.Records
 	for f := range i.news {
-		if len(records) == btquarantine.MaxTold {
+		if len(records) == btquarantine.MaxRecordsPerMessage {
 			break
 		}
-		records = append(records, i.register.TellOf(now, f))
+		records = append(records, i.register.ExportRecord(now, f))
 		delete(i.news, f)
 	}
-	return btquarantine.News{Records: records, Suspects: i.register.TellSuspects(now)}
+	return btquarantine.Update{Records: records, Suspects: i.register.ExportSuspects(now)}
 }
 
 func (i *Isolation) expire() {
--- a/io/btisolation/btisolation_test.go
+++ b/io/btisolation/btisolation_test.go
@@ -66,10 +66,10 @@
 func TestProcessesTellEachOther(t *testing.T) {
 	a, _ := newIsolation()
 	b, lines := newIsolation()
-	told := make(chan btquarantine.News, 8)
+	told := make(chan btquarantine.Update, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go a.Run(ctx, func(_ context.Context, n btquarantine.News) { told <- n })
+	go a.Run(ctx, func(_ context.Context, n btquarantine.Update) { told <- n })
 	a.Ended(request("/x"), "a", btquarantine.Answering)
 	a.Ended(request("/x"), "b", btquarantine.Answering)
 	assert.Assert(t, b.Hear(<-told, "a's address"))
@@ -79,7 +79,7 @@
 	assert.Equal(t, a.Digest(), b.Digest())
 	assert.Equal(t, len(a.NewerThan(b.Digest())), 0)
 	assert.Equal(t, len(a.NewerThan(0)), 1)
-	assert.Assert(t, !b.Hear(btquarantine.News{Records: a.NewerThan(0)}, "a's address"))
+	assert.Assert(t, !b.Hear(btquarantine.Update{Records: a.NewerThan(0)}, "a's address"))
 }
 
 // A request that a member of a group had only begun to answer is held at the first end, for a
@@ -92,11 +92,11 @@
 		suspected = append(suspected, s)
 		return 1
 	})
-	told := make(chan btquarantine.News, 8)
+	told := make(chan btquarantine.Update, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go a.Run(ctx, func(_ context.Context, n btquarantine.News) { told <- n })
-	a.Ended(request("/x"), "a", btquarantine.Beginning)
+	go a.Run(ctx, func(_ context.Context, n btquarantine.Update) { told <- n })
+	a.Ended(request("/x"), "a", btquarantine.BegunWithoutOutput)
 	news := <-told
 	assert.NilError(t, news.Validate())
 	assert.Assert(t, b.Hear(news, "a's address"))
@@ -107,7 +107,7 @@
 		assert.Equal(t, remaining, btquarantine.SuspectFor)
 	}
 	assert.Assert(t, strings.Contains(lines.String(), "for_ms=30000 suspected=true withdrawn=1"))
-	a.Ended(request("/x"), "b", btquarantine.Beginning)
+	a.Ended(request("/x"), "b", btquarantine.BegunWithoutOutput)
 	remaining, _ := left(a, request("/x"))
 	assert.Equal(t, remaining, btquarantine.TTL)
 	assert.DeepEqual(t, suspected, []bool{true, false})
--- a/io/btprocess/isolation.go
+++ b/io/btprocess/isolation.go
@@ -32,8 +32,8 @@
 }
 
 // news is what it tells.
-func (i Isolated) news() btquarantine.News {
-	return btquarantine.News{Records: i.Records, Suspects: i.Suspects}
+func (i Isolated) news() btquarantine.Update {
+	return btquarantine.Update{Records: i.Records, Suspects: i.Suspects}
 }
 
 // Validate reports records that can't hold.
@@ -63,7 +63,7 @@
 }
 
 // tell tells the neighbours.
-func (i *Isolation) tell(ctx context.Context, n btquarantine.News) {
+func (i *Isolation) tell(ctx context.Context, n btquarantine.Update) {
 	for _, to := range i.neighbours() {
 		go i.Compare(ctx, to, n.Records)
 	}
