--- a/core/btquarantine/delay_test.go
+++ b/core/btquarantine/delay_test.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// processes see crashes and send reports; frozenFor is how long one may be frozen with
-	// a report on its way.
+	// processes is how many processes observe crashes and send reports; maxFreeze
+	// is the longest time for which a receiver may be frozen while a report is in
+	// transit.
 	processes = 4
-	frozenFor = 3 * time.Second
+	maxFreeze = 3 * time.Second
 	// restartAfter is how soon a target may crash again.
 	restartAfter = 1100 * time.Millisecond
 )
 
-// delivery is a report on its way.
+// delivery is a message in transit.
 type delivery struct {
-	at   time.Time
-	to   int
-	told btquarantine.Records
+	at      time.Time
+	to      int
+	records btquarantine.Records
 }
 
-// delayed is a set of registers whose reports are delayed, repeated and reordered.
-type delayed struct {
+// delayedRegisters is a set of registers whose reports are delayed, repeated and
+// reordered.
+type delayedRegisters struct {
 	random    *rand.Rand
 	now       time.Time
 	registers []*btquarantine.Register
@@ -36,8 +38,8 @@
 	anonymous bool
 }
 
-func newDelayed(seed uint64, anonymous bool) *delayed {
-	d := &delayed{random: rand.New(rand.NewPCG(seed, 1)), now: start, anonymous: anonymous}
+func newDelayedRegisters(seed uint64, anonymous bool) *delayedRegisters {
+	d := &delayedRegisters{random: rand.New(rand.NewPCG(seed, 1)), now: start, anonymous: anonymous}
 	for i := range processes {
 		r := btquarantine.New(btquarantine.DefaultPolicy())
 		r.SetObserver(uint64(i) + 1)
@@ -46,12 +48,12 @@
 	return d
 }
 
-// tell has a process send what it knows to the others, once or twice, on time or after it
-// or the receiver was frozen.
-func (d *delayed) tell(from int) {
-	told := d.registers[from].Export(d.now)
+// broadcast sends a process's records to all, once or twice, some of them delayed
+// by a frozen sender or receiver.
+func (d *delayedRegisters) broadcast(from int) {
+	records := d.registers[from].Export(d.now)
 	if d.anonymous {
-		for _, r := range told {
+		for _, r := range records {
 			for i := range r.Crashes {
 				r.Crashes[i].Observation = btquarantine.Observation(d.random.Uint64())
 			}
@@ -59,17 +61,17 @@
 	}
 	for to := range processes {
 		for range 1 + d.random.IntN(2) {
-			way := time.Duration(d.random.IntN(100)) * time.Millisecond
+			delay := time.Duration(d.random.IntN(100)) * time.Millisecond
 			if d.random.IntN(4) == 0 {
-				way += time.Duration(d.random.Int64N(int64(frozenFor)))
+				delay += time.Duration(d.random.Int64N(int64(maxFreeze)))
 			}
-			d.sent = append(d.sent, delivery{at: d.now.Add(way), to: to, told: told})
+			d.sent = append(d.sent, delivery{at: d.now.Add(delay), to: to, records: records})
 		}
 	}
 }
 
-// pass lets time go on, and delivers what is due.
-func (d *delayed) pass(by time.Duration) {
+// advance moves the clock forward and delivers what is due.
+func (d *delayedRegisters) advance(by time.Duration) {
 	const tick = 10 * time.Millisecond
 	for end := d.now.Add(by); d.now.Before(end); d.now = d.now.Add(tick) {
 		var left []delivery
@@ -78,24 +80,24 @@
 				left = append(left, m)
 				continue
 			}
-			d.registers[m.to].Merge(d.now, m.told)
+			d.registers[m.to].Merge(d.now, m.records)
 		}
 		d.sent = left
 	}
 }
 
-// crashes has a request crash targets of one address, and returns how many crashes each
-// process counts once all reports have arrived.
-func (d *delayed) crashes(n int) []int {
+// crash makes a request crash targets with the same address n times. It returns how
+// many crashes each process counts after all reports have arrived.
+func (d *delayedRegisters) crash(n int) []int {
 	for range n {
 		by := d.random.IntN(processes)
 		d.registers[by].RecordCrash(d.now, request(1), 7, btquarantine.Sent)
-		d.tell(by)
-		d.pass(restartAfter)
-		d.tell(d.random.IntN(processes))
+		d.broadcast(by)
+		d.advance(restartAfter)
+		d.broadcast(d.random.IntN(processes))
 	}
-	d.pass(2 * frozenFor)
-	d.settle()
+	d.advance(2 * maxFreeze)
+	d.synchronise()
 	var counted []int
 	for _, r := range d.registers {
 		counted = append(counted, crashesIn(r.ExportRecord(d.now, request(1))))
@@ -103,8 +105,8 @@
 	return counted
 }
 
-// settle has processes exchange what they know while their digests differ, on time.
-func (d *delayed) settle() {
+// synchronise exchanges records without delay while digests differ.
+func (d *delayedRegisters) synchronise() {
 	for range processes {
 		for _, from := range d.registers {
 			for _, to := range d.registers {
@@ -116,7 +118,7 @@
 	}
 }
 
-// crashesIn counts the crashes of one target that a record tells of, by their ages.
+// crashesIn counts the crashes of one target in a record by their ages.
 func crashesIn(r btquarantine.Record) int {
 	n := 0
 	last := int64(-1)
@@ -129,33 +131,34 @@
 	return n
 }
 
-// TestDelayedReportsAreNoFurtherCrashes guards against quarantining a request as reports
-// of one crash arrive late, again or out of order, and against losing a real second crash
-// 1.1 s after the first. Reports without identities count too many in the same run.
-func TestDelayedReportsAreNoFurtherCrashes(t *testing.T) {
+// TestDelayedReportsCountOnce guards against quarantining a request because reports
+// of one crash arrive late, repeatedly or out of order, and against missing a real
+// second crash 1.1 s after the first. Reports without identities must be miscounted
+// in the same run.
+func TestDelayedReportsCountOnce(t *testing.T) {
 	wrong := 0
 	for seed := range uint64(200) {
 		n := 1 + int(seed%3)
-		d := newDelayed(seed, false)
-		for _, counted := range d.crashes(n) {
+		d := newDelayedRegisters(seed, false)
+		for _, counted := range d.crash(n) {
 			assert.Equal(t, counted, n, "seed %d", seed)
 		}
 		for _, r := range d.registers {
 			assert.Equal(t, r.Digest(), d.registers[0].Digest(), "seed %d", seed)
 			assert.Equal(t, r.Quarantined(d.now, request(1)), n >= btquarantine.DefaultPolicy().AllCrashes, "seed %d", seed)
 		}
-		for _, counted := range newDelayed(seed, true).crashes(n) {
+		for _, counted := range newDelayedRegisters(seed, true).crash(n) {
 			if counted != n {
 				wrong++
 			}
 		}
 	}
-	assert.Assert(t, wrong > 0, "reports without identities were all counted right")
+	assert.Assert(t, wrong > 0, "reports without identities were all counted correctly")
 }
 
-// TestAReportOfAServedRequestIsNoNewCrash guards against a late report of a crash that
-// happened before the request was served.
-func TestAReportOfAServedRequestIsNoNewCrash(t *testing.T) {
+// TestLateReportOfServedRequestIsIgnored guards against counting a late report of a
+// crash that happened before the request was served.
+func TestLateReportOfServedRequestIsIgnored(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
 	a.RecordCrash(start, request(1), 1, btquarantine.Answering)
 	told := a.Export(after(100 * time.Millisecond))
@@ -165,9 +168,9 @@
 	assert.Equal(t, len(b.ExportRecord(after(2600*time.Millisecond), request(1)).Crashes), 0)
 }
 
-// TestAMessageOfCrashReportsIsBounded guards against reports that outgrow a greeting: a
-// full message of requests with two crashes each stays below 5 KB.
-func TestAMessageOfCrashReportsIsBounded(t *testing.T) {
+// TestExportSizeIsBounded guards against records that outgrow the greeting message:
+// a full message of requests with two crashes each stays below 5 KB.
+func TestExportSizeIsBounded(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	for n := range 2 * btquarantine.MaxRecordsPerMessage {
 		r.RecordCrash(start, request(n), uint64(1)<<60, btquarantine.Answering)
--- a/core/btquarantine/fingerprint.go
+++ b/core/btquarantine/fingerprint.go
@@ -1,8 +1,8 @@
-// Package btquarantine tells requests by their content and remembers those that end
-// the targets which run them.
+// Package btquarantine recognises requests by their content and keeps those that
+// crash targets away from targets.
 //
-// A caller's identifier is new with each try, so nothing that is kept by it can tell
-// that a request has come before.
+// A client sends a new request identifier with every retry, so state keyed by it
+// can't recognise a request that was sent before.
 package btquarantine
 
 import (
@@ -14,28 +14,30 @@
 	"bilberrytide/core/btid"
 )
 
-// Content is what makes two requests the same one, whichever entry takes them. The
-// service is no part of it: a configuration may move the route to another one, or split
-// it between two, while the request goes on to come.
+// Content identifies a request, whichever entry receives it. The service isn't part
+// of it: a configuration change may move the route to another service, or split it
+// between two, while the request keeps being sent.
 type Content struct {
 	Account btid.Account
 	Method  string
-	// Host is what the caller named beside the path: a host, or a service by its name.
+	// Host is the host that the caller named, or the service if it named that
+	// instead.
 	Host string
 	// URI is the path and the query as the caller sent them.
 	URI  string
 	Body []byte
 }
 
-// FingerprintBytes is the size of a Fingerprint: half of the digest, which no account
-// can make two of its requests share.
+// FingerprintBytes is the size of a Fingerprint: half of the SHA-256 digest, for
+// which no client account can produce two requests that collide.
 const FingerprintBytes = 16
 
-// Fingerprint stands for a request's content.
+// Fingerprint identifies a request's content.
 type Fingerprint [FingerprintBytes]byte
 
-// Fingerprint returns that of the content. A request of 1 KB takes some 1.4 µs (BenchmarkFingerprint), so it is
-// computed where it is needed and not for each request.
+// Fingerprint returns the fingerprint of the content. A request of 1 KB takes some
+// 1.4 µs (BenchmarkFingerprint), so it is computed only where it is needed and not
+// for every request.
 func (c Content) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{string(c.Account), c.Method, c.Host, c.URI} {
@@ -45,8 +47,8 @@
 	return Fingerprint(h.Sum(nil)[:FingerprintBytes])
 }
 
-// writePart writes a part behind its length, so that no two contents are written
-// alike. A hash takes everything without an error.
+// writePart writes a part prefixed by its length, so that different contents never
+// produce the same bytes. A hash never returns an error.
 func writePart(h hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
--- a/core/btquarantine/fingerprint_test.go
+++ b/core/btquarantine/fingerprint_test.go
@@ -19,7 +19,9 @@
 	// Output: true 32
 }
 
-func TestEachPartMakesAnotherRequest(t *testing.T) {
+// TestFingerprintCoversEachPart guards against different requests that share a
+// fingerprint.
+func TestFingerprintCoversEachPart(t *testing.T) {
 	changes := map[string]func(*btquarantine.Content){
 		"account": func(c *btquarantine.Content) { c.Account = "other" },
 		"method":  func(c *btquarantine.Content) { c.Method = "PUT" },
@@ -35,7 +37,7 @@
 	}
 }
 
-// BenchmarkFingerprint takes a request of 1 KB.
+// BenchmarkFingerprint measures a request of 1 KB.
 func BenchmarkFingerprint(b *testing.B) {
 	c := content()
 	c.Body = make([]byte, 1<<10)
--- a/core/btquarantine/fuzz_test.go
+++ b/core/btquarantine/fuzz_test.go
@@ -9,7 +9,8 @@
 	"bilberrytide/core/btwire"
 )
 
-// Whatever another process sends, a register that takes it in stays within its bounds.
+// FuzzDecodeRecords guards against messages of another process that make a register
+// exceed its limits or export invalid records.
 func FuzzDecodeRecords(f *testing.F) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	r.RecordCrash(start, request(1), 1, btquarantine.Answering)
--- a/core/btquarantine/recent.go
+++ b/core/btquarantine/recent.go
@@ -3,47 +3,49 @@
 import "time"
 
 const (
-	// recentFor is for how long at least a request counts as served of late. Longer
-	// than a group takes to form anew, some 4 s, again and again.
-	recentFor = time.Minute
-	// maxRecent bounds the requests of a generation: a minute of 34 a second; with
-	// more, the memory is shorter. Two generations take 148 KB of heap.
-	maxRecent = 2048
+	// generationTime is the least time for which a request counts as recently
+	// served. It is longer than a group takes to restart several times in a row,
+	// some 4 s each.
+	generationTime = time.Minute
+	// maxGeneration limits the requests of a generation, which is a minute at 34
+	// requests a second; at a higher rate a generation is shorter. Two generations
+	// take 148 KB of heap.
+	maxGeneration = 2048
 )
 
-// recent remembers which requests were served of late: all of the last minute and some
-// of the one before, unless they are too many.
-type recent struct {
-	began         time.Time
-	newer, before map[Fingerprint]struct{}
+// recentSet remembers recently served requests in two generations: all of the last
+// minute and some of the minute before, unless there are more than maxGeneration.
+type recentSet struct {
+	startedAt         time.Time
+	current, previous map[Fingerprint]struct{}
 }
 
-// add notes a request.
-func (s *recent) add(now time.Time, f Fingerprint) {
-	s.turn(now)
-	s.newer[f] = struct{}{}
+// add adds a request.
+func (s *recentSet) add(now time.Time, f Fingerprint) {
+	s.rotate(now)
+	s.current[f] = struct{}{}
 }
 
-// has tells whether the request was served of late.
-func (s *recent) has(now time.Time, f Fingerprint) bool {
-	s.turn(now)
-	if _, found := s.newer[f]; found {
+// has reports whether the request was recently served.
+func (s *recentSet) has(now time.Time, f Fingerprint) bool {
+	s.rotate(now)
+	if _, found := s.current[f]; found {
 		return true
 	}
-	_, found := s.before[f]
+	_, found := s.previous[f]
 	return found
 }
 
-// turn begins another generation where the present one is old or full.
-func (s *recent) turn(now time.Time) {
-	old := now.Sub(s.began) >= recentFor
-	if s.newer != nil && !old && len(s.newer) < maxRecent {
+// rotate starts a new generation if the current one is old or full.
+func (s *recentSet) rotate(now time.Time) {
+	old := now.Sub(s.startedAt) >= generationTime
+	if s.current != nil && !old && len(s.current) < maxGeneration {
 		return
 	}
-	s.before = s.newer
-	if now.Sub(s.began) >= 2*recentFor {
-		s.before = nil
+	s.previous = s.current
+	if now.Sub(s.startedAt) >= 2*generationTime {
+		s.previous = nil
 	}
-	s.newer = make(map[Fingerprint]struct{})
-	s.began = now
+	s.current = make(map[Fingerprint]struct{})
+	s.startedAt = now
 }
--- a/core/btquarantine/register.go
+++ b/core/btquarantine/register.go
@@ -12,260 +12,272 @@
 const (
 	// TTL is how long a crash counts against a request.
 	TTL = 10 * time.Minute
-	// MaxCrashReports bounds the reports of crashes that are kept of a request: what decides by
-	// any policy and one to spare, each reported by two processes.
+	// MaxCrashReports limits the crash reports of a request: as many crashes as any
+	// policy needs and one more, each reported by two processes.
 	MaxCrashReports = 8
-	// MaxRecords bounds the requests that are remembered: those in flight at some forty
-	// targets of a dozen places each.
+	// MaxRecords limits the requests in a register: those in flight at some forty
+	// targets that run a dozen requests each.
 	MaxRecords = 512
-	// MaxRecordsPerMessage bounds the records of one message.
+	// MaxRecordsPerMessage limits the records of one message.
 	MaxRecordsPerMessage = 64
-	// sameEnd is within which time the reports of two processes on one target are of the
-	// same crash. A platform that doesn't tell starts apart shows one target that crashes
-	// twice, seconds apart.
-	sameEnd = time.Second
+	// sameCrashWithin is the time within which reports of two processes about one
+	// target are of the same crash. It is short because a platform that doesn't
+	// distinguish the restarts of a target shows one target that crashes twice
+	// within seconds.
+	sameCrashWithin = time.Second
 )
 
-// Policy is how many targets must have ended under a request for it to be held.
+// Policy is how many targets must have crashed while running a request before it is
+// quarantined.
 type Policy struct {
-	// BegunCrashes counts targets that had begun to answer it.
+	// BegunCrashes is the threshold for crashes of targets that had begun to answer
+	// the request.
 	BegunCrashes int
-	// AllCrashes counts all that it was sent to, begun or not: callers see a plain target's
-	// answer begin only once its work is done.
+	// AllCrashes is the threshold for crashes of all targets that it was sent to,
+	// whether they had begun or not: of a plain target, callers see the answer
+	// begin only when its work is done.
 	AllCrashes int
-	// SuspectTime is for how long one end holds a request that a member of a group had only
-	// begun to answer; zero for not at all.
+	// SuspectTime is how long a request is quarantined after one crash of a group
+	// member that had begun to answer it but produced no output; zero disables
+	// this.
 	SuspectTime time.Duration
 }
 
-// DefaultPolicy is the policy of a register that has lost no state. One crash alone may be
-// due to any request in flight at the target; only one that the target had just begun to
-// answer is suspected after it.
+// DefaultPolicy returns the policy of a register that has lost no state. A single
+// crash may be due to any request in flight at the target, so it makes only those
+// suspects that the target had just begun to answer.
 func DefaultPolicy() Policy { return Policy{BegunCrashes: 2, AllCrashes: 3, SuspectTime: SuspectFor} }
 
-// ConservativePolicy is the policy of a register that may have lost state: it quarantines
-// a request after its first crash.
+// ConservativePolicy returns the policy of a register that may have lost state: it
+// quarantines a request after its first crash.
 func ConservativePolicy() Policy { return Policy{BegunCrashes: 1, AllCrashes: 1} }
 
-// Register remembers under which requests targets have ended, of late. It is not safe
-// for concurrent use.
+// Register remembers which requests were running when targets recently crashed. It
+// is not safe for concurrent use.
 type Register struct {
-	policy  Policy
-	records map[Fingerprint]*record
+	policy    Policy
+	histories map[Fingerprint]*history
 	// observer identifies this process in its reports.
 	observer uint64
-	// suspects are held for a shorter time.
+	// suspects are quarantined for a shorter time.
 	suspects suspects
-	// served are the requests that were answered whole here within the last minute.
-	served recent
-	// digest identifies what is remembered.
+	// recentlyServed is the requests that were answered completely here within
+	// about the last minute.
+	recentlyServed recentSet
+	// digest identifies the contents of the register.
 	digest uint64
 }
 
-// New returns an empty register that goes by the policy.
+// New returns an empty register with the policy.
 func New(p Policy) *Register {
-	return &Register{policy: p, records: make(map[Fingerprint]*record), suspects: make(suspects)}
+	return &Register{policy: p, histories: make(map[Fingerprint]*history), suspects: make(suspects)}
 }
 
-// SetObserver sets the number that identifies this process in its reports. Processes draw
-// one as they start.
+// SetObserver sets the number that identifies this process in its reports. Each
+// process draws a random one when it starts.
 func (r *Register) SetObserver(observer uint64) { r.observer = observer }
 
-// observe returns the identity of a crash that this process sees.
-func (r *Register) observe(now time.Time, f Fingerprint, target uint64) Observation {
+// newObservation returns the identity of a crash that this process observed.
+func (r *Register) newObservation(now time.Time, f Fingerprint, target uint64) Observation {
 	data := binary.BigEndian.AppendUint64(f[:], r.observer)
 	data = binary.BigEndian.AppendUint64(data, target)
 	data = binary.BigEndian.AppendUint64(data, uint64(now.UnixNano()))
 	return Observation(xxhash.Sum64(data))
 }
 
-// SetPolicy has the register go by another policy, also for what it remembers.
+// SetPolicy replaces the policy, also for the crashes that are already recorded.
 func (r *Register) SetPolicy(p Policy) { r.policy = p }
 
-// Empty tells whether nothing is remembered, so that no fingerprint need be computed.
-func (r *Register) Empty() bool { return len(r.records) == 0 && len(r.suspects) == 0 }
+// Empty reports whether the register is empty, so that no fingerprint needs to be
+// computed.
+func (r *Register) Empty() bool { return len(r.histories) == 0 && len(r.suspects) == 0 }
 
-// Len returns how many requests are remembered.
-func (r *Register) Len() int { return len(r.records) }
+// Len returns the number of requests in the register.
+func (r *Register) Len() int { return len(r.histories) }
 
-// Digest identifies what is remembered, whatever its age: registers of the same digest
-// need tell each other nothing.
+// Digest identifies the contents of the register regardless of their age: registers
+// with the same digest have nothing to exchange.
 func (r *Register) Digest() uint64 { return r.digest }
 
-// TargetID stands for the start of a target in records.
+// TargetID returns the number that identifies an instance of a target in records. A
+// restart is a new instance where the platform distinguishes it.
 func TargetID(instance string) uint64 { return xxhash.Sum64String(instance) }
 
-// RecordCrash notes that a target ended with the request sent to it. It returns whether the
-// request is held for that from now on.
+// RecordCrash records that a target crashed after the request was sent to it. It
+// reports whether the request is quarantined, or more strictly so, from now on.
 func (r *Register) RecordCrash(now time.Time, f Fingerprint, target uint64, p Progress) (newly bool) {
-	before := r.hold(now, f)
-	seen := end{target: target, began: p != Sent, at: now, observation: r.observe(now, f, target)}
-	r.change(f, func(c *record) { c.add(seen) })
-	r.bound()
+	levelBefore := r.level(now, f)
+	report := crashReport{target: target, began: p != Sent, at: now, observation: r.newObservation(now, f, target)}
+	r.update(f, func(c *history) { c.add(report) })
+	r.evictExcess()
 	if p == BegunWithoutOutput {
 		r.suspects.add(f, now)
 	}
-	return r.hold(now, f) > before
+	return r.level(now, f) > levelBefore
 }
 
-// RecordServed notes that a target answered the request whole: what ended before did not end
-// by it. It tells whether anything was remembered of the request.
+// RecordServed records that a target answered the request completely, so the
+// earlier crashes were not its fault. It reports whether crashes of the request
+// were recorded.
 func (r *Register) RecordServed(now time.Time, f Fingerprint) bool {
-	r.served.add(now, f)
-	c, found := r.records[f]
+	r.recentlyServed.add(now, f)
+	c, found := r.histories[f]
 	_, suspected := r.suspects[f]
-	if !suspected && (!found || len(c.ends) == 0) {
+	if !suspected && (!found || len(c.reports) == 0) {
 		return false
 	}
-	r.change(f, func(c *record) { c.clear(now) })
+	r.update(f, func(c *history) { c.markServed(now) })
 	return true
 }
 
-// Quarantined tells whether the request is kept from targets.
+// Quarantined reports whether the request must not be sent to targets.
 func (r *Register) Quarantined(now time.Time, f Fingerprint) bool {
 	return r.QuarantinedUntil(now, f).After(now)
 }
 
-// QuarantinedUntil returns until when the request is kept from targets; zero where it isn't. One
-// that was served here within the last minute isn't: a request that many callers send
-// alike is at work at all targets, also at several that end at once for another reason.
+// QuarantinedUntil returns when the quarantine of the request ends; zero if it
+// isn't quarantined. A request that was recently served here isn't: a request that
+// many callers send alike is running at all targets, also at several that crash
+// together for another reason.
 func (r *Register) QuarantinedUntil(now time.Time, f Fingerprint) time.Time {
-	if r.served.has(now, f) {
+	if r.recentlyServed.has(now, f) {
 		return time.Time{}
 	}
-	if until := r.decidedUntil(now, f); !until.IsZero() {
+	if until := r.crashQuarantineEnd(now, f); !until.IsZero() {
 		return until
 	}
-	return r.suspectedUntil(f)
+	return r.suspicionEnd(f)
 }
 
-// decidedUntil returns until when a request's ends keep it from targets; zero where they
-// don't.
-func (r *Register) decidedUntil(now time.Time, f Fingerprint) time.Time {
-	c, found := r.records[f]
+// crashQuarantineEnd returns when the quarantine by the number of crashes ends;
+// zero if there is none.
+func (r *Register) crashQuarantineEnd(now time.Time, f Fingerprint) time.Time {
+	c, found := r.histories[f]
 	if !found {
 		return time.Time{}
 	}
-	return c.until(now, r.policy)
+	return c.quarantineEnd(now, r.policy)
 }
 
-// hold tells how a request is held: not at all, as a suspect, or by its ends.
-func (r *Register) hold(now time.Time, f Fingerprint) int {
+// level returns how strictly a request is quarantined.
+func (r *Register) level(now time.Time, f Fingerprint) int {
 	switch {
 	case !r.Quarantined(now, f):
-		return notHeld
-	case r.decidedUntil(now, f).IsZero():
-		return heldAsSuspect
+		return notQuarantined
+	case r.crashQuarantineEnd(now, f).IsZero():
+		return quarantinedAsSuspect
 	}
-	return heldByEnds
+	return quarantinedByCrashes
 }
 
-// How a request is held, the more strongly the later.
+// The levels of quarantine, from the weakest to the strictest.
 const (
-	notHeld = iota
-	heldAsSuspect
-	heldByEnds
+	notQuarantined = iota
+	quarantinedAsSuspect
+	quarantinedByCrashes
 )
 
-// Expire drops what is no longer of use.
+// Expire removes what is out of date.
 func (r *Register) Expire(now time.Time) {
 	r.suspects.expire(now)
-	for f, c := range r.records {
+	for f, c := range r.histories {
 		if c.latest().Add(TTL).Before(now) {
-			r.change(f, nil)
+			r.update(f, nil)
 		}
 	}
 }
 
-// Export returns the latest records, for another entry.
+// Export returns the most important records for another entry, at most
+// MaxRecordsPerMessage.
 func (r *Register) Export(now time.Time) Records {
-	fingerprints := r.latestFirst()
-	told := make(Records, 0, min(len(fingerprints), MaxRecordsPerMessage))
+	fingerprints := r.byPriority()
+	exported := make(Records, 0, min(len(fingerprints), MaxRecordsPerMessage))
 	for _, f := range fingerprints[:min(len(fingerprints), MaxRecordsPerMessage)] {
-		told = append(told, r.told(now, f))
+		exported = append(exported, r.exportRecord(now, f))
 	}
-	return told
+	return exported
 }
 
 // ExportRecord returns the record of one request.
-func (r *Register) ExportRecord(now time.Time, f Fingerprint) Record { return r.told(now, f) }
+func (r *Register) ExportRecord(now time.Time, f Fingerprint) Record { return r.exportRecord(now, f) }
 
-// told returns a record as it is told.
-func (r *Register) told(now time.Time, f Fingerprint) Record {
-	told := Record{Fingerprint: f, ServedMillis: -1}
-	c, found := r.records[f]
+// exportRecord returns the record of one request as it is sent.
+func (r *Register) exportRecord(now time.Time, f Fingerprint) Record {
+	exported := Record{Fingerprint: f, ServedMillis: -1}
+	c, found := r.histories[f]
 	if !found {
-		return told
+		return exported
 	}
 	if !c.served.IsZero() && now.Sub(c.served) <= TTL {
-		told.ServedMillis = age(now, c.served)
+		exported.ServedMillis = age(now, c.served)
 	}
-	for _, e := range c.ends {
+	for _, e := range c.reports {
 		if now.Sub(e.at) <= TTL {
-			told.Crashes = append(told.Crashes, CrashReport{Target: e.target, Began: e.began, AgeMillis: age(now, e.at), Observation: e.observation})
+			exported.Crashes = append(exported.Crashes, CrashReport{Target: e.target, Began: e.began, AgeMillis: age(now, e.at), Observation: e.observation})
 		}
 	}
-	return told
+	return exported
 }
 
-// Merge takes in what another entry tells. It returns the requests that are held from
-// now on.
-func (r *Register) Merge(now time.Time, told Records) []Fingerprint {
+// Merge merges the records of another entry. It returns the requests that are
+// quarantined, or more strictly so, from now on.
+func (r *Register) Merge(now time.Time, received Records) []Fingerprint {
 	var newly []Fingerprint
-	for _, t := range told {
-		before := r.hold(now, t.Fingerprint)
-		r.change(t.Fingerprint, func(c *record) { c.merge(now, t) })
-		if r.hold(now, t.Fingerprint) > before {
+	for _, t := range received {
+		levelBefore := r.level(now, t.Fingerprint)
+		r.update(t.Fingerprint, func(c *history) { c.merge(now, t) })
+		if r.level(now, t.Fingerprint) > levelBefore {
 			newly = append(newly, t.Fingerprint)
 		}
 	}
-	r.bound()
+	r.evictExcess()
 	return newly
 }
 
-// change changes a record, or drops it where change is nil, and keeps the digest.
-func (r *Register) change(f Fingerprint, change func(*record)) {
-	c, found := r.records[f]
+// update changes a history, or deletes it if change is nil, and updates the digest.
+func (r *Register) update(f Fingerprint, change func(*history)) {
+	c, found := r.histories[f]
 	if found {
 		r.digest ^= c.digest(f)
 	}
 	if change == nil {
-		delete(r.records, f)
+		delete(r.histories, f)
 		return
 	}
 	if !found {
-		c = &record{}
+		c = &history{}
 	}
 	change(c)
 	if c.empty() {
-		delete(r.records, f)
+		delete(r.histories, f)
 		return
 	}
-	r.records[f] = c
+	r.histories[f] = c
 	r.digest ^= c.digest(f)
 }
 
-// bound drops the oldest records where there are too many, those of held requests
-// last.
-func (r *Register) bound() {
-	if len(r.records) <= MaxRecords {
+// evictExcess removes the records beyond MaxRecords, the oldest first and those of
+// quarantined requests last.
+func (r *Register) evictExcess() {
+	if len(r.histories) <= MaxRecords {
 		return
 	}
-	for _, f := range r.latestFirst()[MaxRecords:] {
-		r.change(f, nil)
+	for _, f := range r.byPriority()[MaxRecords:] {
+		r.update(f, nil)
 	}
 }
 
-// latestFirst lists the requests, those that are held first, then by their last end.
-func (r *Register) latestFirst() []Fingerprint {
-	list := make([]Fingerprint, 0, len(r.records))
-	for f := range r.records {
+// byPriority lists the requests: quarantined ones first, then by their last crash
+// or success.
+func (r *Register) byPriority() []Fingerprint {
+	list := make([]Fingerprint, 0, len(r.histories))
+	for f := range r.histories {
 		list = append(list, f)
 	}
 	slices.SortFunc(list, func(a, b Fingerprint) int {
-		x, y := r.records[a], r.records[b]
-		if held := x.decided(r.policy); held != y.decided(r.policy) {
-			if held {
+		x, y := r.histories[a], r.histories[b]
+		if quarantined := x.reachesThreshold(r.policy); quarantined != y.reachesThreshold(r.policy) {
+			if quarantined {
 				return -1
 			}
 			return 1
--- a/core/btquarantine/register_test.go
+++ b/core/btquarantine/register_test.go
@@ -20,10 +20,13 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-func TestTwoTargetsThatHadBegunOrThreeHoldARequest(t *testing.T) {
+// TestDefaultPolicyThresholds checks that a request is quarantined after two
+// crashes of targets that had begun to answer it, or three of any, and that two
+// reports of one crash count once.
+func TestDefaultPolicyThresholds(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	assert.Assert(t, !r.RecordCrash(start, request(1), 1, btquarantine.Answering))
-	assert.Assert(t, !r.RecordCrash(after(10*time.Millisecond), request(1), 1, btquarantine.Answering), "the same end")
+	assert.Assert(t, !r.RecordCrash(after(10*time.Millisecond), request(1), 1, btquarantine.Answering), "the same crash")
 	assert.Assert(t, !r.Quarantined(after(time.Second), request(1)))
 	assert.Assert(t, r.RecordCrash(after(time.Second), request(1), 2, btquarantine.Answering))
 	assert.Assert(t, r.Quarantined(after(time.Second), request(1)))
@@ -34,37 +37,42 @@
 	assert.Assert(t, r.RecordCrash(start, request(2), 3, btquarantine.Sent))
 }
 
-// A platform that doesn't tell a target's starts apart shows one that ends again.
-func TestOneTargetThatEndsAgainCountsAgain(t *testing.T) {
+// TestRepeatedCrashOfOneTargetCounts guards against ignoring the second crash of a
+// target on a platform that doesn't distinguish the restarts of a target.
+func TestRepeatedCrashOfOneTargetCounts(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	r.RecordCrash(start, request(1), 1, btquarantine.Answering)
 	assert.Assert(t, r.RecordCrash(after(5*time.Second), request(1), 1, btquarantine.Answering))
 }
 
-// TestRegisterDeduplicatesDelayedCrashReports guards against quarantining a request that is
-// counted twice after one crash, as a frozen host receives the report again when it wakes.
+// TestRegisterDeduplicatesDelayedCrashReports guards against quarantining a request
+// because one crash is counted twice: a frozen host receives the report again when
+// it resumes.
 func TestRegisterDeduplicatesDelayedCrashReports(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
 	a.RecordCrash(start, request(1), 1, btquarantine.Answering)
 	told := a.Export(after(100 * time.Millisecond))
 	b.Merge(after(100*time.Millisecond), told)
 	b.Merge(after(2600*time.Millisecond), told)
-	assert.Assert(t, !b.Quarantined(after(2600*time.Millisecond), request(1)), "one end counts twice")
+	assert.Assert(t, !b.Quarantined(after(2600*time.Millisecond), request(1)), "one crash was counted twice")
 	assert.Equal(t, a.Digest(), b.Digest())
 }
 
-func TestARequestThatIsServedIsFree(t *testing.T) {
+// TestServedRequestIsReleased checks that crashes before a complete answer no
+// longer count.
+func TestServedRequestIsReleased(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	assert.Assert(t, !r.RecordServed(start, request(1)))
 	r.RecordCrash(after(2*time.Minute), request(1), 1, btquarantine.Answering)
 	assert.Assert(t, r.RecordServed(after(3*time.Minute), request(1)))
-	assert.Assert(t, !r.RecordCrash(after(6*time.Minute), request(1), 2, btquarantine.Answering), "one end since")
+	assert.Assert(t, !r.RecordCrash(after(6*time.Minute), request(1), 2, btquarantine.Answering), "one crash since it was served")
 	assert.Assert(t, r.RecordCrash(after(7*time.Minute), request(1), 3, btquarantine.Answering))
 }
 
-// A request that many callers send alike is at work at all targets when some end at
-// once.
-func TestARequestServedOfLateIsNotHeld(t *testing.T) {
+// TestRecentlyServedRequestIsNotQuarantined guards against quarantining a request
+// that many callers send alike: it is running at all targets when some crash
+// together.
+func TestRecentlyServedRequestIsNotQuarantined(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	r.RecordServed(start, request(1))
 	for target := range uint64(3) {
@@ -74,7 +82,9 @@
 	assert.Assert(t, r.Quarantined(after(3*time.Minute), request(1)), "not served for three minutes")
 }
 
-func TestWhatIsHeldIsFreeAfterItsLife(t *testing.T) {
+// TestQuarantineExpires checks that a quarantine ends after TTL and that expired
+// records leave the register empty.
+func TestQuarantineExpires(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	r.RecordCrash(start, request(1), 1, btquarantine.Answering)
 	r.RecordCrash(after(time.Minute), request(1), 2, btquarantine.Answering)
@@ -86,9 +96,10 @@
 	assert.Equal(t, r.Digest(), uint64(0))
 }
 
-// What was forgotten can't be counted, so the first end holds a request until it is known
-// that nothing was.
-func TestACautiousRegisterHoldsAtTheFirstEnd(t *testing.T) {
+// TestConservativePolicyQuarantinesAfterFirstCrash checks the policy of a register
+// that may have lost state: the crashes that it lost can't be counted, so the first
+// one quarantines.
+func TestConservativePolicyQuarantinesAfterFirstCrash(t *testing.T) {
 	r := btquarantine.New(btquarantine.ConservativePolicy())
 	assert.Assert(t, r.RecordCrash(start, request(1), 1, btquarantine.Sent))
 	assert.Assert(t, !r.Quarantined(start, request(2)))
@@ -96,8 +107,10 @@
 	assert.Assert(t, !r.Quarantined(start, request(1)))
 }
 
-// Two entries that each saw one end hold the request once they have told each other.
-func TestEntriesTellEachOther(t *testing.T) {
+// TestRegistersExchangeRecords checks that two entries that each observed one crash
+// quarantine the request after exchanging records, and release it after one of them
+// served it.
+func TestRegistersExchangeRecords(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
 	a.RecordCrash(start, request(1), 1, btquarantine.Answering)
 	b.RecordCrash(start, request(1), 2, btquarantine.Answering)
@@ -114,9 +127,10 @@
 	assert.Assert(t, !a.Quarantined(after(3*time.Second), request(1)))
 }
 
-// A target that ends with all that was at work there, again and again, fills the
-// register; what is held stays.
-func TestARegisterIsBounded(t *testing.T) {
+// TestRegisterIsBounded guards against a target that crashes repeatedly with all
+// its requests and fills the register, so that quarantined requests are evicted or
+// a message grows too large.
+func TestRegisterIsBounded(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	r.RecordCrash(start, request(-1), 1, btquarantine.Answering)
 	r.RecordCrash(start, request(-1), 2, btquarantine.Answering)
@@ -131,13 +145,15 @@
 	assert.Equal(t, told[0].Fingerprint, request(-1))
 	data, err := btwire.Encode(told)
 	assert.NilError(t, err)
-	assert.Assert(t, len(data) <= tellBytes, "%d bytes", len(data))
+	assert.Assert(t, len(data) <= maxExportBytes, "%d bytes", len(data))
 }
 
-// tellBytes is the budget of one message.
-const tellBytes = 4 << 10
+// maxExportBytes is the size limit of one message.
+const maxExportBytes = 4 << 10
 
-func TestRecordsThatCannotHoldAreRefused(t *testing.T) {
+// TestInvalidRecordsAreRejected guards against records with too many crashes, with
+// ages out of range or in too large a number.
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	good := btquarantine.Record{ServedMillis: -1, Crashes: []btquarantine.CrashReport{{Target: 1}}}
 	assert.NilError(t, good.Validate())
 	for name, change := range map[string]func(*btquarantine.Record){
@@ -157,14 +173,15 @@
 	assert.ErrorIs(t, make(btquarantine.Records, btquarantine.MaxRecordsPerMessage+1).Validate(), btquarantine.ErrRecord)
 }
 
-// Whatever entries see and tell each other in whatever order: they come to the same
-// digest, a request that was never served is held by all once its ends are enough, and
-// one that none ended under never is.
-func TestEntriesComeToTheSame(t *testing.T) {
+// TestRegistersConverge guards against entries that keep different records:
+// whatever they observe and exchange in whatever order, a request with enough
+// crashes that was never served is quarantined at all of them, and one without
+// crashes at none.
+func TestRegistersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := []*btquarantine.Register{btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())}
 		now := start
-		ends := map[int]map[uint64]bool{}
+		crashes := map[int]map[uint64]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			r := entries[rapid.IntRange(0, 2).Draw(t, "entry")]
@@ -173,10 +190,10 @@
 			case 0:
 				target := uint64(rapid.IntRange(1, 5).Draw(t, "target"))
 				r.RecordCrash(now, request(n), target, btquarantine.Answering)
-				if ends[n] == nil {
-					ends[n] = map[uint64]bool{}
+				if crashes[n] == nil {
+					crashes[n] = map[uint64]bool{}
 				}
-				ends[n][target] = true
+				crashes[n][target] = true
 			case 1:
 				r.Merge(now, entries[rapid.IntRange(0, 2).Draw(t, "from")].Export(now))
 			case 2:
@@ -192,8 +209,8 @@
 		}
 		for _, r := range entries {
 			for n := range 4 {
-				assert.Check(t, r.Quarantined(now, request(n)) || len(ends[n]) < 2, "request %d with %d ends is sent", n, len(ends[n]))
-				assert.Check(t, !r.Quarantined(now, request(n)) || len(ends[n]) > 0, "request %d is held", n)
+				assert.Check(t, r.Quarantined(now, request(n)) || len(crashes[n]) < 2, "request %d with %d crashes is not quarantined", n, len(crashes[n]))
+				assert.Check(t, !r.Quarantined(now, request(n)) || len(crashes[n]) > 0, "request %d without a crash is quarantined", n)
 			}
 		}
 	})
--- a/core/btquarantine/suspect.go
+++ b/core/btquarantine/suspect.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// SuspectFor is for how long a request is kept from targets after a member of a group
-	// ended as it began to answer it. It is longer than a group takes to form anew and to
-	// work off who waited, so that a second end would not strike those as well; who is
-	// refused wrongly is refused for that long.
+	// SuspectFor is how long a request is quarantined after a group member crashed
+	// when it had just begun to answer it. It is longer than a group takes to
+	// restart and to work through the requests that waited, so that a second crash
+	// would not hit those too. An innocent request is refused for that long.
 	SuspectFor = 30 * time.Second
-	// MaxSuspects bounds the suspects that are remembered and told, some 340 B: a target
-	// begins to answer one or two requests at a time.
+	// MaxSuspects limits the suspects that are kept and sent, some 340 B: a target
+	// begins to answer only one or two requests at a time.
 	MaxSuspects = 16
 )
 
-// Progress is how far a target had come with a request when it ended.
+// Progress is how far a target had come with a request when it crashed.
 type Progress int
 
 const (
-	// Sent tells nothing but that the request was there.
+	// Sent: the request was sent to the target; nothing else is known.
 	Sent Progress = iota
-	// Answering tells that the target had begun to answer.
+	// Answering: the target had begun to answer.
 	Answering
-	// BegunWithoutOutput tells that the target, a member of a group, had begun to answer and that
-	// nothing of the answer had come. Of the requests at a target few are in that state,
-	// and one that ends targets as it begins always is.
+	// BegunWithoutOutput: the target, a group member, had begun to answer but had
+	// produced no output. Few of the requests at a target are in this state, and a
+	// request that crashes targets when it begins always is.
 	BegunWithoutOutput
 )
 
-// Suspect is what processes tell each other of a request under which a member of a group
-// ended as it began to answer it.
+// Suspect is what processes exchange about a request at the beginning of which a
+// group member crashed.
 type Suspect struct {
 	_           struct{}    `cbor:",toarray"`
 	Fingerprint Fingerprint `cbor:"fingerprint"`
-	// AgeMillis is how long ago that was, in milliseconds.
+	// AgeMillis is how long ago the member crashed, in milliseconds.
 	AgeMillis int64 `cbor:"age_ms"`
 }
 
-// Validate reports a suspect that can't hold. The error wraps ErrRecord.
+// Validate returns an error that wraps ErrRecord if the suspect is invalid.
 func (s Suspect) Validate() error {
 	if s.AgeMillis < 0 || s.AgeMillis > SuspectFor.Milliseconds() {
-		return fmt.Errorf("%w: a suspect of %d ms ago, kept for %s", ErrRecord, s.AgeMillis, SuspectFor)
+		return fmt.Errorf("%w: suspect of %d ms ago, at most %s", ErrRecord, s.AgeMillis, SuspectFor)
 	}
 	return nil
 }
 
-// Suspects are told in one message.
+// Suspects are the suspects of one message.
 type Suspects []Suspect
 
-// Validate reports suspects that are too many or that can't hold. The error wraps
-// ErrRecord.
+// Validate returns an error that wraps ErrRecord if there are too many suspects or
+// one is invalid.
 func (ss Suspects) Validate() error { return btwire.ValidateList(ss, MaxSuspects, ErrRecord) }
 
-// suspects are since when requests are suspected.
+// suspects holds when each suspect became one.
 type suspects map[Fingerprint]time.Time
 
-// add notes a suspicion, and tells whether it is new: one that is known comes back with
-// another age.
+// add adds a suspect and reports whether it is new. A known one may arrive again
+// with another age.
 func (s suspects) add(f Fingerprint, at time.Time) bool {
-	if known, found := s[f]; found && at.Sub(known) < sameEnd {
+	if known, found := s[f]; found && at.Sub(known) < sameCrashWithin {
 		return false
 	}
 	s[f] = at
@@ -74,7 +74,7 @@
 	return true
 }
 
-// expire drops suspicions that have lapsed.
+// expire removes suspects after SuspectFor.
 func (s suspects) expire(now time.Time) {
 	for f, at := range s {
 		if now.Sub(at) > SuspectFor {
@@ -93,45 +93,46 @@
 	return list
 }
 
-// ExportSuspects returns the suspects, for another entry.
+// ExportSuspects returns the suspects for another entry.
 func (r *Register) ExportSuspects(now time.Time) Suspects {
 	r.suspects.expire(now)
-	var told Suspects
+	var exported Suspects
 	for _, f := range r.suspects.latestFirst() {
-		told = append(told, Suspect{Fingerprint: f, AgeMillis: age(now, r.suspects[f])})
+		exported = append(exported, Suspect{Fingerprint: f, AgeMillis: age(now, r.suspects[f])})
 	}
-	return told
+	return exported
 }
 
-// MergeSuspects takes in what another entry tells. It returns the requests that are held
-// from now on, and whether anything was new.
-func (r *Register) MergeSuspects(now time.Time, told Suspects) (newly []Fingerprint, changed bool) {
-	for _, s := range told {
-		was := r.hold(now, s.Fingerprint)
-		if !r.suspects.add(s.Fingerprint, before(now, s.AgeMillis)) {
+// MergeSuspects merges the suspects of another entry. It returns the requests that
+// are quarantined, or more strictly so, from now on, and whether any suspect was
+// new.
+func (r *Register) MergeSuspects(now time.Time, received Suspects) (newly []Fingerprint, changed bool) {
+	for _, s := range received {
+		levelBefore := r.level(now, s.Fingerprint)
+		if !r.suspects.add(s.Fingerprint, timeBefore(now, s.AgeMillis)) {
 			continue
 		}
 		changed = true
-		if r.hold(now, s.Fingerprint) > was {
+		if r.level(now, s.Fingerprint) > levelBefore {
 			newly = append(newly, s.Fingerprint)
 		}
 	}
 	return newly, changed
 }
 
-// Suspected tells whether a request is held as a suspect only.
+// Suspected reports whether a request is quarantined only as a suspect.
 func (r *Register) Suspected(now time.Time, f Fingerprint) bool {
-	return r.hold(now, f) == heldAsSuspect
+	return r.level(now, f) == quarantinedAsSuspect
 }
 
-// suspectedUntil returns until when a request is kept from targets as a suspect; zero where
-// it isn't one, or was served since.
-func (r *Register) suspectedUntil(f Fingerprint) time.Time {
+// suspicionEnd returns when the quarantine of a suspect ends; zero if the request
+// isn't a suspect or was served since.
+func (r *Register) suspicionEnd(f Fingerprint) time.Time {
 	at, found := r.suspects[f]
 	if !found || r.policy.SuspectTime == 0 {
 		return time.Time{}
 	}
-	if c, known := r.records[f]; known && !c.served.Before(at) {
+	if c, known := r.histories[f]; known && !c.served.Before(at) {
 		return time.Time{}
 	}
 	return at.Add(r.policy.SuspectTime)
--- a/core/btquarantine/suspect_test.go
+++ b/core/btquarantine/suspect_test.go
@@ -11,20 +11,24 @@
 	"bilberrytide/core/btwire"
 )
 
-func TestARequestThatHadOnlyBegunWaitsAfterOneEnd(t *testing.T) {
+// TestRequestWithoutOutputIsSuspectedAfterOneCrash checks that one crash before any
+// output quarantines a request for SuspectFor, that one during an answer doesn't,
+// and that a second crash quarantines it for TTL.
+func TestRequestWithoutOutputIsSuspectedAfterOneCrash(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	assert.Assert(t, r.RecordCrash(start, request(1), 1, btquarantine.BegunWithoutOutput))
-	assert.Assert(t, !r.RecordCrash(start, request(2), 1, btquarantine.Answering), "it had gone on for a while")
+	assert.Assert(t, !r.RecordCrash(start, request(2), 1, btquarantine.Answering), "the answer had been going on for a while")
 	assert.Equal(t, r.QuarantinedUntil(start, request(1)), after(btquarantine.SuspectFor))
 	assert.Assert(t, r.Suspected(start, request(1)))
-	assert.Assert(t, !r.Quarantined(after(btquarantine.SuspectFor), request(1)), "it may be tried again")
+	assert.Assert(t, !r.Quarantined(after(btquarantine.SuspectFor), request(1)), "it may be sent again")
 	assert.Assert(t, r.RecordCrash(after(time.Minute), request(1), 2, btquarantine.BegunWithoutOutput))
 	assert.Equal(t, r.QuarantinedUntil(after(time.Minute), request(1)), after(time.Minute+btquarantine.TTL))
 	assert.Assert(t, !r.Suspected(after(time.Minute), request(1)))
 }
 
-// A suspect that another copy of it, or a caller before, was served with isn't one.
-func TestASuspectThatIsServedIsFree(t *testing.T) {
+// TestServedSuspectIsReleased checks that a request isn't a suspect if a copy of it
+// is served afterwards, or was recently served.
+func TestServedSuspectIsReleased(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
 	a.RecordCrash(start, request(1), 1, btquarantine.BegunWithoutOutput)
 	b.MergeSuspects(start, a.ExportSuspects(start))
@@ -39,9 +43,10 @@
 	assert.Assert(t, !r.RecordCrash(after(time.Second), request(2), 1, btquarantine.BegunWithoutOutput))
 }
 
-// Entries tell each other of suspects as long as they wait; what is known is no news, and
-// nobody waits longer for being told again.
-func TestSuspectsAreToldOnce(t *testing.T) {
+// TestKnownSuspectsChangeNothing guards against suspects that are exchanged
+// forever, or quarantined for longer, because each entry takes a repeated one for
+// new.
+func TestKnownSuspectsChangeNothing(t *testing.T) {
 	a, b := btquarantine.New(btquarantine.DefaultPolicy()), btquarantine.New(btquarantine.DefaultPolicy())
 	a.RecordCrash(start, request(1), 1, btquarantine.BegunWithoutOutput)
 	newly, changed := b.MergeSuspects(after(20*time.Millisecond), a.ExportSuspects(after(10*time.Millisecond)))
@@ -58,6 +63,8 @@
 	assert.Equal(t, len(b.ExportSuspects(after(btquarantine.SuspectFor+time.Second))), 0)
 }
 
+// TestSuspectsAreBounded guards against more suspects than MaxSuspects and a
+// message that grows too large; the latest stay.
 func TestSuspectsAreBounded(t *testing.T) {
 	r := btquarantine.New(btquarantine.DefaultPolicy())
 	for i := range 3 * btquarantine.MaxSuspects {
@@ -68,13 +75,15 @@
 	assert.Equal(t, told[0].Fingerprint, request(3*btquarantine.MaxSuspects-1))
 	data, err := btwire.Encode(told)
 	assert.NilError(t, err)
-	assert.Assert(t, len(data) <= suspectBytes, "%d bytes", len(data))
+	assert.Assert(t, len(data) <= maxSuspectBytes, "%d bytes", len(data))
 }
 
-// suspectBytes is the budget of all suspects in one message.
-const suspectBytes = 400
+// maxSuspectBytes is the size limit of all suspects in one message.
+const maxSuspectBytes = 400
 
-func TestSuspectsThatCannotHoldAreRefused(t *testing.T) {
+// TestInvalidSuspectsAreRejected guards against suspects with ages out of range or
+// in too large a number.
+func TestInvalidSuspectsAreRejected(t *testing.T) {
 	good := btquarantine.Suspect{AgeMillis: 5}
 	assert.NilError(t, btquarantine.Suspects{good}.Validate())
 	for _, age := range []int64{-1, btquarantine.SuspectFor.Milliseconds() + 1, math.MaxInt64} {
