--- a/core/btbench/entry.go
+++ b/core/btbench/entry.go
@@ -67,7 +67,7 @@
 	}
 	c := &call{arrival: a, entry: w.entries[i], at: now, goal: now.Add(FirstTokenGoal), returned: returned}
 	c.reserved = returned && c.entry.reserved.Claim(now, a.fingerprint())
-	c.entry.budget.Request()
+	c.entry.budget.CountRequest()
 	w.result.submitted(c)
 	w.send(now, c)
 }
@@ -180,7 +180,7 @@
 	wait := (c.after + time.Second - 1).Truncate(time.Second)
 	if w.returns == ByReservation {
 		var reason btrequest.Reason
-		wait, reason = c.entry.reserved.Refuse(now, c.arrival.fingerprint(), c.after)
+		wait, reason = c.entry.reserved.Reserve(now, c.arrival.fingerprint(), c.after)
 		if reason == btretry.Unreserved {
 			w.result.Unreserved++
 		}
@@ -203,7 +203,7 @@
 	w.tell(now, a.engine, t)
 	w.at(now.Add(w.hop(a.engine, t)), func(now time.Time) {
 		t.step(now, btroute.Load{Event: btload.Started{Target: a.engine.name, Number: a.number}})
-		t.reserved.Served(now)
+		t.reserved.CountAnswer(now)
 		w.result.first(now, a)
 	})
 }
--- a/core/btbench/world.go
+++ b/core/btbench/world.go
@@ -151,14 +151,14 @@
 		router.UsePolicy(p.Policy(i, rand.NewPCG(seed, uint64(200+i))))
 	}
 	router.Step(w.now, btroute.Members{Service: service, Targets: members})
-	retry := btretry.Defaults()
+	retry := btretry.DefaultConfig()
 	budget := btretry.NewBudget(retry)
 	return &entry{
 		world:      w,
 		dataCentre: i,
 		router:     router,
 		budget:     budget,
-		reserved:   btretry.NewReservations(btretry.ReservationDefaults()),
+		reserved:   btretry.NewReservations(btretry.DefaultReservationConfig()),
 		decider:    btretry.New(retry, budget, rand.NewPCG(seed, uint64(300+i))),
 	}
 }
--- a/core/btretry/btretry.go
+++ b/core/btretry/btretry.go
@@ -59,8 +59,8 @@
 	BackoffMax time.Duration
 }
 
-// Defaults returns the configuration for a service that states none.
-func Defaults() Config {
+// DefaultConfig returns the configuration for a service that states none.
+func DefaultConfig() Config {
 	return Config{
 		BudgetShare: 0.1,
 		Burst:       10,
@@ -71,10 +71,10 @@
 	}
 }
 
-// ConfigOf returns the limits that a bundle states, with the defaults for those
+// ConfigFromBundle returns the limits that a bundle states, with the defaults for those
 // that it leaves at zero.
-func ConfigOf(b btbundle.Retry) Config {
-	c := Defaults()
+func ConfigFromBundle(b btbundle.Retry) Config {
+	c := DefaultConfig()
 	if b.BudgetShare > 0 {
 		c.BudgetShare = min(b.BudgetShare, 1)
 	}
--- a/core/btretry/budget.go
+++ b/core/btretry/budget.go
@@ -45,8 +45,8 @@
 	b.floor.SetBurstAt(now, next.floor.Burst())
 }
 
-// Request counts one first attempt.
-func (b *Budget) Request() { b.tokens = min(b.tokens+b.share, b.burst) }
+// CountRequest counts one first attempt.
+func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, b.burst) }
 
 // Take takes one retry from the budget, or returns false where none is left.
 func (b *Budget) Take(now time.Time) bool {
@@ -57,7 +57,7 @@
 	return b.floor.AllowN(now, 1)
 }
 
-// Left returns how many retries could be taken now.
-func (b *Budget) Left(now time.Time) float64 {
+// Available returns how many retries could be taken now.
+func (b *Budget) Available(now time.Time) float64 {
 	return b.tokens + max(b.floor.TokensAt(now), 0)
 }
--- a/core/btretry/decide.go
+++ b/core/btretry/decide.go
@@ -17,9 +17,9 @@
 	Number int
 	// Deadline is the request's.
 	Deadline time.Time
-	// Needed is the least time that another attempt takes to answer, such as
+	// MinAnswerTime is the least time that another attempt takes to answer, such as
 	// the best target's expected time to the first token.
-	Needed time.Duration
+	MinAnswerTime time.Duration
 	// FirstByteSent tells that a part of the answer went out to the caller.
 	FirstByteSent bool
 	// Resumable tells that the target can continue the answer at an offset.
@@ -62,7 +62,7 @@
 		return Decision{Reason: reason}
 	}
 	at := now.Add(d.wait(a))
-	if at.Add(a.Needed).After(a.Deadline) {
+	if at.Add(a.MinAnswerTime).After(a.Deadline) {
 		return Decision{Reason: RefusedDeadline}
 	}
 	if !d.budget.Take(now) {
--- a/core/btretry/decide_test.go
+++ b/core/btretry/decide_test.go
@@ -32,10 +32,10 @@
 		{btretry.Attempt{Outcome: btrequest.Unknown, Number: 1, Deadline: far, FirstByteSent: true}, btretry.RefusedFirstByte},
 		{btretry.Attempt{Outcome: btrequest.Unknown, Number: 1, Deadline: far, FirstByteSent: true, Resumable: true}, btretry.RetryResume},
 		{btretry.Attempt{Outcome: btrequest.NotRun, Number: 3, Deadline: far}, btretry.RefusedAttempts},
-		{btretry.Attempt{Outcome: btrequest.NotRun, Number: 1, Deadline: epoch.Add(time.Second), Needed: 2 * time.Second}, btretry.RefusedDeadline},
+		{btretry.Attempt{Outcome: btrequest.NotRun, Number: 1, Deadline: epoch.Add(time.Second), MinAnswerTime: 2 * time.Second}, btretry.RefusedDeadline},
 		{btretry.Attempt{Outcome: btrequest.Done, Number: 1, Deadline: far}, btretry.RefusedDone},
 	} {
-		got := newDecider(btretry.Defaults(), 1).Decide(epoch, c.attempt)
+		got := newDecider(btretry.DefaultConfig(), 1).Decide(epoch, c.attempt)
 		assert.Equal(t, got.Reason, c.want)
 		assert.Equal(t, got.Resume, c.want == btretry.RetryResume)
 	}
@@ -44,7 +44,7 @@
 // TestRules decides on any attempts: what a retry must never do.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := btretry.Defaults()
+		c := btretry.DefaultConfig()
 		c.BudgetShare = 1
 		d := newDecider(c, rapid.Uint64().Draw(t, "seed"))
 		for range 50 {
@@ -53,7 +53,7 @@
 				Keyed:         rapid.Bool().Draw(t, "keyed"),
 				Number:        rapid.IntRange(1, 5).Draw(t, "number"),
 				Deadline:      epoch.Add(time.Duration(rapid.IntRange(-100, 300).Draw(t, "left")) * time.Millisecond),
-				Needed:        time.Duration(rapid.IntRange(0, 100).Draw(t, "needed")) * time.Millisecond,
+				MinAnswerTime: time.Duration(rapid.IntRange(0, 100).Draw(t, "needed")) * time.Millisecond,
 				FirstByteSent: rapid.Bool().Draw(t, "first byte"),
 				Resumable:     rapid.Bool().Draw(t, "resumable"),
 			}
@@ -66,14 +66,14 @@
 			assert.Assert(t, a.Outcome != btrequest.Done && a.Number < c.MaxAttempts)
 			assert.Assert(t, !a.FirstByteSent || a.Resumable && got.Resume)
 			assert.Assert(t, !a.Keyed || a.Outcome == btrequest.NotRun || got.Resume)
-			assert.Assert(t, !got.At.Before(epoch) && !got.At.Add(a.Needed).After(a.Deadline))
+			assert.Assert(t, !got.At.Before(epoch) && !got.At.Add(a.MinAnswerTime).After(a.Deadline))
 		}
 	})
 }
 
 // TestBackoffHasFullJitter: waits fill the whole span, which doubles.
 func TestBackoffHasFullJitter(t *testing.T) {
-	c := btretry.Defaults()
+	c := btretry.DefaultConfig()
 	c.Burst, c.MaxAttempts = 100_000, 20
 	d := newDecider(c, 1)
 	for number, span := range map[int]time.Duration{1: 40, 2: 80, 4: 320, 15: 4000} {
@@ -99,7 +99,7 @@
 	}{{false, false}, {true, true}} {
 		broken := false
 		rapid.Check(t, func(t *rapid.T) {
-			config := btretry.Defaults()
+			config := btretry.DefaultConfig()
 			config.Burst = rapid.IntRange(1, 5).Draw(t, "burst")
 			config.BudgetShare = float64(rapid.IntRange(0, 5).Draw(t, "share")) / 10
 			config.FloorRate = float64(rapid.IntRange(0, 2).Draw(t, "floor"))
@@ -125,7 +125,7 @@
 		next := history[len(history)-1]
 		next.at = now
 		if rapid.Bool().Draw(t, "request") {
-			b.Request()
+			b.CountRequest()
 			next.requests++
 		}
 		if naive || b.Take(now) {
@@ -146,7 +146,7 @@
 }
 
 func TestConfigureGrantsNoBurst(t *testing.T) {
-	c := btretry.Defaults()
+	c := btretry.DefaultConfig()
 	b := btretry.NewBudget(c)
 	for b.Take(epoch) {
 	}
@@ -155,7 +155,7 @@
 }
 
 func ExampleDecider() {
-	d := newDecider(btretry.Defaults(), 1)
+	d := newDecider(btretry.DefaultConfig(), 1)
 	lost := btretry.Attempt{Outcome: btrequest.Unknown, Number: 1, Deadline: epoch.Add(time.Second)}
 	fmt.Println(d.Decide(epoch, lost).Reason)
 	lost.Keyed = true
--- a/core/btretry/reservation.go
+++ b/core/btretry/reservation.go
@@ -21,25 +21,25 @@
 	// Share is the part of the measured rate of answers that is given to
 	// callers who come back, 0 to 1.
 	Share float64
-	// Longest is the longest time that a caller is told to wait.
-	Longest time.Duration
-	// Early and Late are how far from its time a caller is still recognised.
-	Early, Late time.Duration
-	// Max is how many reservations are held.
-	Max int
+	// MaxWait is the longest time that a caller is told to wait.
+	MaxWait time.Duration
+	// EarlyTolerance and LateTolerance are how far from its time a caller is still recognised.
+	EarlyTolerance, LateTolerance time.Duration
+	// MaxReservations is how many reservations are held.
+	MaxReservations int
 	// Window is the time over which the rate of answers is averaged.
 	Window time.Duration
 }
 
-// ReservationDefaults returns the configuration for a service that states none.
-func ReservationDefaults() ReservationConfig {
+// DefaultReservationConfig returns the configuration for a service that states none.
+func DefaultReservationConfig() ReservationConfig {
 	return ReservationConfig{
-		Share:   0.5,
-		Longest: time.Minute,
-		Early:   time.Second,
-		Late:    10 * time.Second,
-		Max:     1 << 14,
-		Window:  5 * time.Second,
+		Share:           0.5,
+		MaxWait:         time.Minute,
+		EarlyTolerance:  time.Second,
+		LateTolerance:   10 * time.Second,
+		MaxReservations: 1 << 14,
+		Window:          5 * time.Second,
 	}
 }
 
@@ -72,8 +72,8 @@
 	return &Reservations{config: c, due: map[uint64]time.Time{}}
 }
 
-// Served counts one answer begun.
-func (r *Reservations) Served(now time.Time) {
+// CountAnswer counts one answer begun.
+func (r *Reservations) CountAnswer(now time.Time) {
 	r.decay(now)
 	r.rate += 1 / r.config.Window.Seconds()
 }
@@ -85,9 +85,9 @@
 	}
 }
 
-// Refuse returns how long the caller is told to wait, in whole seconds and at
+// Reserve returns how long the caller is told to wait, in whole seconds and at
 // least the shortest, and whether room is kept for it then.
-func (r *Reservations) Refuse(now time.Time, fingerprint uint64, shortest time.Duration) (time.Duration, btrequest.Reason) {
+func (r *Reservations) Reserve(now time.Time, fingerprint uint64, shortest time.Duration) (time.Duration, btrequest.Reason) {
 	r.decay(now)
 	r.expire(now)
 	interval := time.Duration(float64(time.Second) / max(r.rate*r.config.Share, minRate))
@@ -96,8 +96,8 @@
 		at = earliest
 	}
 	wait := wholeSeconds(at.Sub(now))
-	if wait > r.config.Longest || len(r.due) >= r.config.Max {
-		return r.config.Longest, Unreserved
+	if wait > r.config.MaxWait || len(r.due) >= r.config.MaxReservations {
+		return r.config.MaxWait, Unreserved
 	}
 	r.horizon = at
 	r.due[fingerprint] = now.Add(wait)
@@ -109,7 +109,7 @@
 func (r *Reservations) Claim(now time.Time, fingerprint uint64) bool {
 	r.expire(now)
 	at, ok := r.due[fingerprint]
-	if !ok || now.Before(at.Add(-r.config.Early)) {
+	if !ok || now.Before(at.Add(-r.config.EarlyTolerance)) {
 		return false
 	}
 	delete(r.due, fingerprint)
@@ -123,7 +123,7 @@
 func (r *Reservations) expire(now time.Time) {
 	gone := 0
 	for _, v := range r.queue {
-		if !v.at.Add(r.config.Late).Before(now) {
+		if !v.at.Add(r.config.LateTolerance).Before(now) {
 			break
 		}
 		if at, ok := r.due[v.fingerprint]; ok && at.Equal(v.at) {
--- a/core/btretry/window.go
+++ b/core/btretry/window.go
@@ -39,8 +39,8 @@
 // Configure puts another configuration in force; what was counted stays.
 func (w *Window) Configure(c WindowConfig) { w.config = c }
 
-// Request counts a first attempt.
-func (w *Window) Request(now time.Time) {
+// CountRequest counts a first attempt.
+func (w *Window) CountRequest(now time.Time) {
 	w.advance(now)
 	w.requests[w.slot()]++
 }
@@ -55,8 +55,8 @@
 	return true
 }
 
-// Left returns how many retries could be taken now.
-func (w *Window) Left(now time.Time) float64 {
+// Available returns how many retries could be taken now.
+func (w *Window) Available(now time.Time) float64 {
 	w.advance(now)
 	return w.left()
 }
--- a/core/btretry/window_test.go
+++ b/core/btretry/window_test.go
@@ -25,7 +25,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "gap")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.CountRequest(now)
 				requests = append(requests, now)
 				continue
 			}
@@ -60,9 +60,9 @@
 	assert.Assert(t, w.Take(now))
 	assert.Assert(t, !w.Take(now))
 	assert.Assert(t, w.Take(now.Add(1200*time.Millisecond)))
-	assert.Assert(t, w.Left(now.Add(time.Hour)) == 1)
+	assert.Assert(t, w.Available(now.Add(time.Hour)) == 1)
 	w.Configure(btretry.WindowConfig{Slack: 5, Window: time.Second})
-	assert.Assert(t, w.Left(now.Add(time.Hour)) == 5)
+	assert.Assert(t, w.Available(now.Add(time.Hour)) == 5)
 }
 
 // An entry's part of the slack shrinks as it learns of other entries; retries that
--- a/io/btdirect/budget.go
+++ b/io/btdirect/budget.go
@@ -17,7 +17,7 @@
 func (b *budget) request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.window.Request(now)
+	b.window.CountRequest(now)
 }
 
 func (b *budget) take(now time.Time) bool {
--- a/io/btentry/configure.go
+++ b/io/btentry/configure.go
@@ -43,7 +43,7 @@
 	f.bundle = a
 	f.route(f.router.Step(now, btroute.Configured{Ejection: btroute.EjectionOf(a.Bundle.Ejection)}))
 	f.setServices(now, a)
-	f.decider.Configure(now, btretry.ConfigOf(a.Bundle.Retry))
+	f.decider.Configure(now, btretry.ConfigFromBundle(a.Bundle.Retry))
 	f.setMembers(now, a)
 }
 
--- a/io/btentry/fleet.go
+++ b/io/btentry/fleet.go
@@ -62,7 +62,7 @@
 	config.DataCentre = place.DataCentre
 	tracker := btload.New(btload.Defaults())
 	member := btmember.New(memberSettings(), o.Assert)
-	budget := btretry.NewBudget(btretry.Defaults())
+	budget := btretry.NewBudget(btretry.DefaultConfig())
 	return &fleet{
 		clock:    o.Clock,
 		meter:    o.Meter,
@@ -74,7 +74,7 @@
 		ejected:  map[btid.Target]btroute.Ejected{},
 		limited:  map[btid.Target]time.Time{},
 		budget:   budget,
-		decider:  btretry.New(btretry.Defaults(), budget, rand.NewPCG(o.Random.Uint64(), o.Random.Uint64())),
+		decider:  btretry.New(btretry.DefaultConfig(), budget, rand.NewPCG(o.Random.Uint64(), o.Random.Uint64())),
 		place:    place,
 		relay:    btmember.NewRelay(btmember.DefaultRelaySettings(), o.Name, incarnation, member),
 		services: map[btid.Service]bool{},
--- a/io/btentry/pick.go
+++ b/io/btentry/pick.go
@@ -89,7 +89,7 @@
 func (f *fleet) request() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget.Request()
+	f.budget.CountRequest()
 }
 
 // decide tells whether a failed attempt is tried again.
--- a/io/btentry/reserve.go
+++ b/io/btentry/reserve.go
@@ -63,7 +63,7 @@
 func (f *reserve) book(x *exchange, fingerprint uint64, refusal *btrequest.Refusal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	after, kept := f.of(x.service.Name).Refuse(f.clock(), fingerprint, x.drained)
+	after, kept := f.of(x.service.Name).Reserve(f.clock(), fingerprint, x.drained)
 	refusal.RetryAfter = after
 	f.meter.Refused(kept)
 }
@@ -72,7 +72,7 @@
 func (f *reserve) served(service btid.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.of(service).Served(f.clock())
+	f.of(service).CountAnswer(f.clock())
 }
 
 // of returns the service's reservations. Services are those of bundles, which
@@ -80,7 +80,7 @@
 func (f *reserve) of(service btid.Service) *btretry.Reservations {
 	r := f.services[service]
 	if r == nil {
-		r = btretry.NewReservations(btretry.ReservationDefaults())
+		r = btretry.NewReservations(btretry.DefaultReservationConfig())
 		f.services[service] = r
 	}
 	return r
--- a/io/btentry/retry.go
+++ b/io/btentry/retry.go
@@ -133,7 +133,7 @@
 		Outcome:       last.outcome,
 		Number:        f.number,
 		Deadline:      now.Add(f.dispatch.entry.left(f.x.deadline)),
-		Needed:        f.picked.choice.Expected,
+		MinAnswerTime: f.picked.choice.Expected,
 		FirstByteSent: started,
 		Resumable:     resumable(f.x),
 	})
