--- a/core/btretry/btretry.go
+++ b/core/btretry/btretry.go
@@ -1,10 +1,10 @@
-// Package btretry decides whether and when a failed attempt is tried again.
+// Package btretry decides whether and when to retry a failed attempt.
 //
-// Retries cost capacity just when it is short, so a budget holds them to a
-// share of the requests. A request that may not be repeated is retried only
-// with evidence that it was not run; an answer of which a byte went out is
-// continued only where the target can resume it. Waits have full jitter, from a
-// source that is passed in.
+// Retries cost capacity just when it is short, so a budget limits them to a share
+// of the requests. A request that must run at most once is retried only with
+// evidence that it did not run. An answer that was partly sent is continued only if
+// the target can resume it. Backoff has full jitter, from a random source that the
+// caller passes in.
 //
 // The state is one budget per entry; a new process starts with a full burst.
 package btretry
@@ -20,46 +20,48 @@
 const (
 	// RetryNotRun: the attempt was refused, so another target may run it.
 	RetryNotRun btrequest.Reason = "retry_not_run"
-	// RetryUnknown: contact was lost, and the request may be repeated.
+	// RetryUnknown: the connection to the target was lost, and the request may be
+	// repeated.
 	RetryUnknown btrequest.Reason = "retry_unknown"
-	// RetryResume: the answer was cut and the target can resume it.
+	// RetryResume: the answer was interrupted and the target can resume it.
 	RetryResume btrequest.Reason = "retry_resume"
 )
 
 // Reasons against a retry.
 const (
-	// RefusedDone: the answer is whole.
+	// RefusedDone: the answer is complete.
 	RefusedDone btrequest.Reason = "retry_refused_done"
 	// RefusedKeyed: the request may run only once and may have run.
 	RefusedKeyed btrequest.Reason = "retry_refused_keyed"
-	// RefusedFirstByte: a part of the answer went out and can't be resumed.
+	// RefusedFirstByte: a part of the answer was sent and can't be resumed.
 	RefusedFirstByte btrequest.Reason = "retry_refused_first_byte"
-	// RefusedAttempts: the request had all the attempts that it may have.
+	// RefusedAttempts: the request has used all its attempts.
 	RefusedAttempts btrequest.Reason = "retry_refused_attempts"
-	// RefusedDeadline: another attempt could not answer in time.
+	// RefusedDeadline: another attempt could not answer before the deadline.
 	RefusedDeadline btrequest.Reason = "retry_refused_deadline"
-	// RefusedBudget: too many recent requests were retries already.
+	// RefusedBudget: the retry budget is exhausted.
 	RefusedBudget btrequest.Reason = "retry_refused_budget"
 )
 
-// Config bounds retries.
+// Config limits retries.
 type Config struct {
 	// BudgetShare is the share of requests that may be retries, 0 to 1.
 	BudgetShare float64
-	// Burst is how many retries may be saved up; it is at least 1.
+	// Burst is how many unused retries may accumulate; it is at least 1.
 	Burst int
-	// FloorRate is retries a second allowed beside the share, so that a service
-	// with few requests can retry at all; zero allows none.
+	// FloorRate is the number of retries per second that are allowed in addition to
+	// the share, so that a service with few requests can retry at all; zero allows
+	// none.
 	FloorRate float64
-	// MaxAttempts counts the first attempt too.
+	// MaxAttempts limits the attempts of a request, including the first.
 	MaxAttempts int
-	// Backoff is the mean wait before the first retry; it doubles each time.
+	// Backoff is the mean wait before the first retry; it doubles with each retry.
 	Backoff time.Duration
 	// BackoffMax is the longest mean wait.
 	BackoffMax time.Duration
 }
 
-// DefaultConfig returns the configuration for a service that states none.
+// DefaultConfig returns the configuration for a service that sets none.
 func DefaultConfig() Config {
 	return Config{
 		BudgetShare: 0.1,
@@ -71,8 +73,8 @@
 	}
 }
 
-// ConfigFromBundle returns the limits that a bundle states, with the defaults for those
-// that it leaves at zero.
+// ConfigFromBundle returns the limits in a bundle, with defaults for those that are
+// zero.
 func ConfigFromBundle(b btbundle.Retry) Config {
 	c := DefaultConfig()
 	if b.BudgetShare > 0 {
--- a/core/btretry/budget.go
+++ b/core/btretry/budget.go
@@ -6,14 +6,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget holds retries to a share of requests. Over any span of time the
-// retries that it grants are at most
+// Budget limits retries to a share of the requests. Over any period of time it
+// grants at most
 //
 //	Burst + BudgetShare*requests + Burst + FloorRate*seconds
 //
-// The share is counted in requests and not in time, which a rate limiter of the
-// library can't do; the floor, which is counted in time, is one. It is not safe
-// for concurrent use.
+// retries. The share is counted in requests rather than time, which the rate
+// limiter of the library can't do; the floor is counted in time and uses it. A
+// Budget is not safe for concurrent use.
 type Budget struct {
 	share, burst float64
 	tokens       float64
@@ -35,8 +35,8 @@
 	}
 }
 
-// Configure puts another share, burst and floor in force. What was taken stays
-// taken, so that a change of the bundle grants no burst of retries.
+// Configure replaces the share, burst and floor. Retries already taken stay
+// counted, so that a new bundle grants no new burst.
 func (b *Budget) Configure(now time.Time, c Config) {
 	next := NewBudget(c)
 	b.share, b.burst = next.share, next.burst
@@ -45,10 +45,10 @@
 	b.floor.SetBurstAt(now, next.floor.Burst())
 }
 
-// CountRequest counts one first attempt.
+// CountRequest counts the first attempt of a request.
 func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, b.burst) }
 
-// Take takes one retry from the budget, or returns false where none is left.
+// Take takes one retry from the budget, or returns false if none is left.
 func (b *Budget) Take(now time.Time) bool {
 	if b.tokens >= 1 {
 		b.tokens--
--- a/core/btretry/decide.go
+++ b/core/btretry/decide.go
@@ -7,31 +7,32 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Attempt is what is known when an attempt has ended without a whole answer.
+// Attempt is what is known after an attempt has ended without a complete answer.
 type Attempt struct {
-	// Outcome is the evidence on this attempt, not yet the caller's answer.
+	// Outcome is whether this attempt ran, as far as known. It isn't yet the
+	// caller's answer.
 	Outcome btrequest.Outcome
-	// Keyed tells that the request may run at most once.
+	// Keyed reports that the request may run at most once.
 	Keyed bool
-	// Number counts attempts, from 1.
+	// Number is the number of this attempt, from 1.
 	Number int
-	// Deadline is the request's.
+	// Deadline is the deadline of the request.
 	Deadline time.Time
-	// MinAnswerTime is the least time that another attempt takes to answer, such as
-	// the best target's expected time to the first token.
+	// MinAnswerTime is the least time that another attempt needs to answer, such as
+	// the best target's expected time to first token.
 	MinAnswerTime time.Duration
-	// FirstByteSent tells that a part of the answer went out to the caller.
+	// FirstByteSent reports that a part of the answer was sent to the caller.
 	FirstByteSent bool
-	// Resumable tells that the target can continue the answer at an offset.
+	// Resumable reports that the target can continue the answer at an offset.
 	Resumable bool
 }
 
-// Decision says whether to try again, and why or why not.
+// Decision is whether to retry, and the reason.
 type Decision struct {
 	Retry bool
-	// Resume tells to continue the answer at the target that ran it.
+	// Resume asks to continue the answer at the target that ran it.
 	Resume bool
-	// At is when to try again.
+	// At is when to retry.
 	At     time.Time
 	Reason btrequest.Reason
 }
@@ -43,25 +44,25 @@
 	random *rand.Rand
 }
 
-// New returns a decider that takes its retries from the budget and its jitter
-// from the source.
+// New returns a decider that takes retries from the budget and jitter from the
+// random source.
 func New(c Config, budget *Budget, source rand.Source) *Decider {
 	return &Decider{config: c, budget: budget, random: rand.New(source)}
 }
 
-// Configure puts another configuration in force, for the budget too.
+// Configure replaces the configuration, including that of the budget.
 func (d *Decider) Configure(now time.Time, c Config) {
 	d.config = c
 	d.budget.Configure(now, c)
 }
 
-// Decide returns what to do after a failed attempt. It takes from the budget
-// only if it returns a retry.
+// Decide returns what to do after a failed attempt. It takes from the budget only
+// if it returns a retry.
 func (d *Decider) Decide(now time.Time, a Attempt) Decision {
 	if reason, refused := d.forbidden(a); refused {
 		return Decision{Reason: reason}
 	}
-	at := now.Add(d.wait(a))
+	at := now.Add(d.backoff(a))
 	if at.Add(a.MinAnswerTime).After(a.Deadline) {
 		return Decision{Reason: RefusedDeadline}
 	}
@@ -78,7 +79,8 @@
 	return decision
 }
 
-// forbidden returns the rule that a retry would break, whatever the budget.
+// forbidden returns the reason against a retry whatever the budget, and false if
+// there is none.
 func (d *Decider) forbidden(a Attempt) (btrequest.Reason, bool) {
 	switch {
 	case a.Outcome == btrequest.Done:
@@ -93,10 +95,10 @@
 	return "", false
 }
 
-// wait returns a uniform part of twice the mean wait, which doubles with each
-// attempt. A refusal is retried elsewhere at once the first time: the refusing
-// target is not asked again, so there is nothing to wait for.
-func (d *Decider) wait(a Attempt) time.Duration {
+// backoff returns a uniformly random duration of up to twice the mean wait, which
+// doubles with each attempt. The first retry after a refusal is immediate: it goes to
+// another target, so there is nothing to wait for.
+func (d *Decider) backoff(a Attempt) time.Duration {
 	if a.Outcome == btrequest.NotRun && a.Number <= 1 {
 		return 0
 	}
--- a/core/btretry/decide_test.go
+++ b/core/btretry/decide_test.go
@@ -19,7 +19,8 @@
 	return btretry.New(c, btretry.NewBudget(c), rand.NewPCG(seed, 1))
 }
 
-func TestReasons(t *testing.T) {
+// TestDecisionReasons checks the reason for each kind of failed attempt.
+func TestDecisionReasons(t *testing.T) {
 	far := epoch.Add(time.Minute)
 	for _, c := range []struct {
 		attempt btretry.Attempt
@@ -41,8 +42,10 @@
 	}
 }
 
-// TestRules decides on any attempts: what a retry must never do.
-func TestRules(t *testing.T) {
+// TestDecisionInvariants guards against forbidden retries on random attempts: of
+// complete answers, of requests that may have run and must run once, beyond the
+// attempts or past the deadline.
+func TestDecisionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := btretry.DefaultConfig()
 		c.BudgetShare = 1
@@ -71,7 +74,8 @@
 	})
 }
 
-// TestBackoffHasFullJitter: waits fill the whole span, which doubles.
+// TestBackoffHasFullJitter checks that waits are spread over the whole interval,
+// which doubles with each attempt.
 func TestBackoffHasFullJitter(t *testing.T) {
 	c := btretry.DefaultConfig()
 	c.Burst, c.MaxAttempts = 100_000, 20
@@ -90,9 +94,10 @@
 	}
 }
 
-// TestBudget counts retries over every window of random traffic in which all
-// requests fail. With no budget the same traffic breaks the bound.
-func TestBudget(t *testing.T) {
+// TestBudgetBoundsRetries checks the bound of Budget over every period of random
+// traffic in which all requests fail. Retrying without a budget must break the
+// bound on the same traffic.
+func TestBudgetBoundsRetries(t *testing.T) {
 	for _, c := range []struct {
 		naive  bool
 		broken bool
@@ -103,23 +108,23 @@
 			config.Burst = rapid.IntRange(1, 5).Draw(t, "burst")
 			config.BudgetShare = float64(rapid.IntRange(0, 5).Draw(t, "share")) / 10
 			config.FloorRate = float64(rapid.IntRange(0, 2).Draw(t, "floor"))
-			broken = broken || breaksBudget(t, config, c.naive)
+			broken = broken || exceedsBudget(t, config, c.naive)
 		})
 		assert.Equal(t, broken, c.broken, "naive %t", c.naive)
 	}
 }
 
-// breaksBudget replays random traffic and tells whether any window holds more
-// retries than the budget's bound.
-func breaksBudget(t *rapid.T, c btretry.Config, naive bool) bool {
-	type moment struct {
+// exceedsBudget replays random traffic and reports whether any period has more
+// retries than the bound.
+func exceedsBudget(t *rapid.T, c btretry.Config, naive bool) bool {
+	type sample struct {
 		at       time.Time
 		requests int
 		retries  int
 	}
 	b := btretry.NewBudget(c)
 	now := epoch
-	history := []moment{{at: now}}
+	history := []sample{{at: now}}
 	for range 80 {
 		now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		next := history[len(history)-1]
@@ -145,6 +150,8 @@
 	return false
 }
 
+// TestConfigureGrantsNoBurst guards against a new configuration that refills the
+// budget.
 func TestConfigureGrantsNoBurst(t *testing.T) {
 	c := btretry.DefaultConfig()
 	b := btretry.NewBudget(c)
--- a/core/btretry/main_test.go
+++ b/core/btretry/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict; a
-// longer run sets -rapid.checks and -rapid.seed.
+// TestMain fixes rapid's seed, so that every run has the same result; -rapid.checks
+// and -rapid.seed set up a longer run.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/core/btretry/reservation.go
+++ b/core/btretry/reservation.go
@@ -7,31 +7,32 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Reasons given with a refusal for want of capacity.
+// The reasons in a refusal for lack of capacity.
 const (
-	// Reserved: room is kept for the caller at the time that it is told.
+	// Reserved: capacity is reserved for the caller at the time that it was given.
 	Reserved btrequest.Reason = "overload_reserved"
-	// Unreserved: more callers wait outside than can be promised anything; the
-	// time told is the longest, and no room is kept.
+	// Unreserved: more callers have been refused than capacity can be reserved for.
+	// The wait given is the longest one, and nothing is reserved.
 	Unreserved btrequest.Reason = "overload_unreserved"
 )
 
-// ReservationConfig bounds what is promised to refused callers.
+// ReservationConfig limits the reservations for refused callers.
 type ReservationConfig struct {
-	// Share is the part of the measured rate of answers that is given to
-	// callers who come back, 0 to 1.
+	// Share is the share of the measured answer rate that is reserved for returning
+	// callers, 0 to 1.
 	Share float64
-	// MaxWait is the longest time that a caller is told to wait.
+	// MaxWait is the longest wait that a caller is given.
 	MaxWait time.Duration
-	// EarlyTolerance and LateTolerance are how far from its time a caller is still recognised.
+	// EarlyTolerance and LateTolerance are how much before and after its time a
+	// caller may claim its reservation.
 	EarlyTolerance, LateTolerance time.Duration
-	// MaxReservations is how many reservations are held.
+	// MaxReservations limits the reservations held at a time.
 	MaxReservations int
-	// Window is the time over which the rate of answers is averaged.
+	// Window is the time over which the answer rate is averaged.
 	Window time.Duration
 }
 
-// DefaultReservationConfig returns the configuration for a service that states none.
+// DefaultReservationConfig returns the configuration for a service that sets none.
 func DefaultReservationConfig() ReservationConfig {
 	return ReservationConfig{
 		Share:           0.5,
@@ -43,20 +44,20 @@
 	}
 }
 
-// Reservations tells refused callers when to come back, each a place further
-// back than the one before, at a share of the rate of answers. So their return
-// is no second wave, and the time told is one at which there is room. A caller
-// that comes back is known by the fingerprint of its request. It is not safe
-// for concurrent use.
+// Reservations gives refused callers a time at which to retry. The times are spaced
+// at a share of the answer rate, so that the retries don't arrive all at once and
+// capacity is available for them. A returning caller is recognised by the
+// fingerprint of its request. It is not safe for concurrent use.
 type Reservations struct {
 	config ReservationConfig
 	due    map[uint64]time.Time
-	// queue holds the reservations by time, as they were made.
+	// queue holds the reservations in the order in which they were made.
 	queue []reservation
-	// horizon is the time of the last reservation.
-	horizon time.Time
-	rate    float64
-	counted time.Time
+	// lastReserved is the time of the last reservation, before rounding up to whole
+	// seconds.
+	lastReserved  time.Time
+	rate          float64
+	rateUpdatedAt time.Time
 }
 
 type reservation struct {
@@ -64,48 +65,49 @@
 	at          time.Time
 }
 
-// minRate is the rate of answers a second assumed at least.
+// minRate is the least answer rate per second that is assumed.
 const minRate = 0.1
 
-// NewReservations returns reservations for one service at one entry.
+// NewReservations returns the reservations of one service at one entry.
 func NewReservations(c ReservationConfig) *Reservations {
 	return &Reservations{config: c, due: map[uint64]time.Time{}}
 }
 
-// CountAnswer counts one answer begun.
+// CountAnswer counts an answer that has begun.
 func (r *Reservations) CountAnswer(now time.Time) {
 	r.decay(now)
 	r.rate += 1 / r.config.Window.Seconds()
 }
 
 func (r *Reservations) decay(now time.Time) {
-	if elapsed := now.Sub(r.counted); elapsed > 0 {
+	if elapsed := now.Sub(r.rateUpdatedAt); elapsed > 0 {
 		r.rate *= math.Exp(-elapsed.Seconds() / r.config.Window.Seconds())
-		r.counted = now
+		r.rateUpdatedAt = now
 	}
 }
 
-// Reserve returns how long the caller is told to wait, in whole seconds and at
-// least the shortest, and whether room is kept for it then.
+// Reserve makes a reservation for a refused caller. It returns how long the caller
+// must wait, in whole seconds and at least the shortest, and whether capacity is
+// reserved for it then.
 func (r *Reservations) Reserve(now time.Time, fingerprint uint64, shortest time.Duration) (time.Duration, btrequest.Reason) {
 	r.decay(now)
 	r.expire(now)
 	interval := time.Duration(float64(time.Second) / max(r.rate*r.config.Share, minRate))
-	at := r.horizon.Add(interval)
+	at := r.lastReserved.Add(interval)
 	if earliest := now.Add(shortest); at.Before(earliest) {
 		at = earliest
 	}
-	wait := wholeSeconds(at.Sub(now))
+	wait := ceilSeconds(at.Sub(now))
 	if wait > r.config.MaxWait || len(r.due) >= r.config.MaxReservations {
 		return r.config.MaxWait, Unreserved
 	}
-	r.horizon = at
+	r.lastReserved = at
 	r.due[fingerprint] = now.Add(wait)
 	r.queue = append(r.queue, reservation{fingerprint: fingerprint, at: now.Add(wait)})
 	return wait, Reserved
 }
 
-// Claim tells whether the caller has a reservation for now, and uses it up.
+// Claim reports whether the caller has a reservation for now, and consumes it.
 func (r *Reservations) Claim(now time.Time, fingerprint uint64) bool {
 	r.expire(now)
 	at, ok := r.due[fingerprint]
@@ -116,12 +118,12 @@
 	return true
 }
 
-// Len returns how many reservations are held.
+// Len returns the number of reservations.
 func (r *Reservations) Len() int { return len(r.due) }
 
-// expire drops the reservations that nobody came for.
+// expire removes the reservations that weren't claimed in time.
 func (r *Reservations) expire(now time.Time) {
-	gone := 0
+	expired := 0
 	for _, v := range r.queue {
 		if !v.at.Add(r.config.LateTolerance).Before(now) {
 			break
@@ -129,11 +131,11 @@
 		if at, ok := r.due[v.fingerprint]; ok && at.Equal(v.at) {
 			delete(r.due, v.fingerprint)
 		}
-		gone++
+		expired++
 	}
-	r.queue = r.queue[gone:]
+	r.queue = r.queue[expired:]
 }
 
-func wholeSeconds(d time.Duration) time.Duration {
+func ceilSeconds(d time.Duration) time.Duration {
 	return max((d + time.Second - 1).Truncate(time.Second), time.Second)
 }
--- a/core/btretry/reservation_test.go
+++ b/core/btretry/reservation_test.go
@@ -11,9 +11,9 @@
 	"bilberrytide/core/btretry"
 )
 
-// TestReservationsArePaced refuses at random: waits are whole seconds within the
-// stated limits, memory is bounded, a reservation serves once, and no span of
-// time is promised to more callers than the share of the rate has room for.
+// TestReservationsArePaced refuses callers at random: waits are whole seconds
+// within the limits, the number of reservations is limited, and none can be claimed
+// before its tolerance.
 func TestReservationsArePaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := btretry.DefaultReservationConfig()
@@ -39,25 +39,29 @@
 			if at.Add(c.LateTolerance).Before(now) {
 				continue
 			}
-			assert.Assert(t, at.Add(-c.EarlyTolerance).Before(now) || !r.Claim(at.Add(-c.EarlyTolerance-1), i), "too early")
+			assert.Assert(t, at.Add(-c.EarlyTolerance).Before(now) || !r.Claim(at.Add(-c.EarlyTolerance-1), i), "claimed too early")
 		}
 	})
 }
 
-func TestReservationServesOnceAndExpires(t *testing.T) {
+// TestReservationIsClaimedOnceAndExpires guards against a reservation that another
+// caller, the same caller twice or a late caller can claim.
+func TestReservationIsClaimedOnceAndExpires(t *testing.T) {
 	r := btretry.NewReservations(btretry.DefaultReservationConfig())
 	wait, reason := r.Reserve(epoch, 1, 0)
 	assert.Equal(t, reason, btretry.Reserved)
-	assert.Assert(t, !r.Claim(epoch.Add(wait), 2), "another caller")
+	assert.Assert(t, !r.Claim(epoch.Add(wait), 2), "claimed by another caller")
 	assert.Assert(t, r.Claim(epoch.Add(wait), 1))
-	assert.Assert(t, !r.Claim(epoch.Add(wait), 1), "used up")
+	assert.Assert(t, !r.Claim(epoch.Add(wait), 1), "claimed twice")
 
 	wait, _ = r.Reserve(epoch.Add(time.Minute), 3, 0)
-	assert.Assert(t, !r.Claim(epoch.Add(time.Minute+wait+11*time.Second), 3), "too late")
+	assert.Assert(t, !r.Claim(epoch.Add(time.Minute+wait+11*time.Second), 3), "claimed too late")
 	assert.Equal(t, r.Len(), 0)
 }
 
-func TestReservationsGrowWithTheQueueOutside(t *testing.T) {
+// TestWaitGrowsWithRefusedCallers checks that waits are spaced at the share of the
+// answer rate, up to the longest wait.
+func TestWaitGrowsWithRefusedCallers(t *testing.T) {
 	r := btretry.NewReservations(btretry.DefaultReservationConfig())
 	for i := range 1000 {
 		r.CountAnswer(epoch.Add(time.Duration(i) * 10 * time.Millisecond))
@@ -67,7 +71,7 @@
 	for i := range uint64(500) {
 		last, _ = r.Reserve(now, i, 0)
 	}
-	// Some 100 answers a second, half of them for callers who come back.
+	// About 100 answers a second, half of them for returning callers.
 	assert.Assert(t, last >= 10*time.Second && last <= 13*time.Second, "%v", last)
 	for i := range uint64(5000) {
 		last, _ = r.Reserve(now, 1000+i, 0)
--- a/core/btretry/window_test.go
+++ b/core/btretry/window_test.go
@@ -10,9 +10,10 @@
 	"bilberrytide/core/btretry"
 )
 
-// In any span of the window's length, wherever it begins, the retries stay
-// within the share of the requests and the slack.
-func TestWindowBoundsEverySpan(t *testing.T) {
+// TestWindowBoundsEveryPeriod checks that the retries in any period of the window's
+// length stay within the share of the requests of that period and the one before it,
+// plus the slack.
+func TestWindowBoundsEveryPeriod(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := btretry.WindowConfig{
 			Share:  rapid.Float64Range(0, 1).Draw(t, "share"),
@@ -35,16 +36,16 @@
 		}
 		for _, begin := range retries {
 			end := begin.Add(config.Window)
-			// The rule counts requests of the span and of the one before it.
-			allowed := config.Slack + config.Share*float64(between(requests, begin.Add(-config.Window), end))
-			if got := between(retries, begin, end); float64(got) > allowed+1e-9 {
-				t.Fatalf("%d retries from %s, %.2f allowed", got, begin, allowed)
+			// The bound counts requests of the period and of the one before it.
+			allowed := config.Slack + config.Share*float64(countBetween(requests, begin.Add(-config.Window), end))
+			if got := countBetween(retries, begin, end); float64(got) > allowed+1e-9 {
+				t.Fatalf("%d retries in the window from %s, at most %.2f allowed", got, begin, allowed)
 			}
 		}
 	})
 }
 
-func between(times []time.Time, from, to time.Time) int {
+func countBetween(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
 		if !at.Before(from) && at.Before(to) {
@@ -54,7 +55,9 @@
 	return n
 }
 
-func TestWindowForgets(t *testing.T) {
+// TestWindowExpiresRetries checks that retries stop counting after the window, and
+// that a new configuration takes effect.
+func TestWindowExpiresRetries(t *testing.T) {
 	w := btretry.NewWindow(btretry.WindowConfig{Slack: 1, Window: time.Second})
 	now := time.Unix(1000, 0)
 	assert.Assert(t, w.Take(now))
@@ -65,9 +68,10 @@
 	assert.Assert(t, w.Available(now.Add(time.Hour)) == 5)
 }
 
-// An entry's part of the slack shrinks as it learns of other entries; retries that
-// it has sent count towards the smaller part.
-func TestWindowKeepsItsCountAcrossAChange(t *testing.T) {
+// TestConfigureKeepsWindowCounts guards against an entry that exceeds its slack:
+// the slack shrinks as the entry learns of others, and the retries that it has
+// already sent count towards the smaller one.
+func TestConfigureKeepsWindowCounts(t *testing.T) {
 	w := btretry.NewWindow(btretry.WindowConfig{Slack: 10, Window: time.Second})
 	now := time.Unix(1000, 0)
 	for range 4 {
