--- a/core/btmember/topology.go
+++ b/core/btmember/topology.go
@@ -139,7 +139,8 @@
 		links = append(links, Link{To: tree[child], Origin: origin, Targets: all})
 	}
 	// If the origin has no entries, entries of other data centres receive its
-	// heartbeats. They feed the tree in the origin's home data centre.
+	// heartbeats. Only those in the origin's home data centre act for it; the others
+	// send summaries only down the tree of their own data centre.
 	if p.homeCentre(origin) != self.DataCentre {
 		return links
 	}
@@ -157,8 +158,8 @@
 	return links
 }
 
-// homeCentre returns the data centre whose tree collects the heartbeats of an
-// origin: the origin itself if it has entries, else one that is chosen by
+// homeCentre returns the data centre whose tree collects the state of an origin's
+// targets: the origin itself if it has entries, else one that is chosen by
 // rendezvous hashing.
 func (p *Topology) homeCentre(origin btid.DataCentre) btid.DataCentre {
 	if len(p.entriesByCentre[origin]) > 0 {
