--- a/core/btexpert/anytime.go
+++ b/core/btexpert/anytime.go
@@ -49,7 +49,7 @@
 			valuation: v,
 			search:    newLayerSearch(p.Map.Shape, layers[l], p.Demand.layer(l)),
 			from:      p.Map.Layers[l],
-			price:     computePrice(p.Terms),
+			price:     computePrice(p.CostModel),
 			random:    random,
 		}
 		layers[l] = n.run(layers[l])
@@ -59,7 +59,7 @@
 }
 
 // computePrice returns the price of one evaluation.
-func computePrice(t Terms) float64 {
+func computePrice(t CostModel) float64 {
 	return t.MoveWeight * ComputePrice * EvaluationTime.Seconds()
 }
 
--- a/core/btexpert/capacity_test.go
+++ b/core/btexpert/capacity_test.go
@@ -21,9 +21,9 @@
 		s.Experts, s.ExpertBytes = 64, 44<<20
 		b.Run(fmt.Sprintf("ranks=%d/layers=%d", s.Ranks, s.Layers), func(b *testing.B) {
 			q := btexpert.Problem{
-				Map:    btexpert.Uniform(s),
-				Demand: btexpert.Demand{Load: zipf(s), Speeds: btexpert.EvenSpeeds(s.Ranks)},
-				Terms:  btexpert.NewTerms(himal, storeRate, switchStall),
+				Map:       btexpert.Uniform(s),
+				Demand:    btexpert.Demand{Load: zipf(s), Speeds: btexpert.EvenSpeeds(s.Ranks)},
+				CostModel: btexpert.NewCostModel(himal, storeRate, switchStall),
 			}
 			searches, evaluations := 0, 0
 			began := time.Now()
--- a/core/btexpert/caution.go
+++ b/core/btexpert/caution.go
@@ -18,10 +18,10 @@
 	restPrice = 10.0
 )
 
-// StrainMemory remembers the worst strain of late. What an even group is worth shows
+// PeakStrain remembers the worst strain of late. What an even group is worth shows
 // when other experts come into demand: the steps are longer at once, for as long as
 // it takes to follow, and a group that was even before is less uneven then.
-type StrainMemory struct {
+type PeakStrain struct {
 	worst float64
 	at    time.Time
 }
@@ -30,11 +30,11 @@
 // changes of demand as they are seen in high load, 3 to 4 s apart.
 const strainHalfLife = 8 * time.Second
 
-// Worst takes a strain in and returns the worst of late. All from which on maps
+// Observe takes a strain in and returns the worst of late. All from which on maps
 // follow as fast as they can counts as the same, so that an outage is not remembered
 // for longer than a change of demand. Where nothing is remembered yet the group is
 // taken for strained.
-func (m *StrainMemory) Worst(now time.Time, strain float64) float64 {
+func (m *PeakStrain) Observe(now time.Time, strain float64) float64 {
 	if m.at.IsZero() {
 		strain = followStrain
 	}
@@ -44,13 +44,13 @@
 	return m.worst
 }
 
-// Caution returns how many times its price, and how many times the least gain, a
+// PriceFactor returns how many times its price, and how many times the least gain, a
 // change of a map has to be worth where answers take the given share of the time that
 // callers are promised. An even group is of no use to callers whose answers are early
 // all the same, and of much where steps are as long as they may be. On a simulated calm
 // day with ten changes of demand, first events after 0.4 of the promised time, 50 maps
 // moved 420 GB with caution and 171 maps 1,518 GB without, and as many were in time.
-func Caution(strain float64) float64 {
+func PriceFactor(strain float64) float64 {
 	far := (followStrain - strain) / (followStrain - restStrain)
 	return math.Pow(restPrice, min(max(far, 0), 1))
 }
--- a/core/btexpert/caution_test.go
+++ b/core/btexpert/caution_test.go
@@ -42,20 +42,20 @@
 // of the strain.
 func (d shiftingDay) play(seed uint64, caution func(strain float64) float64) dayOutcome {
 	random := rand.New(rand.NewPCG(seed, seed))
-	m := btexpert.InTurn(d.shape)
+	m := btexpert.SingleReplica(d.shape)
 	strain := 1.0
 	var o dayOutcome
 	for range shifts {
 		load := skewedLoad(d.shape, random)
 		for range plansPerShift {
 			c := caution(strain)
-			limits := btexpert.RapidLimits{NewPerRank: 4, Gain: loadPrice * c, Rounds: 60, RankLoads: 4}
-			plan := btexpert.Rapid(m, load, limits)
-			peak := plan.Before
-			if plan.Before-plan.After >= leastGain*c {
+			limits := btexpert.FastLimits{MaxLayerTransfers: 4, TransferCost: loadPrice * c, MaxChanges: 60, MaxRankTransfers: 4}
+			plan := btexpert.FastRebalance(m, load, limits)
+			peak := plan.PeakBefore
+			if plan.PeakBefore-plan.PeakAfter >= leastGain*c {
 				m = plan.Map
-				o.loads += plan.Loads
-				peak = plan.After
+				o.loads += plan.Transfers
+				peak = plan.PeakAfter
 			}
 			strain = d.even * (1 - d.expertShare + d.expertShare*peak)
 			if strain > 1 {
@@ -74,7 +74,7 @@
 	d := shiftingDay{shape: btexpert.Shape{Ranks: 8, Layers: 6, Experts: 64, Slots: 11, ExpertBytes: 1}, even: 0.35, expertShare: 0.85}
 	for seed := range uint64(5) {
 		follow := d.play(seed, withoutCaution)
-		rest := d.play(seed, btexpert.Caution)
+		rest := d.play(seed, btexpert.PriceFactor)
 		t.Logf("seed %d: loads %d and %d, late %d and %d", seed, follow.loads, rest.loads, follow.late, rest.late)
 		assert.Assert(t, rest.loads*2 <= follow.loads)
 		assert.Equal(t, rest.late, follow.late)
@@ -86,7 +86,7 @@
 	d := shiftingDay{shape: btexpert.Shape{Ranks: 16, Layers: 4, Experts: 64, Slots: 5, ExpertBytes: 1}, even: 0.85, expertShare: 0.85}
 	for seed := range uint64(5) {
 		follow := d.play(seed, withoutCaution)
-		cautious := d.play(seed, btexpert.Caution)
+		cautious := d.play(seed, btexpert.PriceFactor)
 		t.Logf("seed %d: loads %d and %d, late %d and %d", seed, follow.loads, cautious.loads, follow.late, cautious.late)
 		assert.Assert(t, cautious.late <= follow.late+follow.late/20)
 	}
@@ -95,11 +95,11 @@
 func TestCautionFallsAsStepsComeNearThePromise(t *testing.T) {
 	last := math.Inf(1)
 	for strain := 0.0; strain < 1.5; strain += 0.01 {
-		c := btexpert.Caution(strain)
+		c := btexpert.PriceFactor(strain)
 		assert.Assert(t, c <= last && c >= 1)
 		last = c
 	}
-	assert.Equal(t, btexpert.Caution(1), 1.0)
+	assert.Equal(t, btexpert.PriceFactor(1), 1.0)
 }
 
 // The worst strain is remembered over the next change of demand and forgotten after
@@ -107,10 +107,10 @@
 func TestStrainIsRememberedOverAChangeOfDemand(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	for _, worst := range []float64{0.9, 2} {
-		var m btexpert.StrainMemory
-		assert.Equal(t, m.Worst(begin, 0.3), 0.9, "nothing is known yet")
-		m.Worst(begin.Add(time.Minute), worst)
-		assert.Assert(t, m.Worst(begin.Add(time.Minute+4*time.Second), 0.3) > 0.6)
-		assert.Equal(t, m.Worst(begin.Add(2*time.Minute), 0.3), 0.3)
+		var m btexpert.PeakStrain
+		assert.Equal(t, m.Observe(begin, 0.3), 0.9, "nothing is known yet")
+		m.Observe(begin.Add(time.Minute), worst)
+		assert.Assert(t, m.Observe(begin.Add(time.Minute+4*time.Second), 0.3) > 0.6)
+		assert.Equal(t, m.Observe(begin.Add(2*time.Minute), 0.3), 0.3)
 	}
 }
--- a/core/btexpert/choices.go
+++ b/core/btexpert/choices.go
@@ -16,16 +16,16 @@
 	decayEvery = 25 * time.Millisecond
 )
 
-// Choices is how often each expert was chosen of late. It is not safe for concurrent
+// Activations is how often each expert was chosen of late. It is not safe for concurrent
 // use.
-type Choices struct {
+type Activations struct {
 	// counts are flat, layer by layer.
 	counts  []float64
 	decayed time.Time
 }
 
 // Add takes in choices, flat and layer by layer, each of which stands for unit.
-func (c *Choices) Add(now time.Time, choices []byte, unit float64) {
+func (c *Activations) Add(now time.Time, choices []byte, unit float64) {
 	if len(c.counts) != len(choices) {
 		c.counts = make([]float64, len(choices))
 		c.decayed = now
@@ -42,16 +42,16 @@
 	}
 }
 
-// Formed notes that the group has formed after an outage. Nothing was chosen
+// Resume notes that the group has formed after an outage. Nothing was chosen
 // meanwhile, so what was in demand before counts as of now, and the first map can be
 // planned with the first states heard. Where half a second of choices was waited for,
 // steps on the map that a group forms with lasted twice as long meanwhile: mean worth
 // of a simulated day with one outage 0.488, with this 0.527.
-func (c *Choices) Formed(now time.Time) { c.decayed = now }
+func (c *Activations) Resume(now time.Time) { c.decayed = now }
 
 // Load returns the choices by layer and expert, and how many there are. It is nil
 // where they don't fit the shape.
-func (c *Choices) Load(layers, experts int) (load Load, total float64) {
+func (c *Activations) Load(layers, experts int) (load Load, total float64) {
 	if layers <= 0 || len(c.counts) != layers*experts {
 		return nil, 0
 	}
--- a/core/btexpert/choices_test.go
+++ b/core/btexpert/choices_test.go
@@ -30,20 +30,20 @@
 	shape := btexpert.Shape{Ranks: 72, Layers: 12, Experts: 144, Slots: 3, ExpertBytes: 1}
 	load := skewedLoad(shape, rand.New(rand.NewPCG(3, 3)))
 	now := time.Unix(1000, 0)
-	var c btexpert.Choices
+	var c btexpert.Activations
 	for range 10 {
 		c.Add(now, chosen(load), 1)
 		now = now.Add(200 * time.Millisecond)
 	}
 	now = now.Add(4 * time.Second)
-	c.Formed(now)
+	c.Resume(now)
 	known, total := c.Load(shape.Layers, shape.Experts)
 	assert.Assert(t, total > 0)
-	plan := btexpert.Rapid(btexpert.InTurn(shape), known, btexpert.RapidLimits{NewPerRank: 2, Gain: 0.01, Rounds: 60})
-	assert.Assert(t, plan.After < 0.7*plan.Before, "%.2f to %.2f", plan.Before, plan.After)
+	plan := btexpert.FastRebalance(btexpert.SingleReplica(shape), known, btexpert.FastLimits{MaxLayerTransfers: 2, TransferCost: 0.01, MaxChanges: 60})
+	assert.Assert(t, plan.PeakAfter < 0.7*plan.PeakBefore, "%.2f to %.2f", plan.PeakBefore, plan.PeakAfter)
 	// Without the news that the group has formed, the first choices that come after it
 	// are all that counts.
-	var forgets btexpert.Choices
+	var forgets btexpert.Activations
 	forgets.Add(now.Add(-4*time.Second), chosen(load), 1)
 	forgets.Add(now, make([]byte, shape.Layers*shape.Experts), 1)
 	_, total = forgets.Load(shape.Layers, shape.Experts)
@@ -52,7 +52,7 @@
 
 func TestChoicesLoseWeight(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var c btexpert.Choices
+	var c btexpert.Activations
 	c.Add(now, []byte{100, 0}, 1)
 	c.Add(now.Add(150*time.Millisecond), []byte{0, 10}, 2)
 	load, total := c.Load(1, 2)
--- a/core/btexpert/consider.go
+++ b/core/btexpert/consider.go
@@ -80,18 +80,18 @@
 // consider looks for a better map and weighs it.
 func (d *Decider[P]) consider() Effect {
 	p := Problem{
-		Map:    d.inForce,
-		Demand: d.demand(perRank(d.counter.Load(), d.shape)),
-		Terms:  NewTerms(d.placement, d.storeRate, d.stall),
+		Map:       d.inForce,
+		Demand:    d.demand(perRank(d.counter.Load(), d.shape)),
+		CostModel: NewCostModel(d.placement, d.storeRate, d.stall),
 	}
-	least := max(d.settings.LeastGain, d.noise.share(d.counter.kept)) * d.trust.caution
+	least := max(d.settings.MinGain, d.noise.share(d.counter.kept)) * d.trust.caution
 	step := StepTime(p.Map, p.Demand)
 	bound := Bound(p.Map.Shape, p.Demand)
 	if 1-bound/step < least {
 		return Keep{Reason: KeepEven, Detail: fmt.Sprintf("a perfect split would save %.2f%%", 100*(1-bound/step))}
 	}
-	if p.Terms.Transfer(p.Map.Shape.ExpertBytes) >= p.Terms.Horizon.Seconds() {
-		detail := fmt.Sprintf("one expert takes %.0f s at %.0f bytes/s", p.Terms.Transfer(p.Map.Shape.ExpertBytes), p.Terms.Rate)
+	if p.CostModel.TransferSeconds(p.Map.Shape.ExpertBytes) >= p.CostModel.Horizon.Seconds() {
+		detail := fmt.Sprintf("one expert takes %.0f s at %.0f bytes/s", p.CostModel.TransferSeconds(p.Map.Shape.ExpertBytes), p.CostModel.StoreRate)
 		return Keep{Reason: KeepStoreSlow, Detail: detail}
 	}
 	now := refusal{at: d.now, excess: step/bound - 1, rate: d.storeRate, caution: d.trust.caution}
@@ -143,7 +143,7 @@
 		return Keep{Reason: reason, Detail: detail, Forecast: forecast}
 	}
 	switch {
-	case forecast.Transfer >= p.Terms.Horizon:
+	case forecast.Transfer >= p.CostModel.Horizon:
 		return refuse(KeepStoreSlow)
 	case plan.GainShare() < least:
 		return refuse(KeepSmallGain)
@@ -177,22 +177,22 @@
 // pays asserts, from the maps alone, that a plan beats its price and threshold.
 func (d *Decider[P]) pays(p Problem, plan Plan, threshold float64) bool {
 	bytes := Diff(p.Map, plan.Map).Bytes(d.shape)
-	gain := p.Terms.Gain(StepTime(p.Map, p.Demand), StepTime(plan.Map, p.Demand), bytes)
-	return d.asserter.That(gain > threshold && gain > p.Terms.Price(bytes), InvariantPlanPays,
-		"gain %v, price %v, threshold %v", gain, p.Terms.Price(bytes), threshold)
+	gain := p.CostModel.Gain(StepTime(p.Map, p.Demand), StepTime(plan.Map, p.Demand), bytes)
+	return d.asserter.That(gain > threshold && gain > p.CostModel.Price(bytes), InvariantPlanPays,
+		"gain %v, price %v, threshold %v", gain, p.CostModel.Price(bytes), threshold)
 }
 
 func forecastOf(p Problem, plan Plan) Forecast {
 	bytes := plan.Moves.Bytes(p.Map.Shape)
-	transfer := min(p.Terms.Transfer(bytes), maxTransfer.Seconds())
+	transfer := min(p.CostModel.TransferSeconds(bytes), maxTransfer.Seconds())
 	return Forecast{
-		Gain:       plan.Gain(p.Terms),
-		Price:      plan.Price(p.Terms),
+		Gain:       plan.Gain(p.CostModel),
+		Price:      plan.Price(p.CostModel),
 		SkewBefore: Skew(p.Map, p.Demand),
 		SkewAfter:  Skew(plan.Map, p.Demand),
 		SkewBound:  BoundSkew(p.Map.Shape, p.Demand),
 		Transfer:   time.Duration(transfer * float64(time.Second)),
-		Stall:      p.Terms.Stall,
+		Stall:      p.CostModel.Stall,
 	}
 }
 
--- a/core/btexpert/counter.go
+++ b/core/btexpert/counter.go
@@ -130,8 +130,8 @@
 // Recent returns a copy of each layer's last good report.
 func (c *Counter) Recent() Load { return c.recent.clone() }
 
-// Forget drops all but each layer's last good report, as after a sudden change.
-func (c *Counter) Forget() { c.load = c.recent.clone() }
+// DiscardHistory drops all but each layer's last good report, as after a sudden change.
+func (c *Counter) DiscardHistory() { c.load = c.recent.clone() }
 
 func (c *Counter) advance(now time.Time) time.Duration {
 	if c.last.IsZero() {
--- a/core/btexpert/decider.go
+++ b/core/btexpert/decider.go
@@ -248,7 +248,7 @@
 func (d *Decider[P]) forgetPast() {
 	d.noise.jumps = 0
 	d.jumped = d.now
-	d.counter.Forget()
+	d.counter.DiscardHistory()
 	d.refused = refusal{}
 	d.trial = nil
 	if d.pending != nil {
@@ -259,7 +259,7 @@
 
 // demand returns what a load asks of the ranks, as far as has been measured.
 func (d *Decider[P]) demand(load Load) Demand {
-	return Demand{Load: load, Speeds: d.meter.Speeds(), Base: d.meter.Base(), Floor: d.floor.value}
+	return Demand{Load: load, Speeds: d.meter.Speeds(), Base: d.meter.Base(), SkewFloor: d.floor.value}
 }
 
 // perRank scales each layer's load so that the mean rank has 1, which makes
--- a/core/btexpert/decider_test.go
+++ b/core/btexpert/decider_test.go
@@ -187,13 +187,13 @@
 	}
 	assert.Equal(t, said[btexpert.ExplainMeasured], 2)
 	assert.Equal(t, said[btexpert.ExplainForeignMap], 2)
-	assert.Equal(t, said[btexpert.ExplainCareful], 1)
+	assert.Equal(t, said[btexpert.ExplainPredictionsMissed], 1)
 	assert.Equal(t, f.d.Caution(), 2.0)
 	for range 21 {
 		f.now = f.now.Add(time.Minute)
 		note(f.step(btexpert.Tick{}))
 	}
-	assert.Equal(t, said[btexpert.ExplainTrusting], 1)
+	assert.Equal(t, said[btexpert.ExplainPredictionsHold], 1)
 	assert.Equal(t, f.d.Caution(), 1.0)
 }
 
--- a/core/btexpert/event.go
+++ b/core/btexpert/event.go
@@ -183,10 +183,10 @@
 	ExplainStraggler btrequest.Reason = "straggler_evidence"
 	// ExplainMeasured is for the measured effect of a change.
 	ExplainMeasured btrequest.Reason = "change_measured"
-	// ExplainCareful is for predictions that missed; the threshold rises.
-	ExplainCareful btrequest.Reason = "predictions_miss"
-	// ExplainTrusting is for a threshold that is back to normal.
-	ExplainTrusting btrequest.Reason = "predictions_hold"
+	// ExplainPredictionsMissed is for predictions that missed; the threshold rises.
+	ExplainPredictionsMissed btrequest.Reason = "predictions_miss"
+	// ExplainPredictionsHold is for a threshold that is back to normal.
+	ExplainPredictionsHold btrequest.Reason = "predictions_hold"
 	// ExplainSwitch is for a switch that failed or was never answered.
 	ExplainSwitch btrequest.Reason = "switch_failed"
 )
--- a/core/btexpert/hold_budget.go
+++ b/core/btexpert/hold_budget.go
@@ -17,17 +17,17 @@
 	holdWeight = 0.3
 )
 
-// HoldBudget bounds for how much of the time changes of maps hold their group. While
+// StallBudget bounds for how much of the time changes of maps hold their group. While
 // the group is held no stream goes on: where orders stay unanswered for a while, as on
 // hosts that are busy or cut off, each change holds it for some tenths of a second,
 // which costs callers more than an even group gives them.
-type HoldBudget struct {
+type StallBudget struct {
 	excess time.Duration
 	until  time.Time
 }
 
-// Held takes in for how long a change that has ended held the group.
-func (b *HoldBudget) Held(now time.Time, held time.Duration) {
+// Record takes in for how long a change that has ended held the group.
+func (b *StallBudget) Record(now time.Time, held time.Duration) {
 	excess := min(max(held-freeHold, 0), holdMost)
 	b.excess += time.Duration(holdWeight * float64(excess-b.excess))
 	if excess > 0 {
@@ -36,4 +36,4 @@
 }
 
 // Allows tells whether another change may begin.
-func (b *HoldBudget) Allows(now time.Time) bool { return !now.Before(b.until) }
+func (b *StallBudget) Allows(now time.Time) bool { return !now.Before(b.until) }
--- a/core/btexpert/hold_budget_test.go
+++ b/core/btexpert/hold_budget_test.go
@@ -32,8 +32,8 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	slow := func() time.Duration { return time.Duration(100+random.IntN(300)) * time.Millisecond }
 	without, _ := heldShare(slow, func(time.Time) bool { return true }, func(time.Time, time.Duration) {})
-	var b btexpert.HoldBudget
-	with, _ := heldShare(slow, b.Allows, b.Held)
+	var b btexpert.StallBudget
+	with, _ := heldShare(slow, b.Allows, b.Record)
 	t.Logf("held for %.3f of the time without a budget, %.3f with one", without, with)
 	assert.Assert(t, without > 0.3)
 	assert.Assert(t, with < 0.08)
@@ -41,8 +41,8 @@
 
 func TestHoldBudgetLeavesUsualChangesAlone(t *testing.T) {
 	usual := func() time.Duration { return 30 * time.Millisecond }
-	var b btexpert.HoldBudget
-	_, with := heldShare(usual, b.Allows, b.Held)
+	var b btexpert.StallBudget
+	_, with := heldShare(usual, b.Allows, b.Record)
 	_, without := heldShare(usual, func(time.Time) bool { return true }, func(time.Time, time.Duration) {})
 	assert.Equal(t, with, without)
 }
@@ -51,11 +51,11 @@
 // once changes go well again.
 func TestHoldBudgetForgetsOneLongHold(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	var b btexpert.HoldBudget
-	b.Held(begin, 3*time.Second)
+	var b btexpert.StallBudget
+	b.Record(begin, 3*time.Second)
 	assert.Assert(t, !b.Allows(begin.Add(time.Second)))
 	later := begin.Add(2500 * time.Millisecond)
 	assert.Assert(t, b.Allows(later))
-	b.Held(later, 30*time.Millisecond)
+	b.Record(later, 30*time.Millisecond)
 	assert.Assert(t, b.Allows(later))
 }
--- a/core/btexpert/incremental.go
+++ b/core/btexpert/incremental.go
@@ -41,13 +41,13 @@
 	if step == 0 {
 		return valuation{}
 	}
-	t := p.Terms
+	t := p.CostModel
 	// Each second of transfer also delays the gain of the rest by a second.
 	delayed := 1 - Bound(p.Map.Shape, p.Demand)/step
 	perSecond := t.MoveWeight + t.SkewWeight*delayed
 	return valuation{
 		saving: t.SkewWeight * t.Horizon.Seconds() / step,
-		load:   perSecond * t.Transfer(p.Map.Shape.ExpertBytes),
+		load:   perSecond * t.TransferSeconds(p.Map.Shape.ExpertBytes),
 	}
 }
 
--- a/core/btexpert/model.go
+++ b/core/btexpert/model.go
@@ -27,15 +27,15 @@
 	// Base is the work beside the experts that every rank does in every layer,
 	// such as attention, in the load's unit.
 	Base float64
-	// Floor is the skew that chance alone gives a step.
-	Floor float64
+	// SkewFloor is the skew that chance alone gives a step.
+	SkewFloor float64
 }
 
 // Validate reports a demand that doesn't fit the shape. The error wraps ErrLoad.
 func (d Demand) Validate(s Shape) error {
-	for _, v := range []float64{d.Base, d.Floor} {
+	for _, v := range []float64{d.Base, d.SkewFloor} {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
-			return fmt.Errorf("%w: base %v, floor %v", ErrLoad, d.Base, d.Floor)
+			return fmt.Errorf("%w: base %v, floor %v", ErrLoad, d.Base, d.SkewFloor)
 		}
 	}
 	if err := d.Load.Validate(s); err != nil {
@@ -46,7 +46,7 @@
 
 // layer returns the demand of one layer.
 func (d Demand) layer(l int) layerDemand {
-	return layerDemand{load: d.Load[l], speeds: d.Speeds, base: d.Base, floor: d.Floor}
+	return layerDemand{load: d.Load[l], speeds: d.Speeds, base: d.Base, floor: d.SkewFloor}
 }
 
 // layerDemand is the demand of one layer.
--- a/core/btexpert/noise.go
+++ b/core/btexpert/noise.go
@@ -98,18 +98,18 @@
 
 // observe takes in the skew measured under a map and the demand of those steps.
 func (f *floorMeter) observe(measured float64, m Map, d Demand) {
-	d.Floor = 0
+	d.SkewFloor = 0
 	if Skew(m, d) > floorSkew {
 		return
 	}
 	low := 0.0
 	high := largestFloor
 	for range floorSteps {
-		d.Floor = (low + high) / 2
+		d.SkewFloor = (low + high) / 2
 		if Skew(m, d) < measured {
-			low = d.Floor
+			low = d.SkewFloor
 		} else {
-			high = d.Floor
+			high = d.SkewFloor
 		}
 	}
 	if !f.known {
--- a/core/btexpert/planner.go
+++ b/core/btexpert/planner.go
@@ -6,63 +6,63 @@
 	"bilberrytide/core/btbundle"
 )
 
-// Terms hold what a change of the map is worth and what it costs, in weighted
+// CostModel hold what a change of the map is worth and what it costs, in weighted
 // seconds.
-type Terms struct {
+type CostModel struct {
 	// SkewWeight and MoveWeight are the bundle's placement weights.
 	SkewWeight float64
 	MoveWeight float64
 	// Horizon is how long a new map is expected to stay good.
 	Horizon time.Duration
-	// Rate is the weight store's rate in bytes per second.
-	Rate float64
+	// StoreRate is the weight store's rate in bytes per second.
+	StoreRate float64
 	// Stall is how long the group stands still during a switch.
 	Stall time.Duration
 }
 
-// NewTerms returns the terms under a bundle's policy, at a store's rate in
+// NewCostModel returns the terms under a bundle's policy, at a store's rate in
 // bytes per second and with the stall of one switch.
-func NewTerms(p btbundle.Placement, rate float64, stall time.Duration) Terms {
-	return Terms{
+func NewCostModel(p btbundle.Placement, rate float64, stall time.Duration) CostModel {
+	return CostModel{
 		SkewWeight: p.SkewWeight,
 		MoveWeight: p.MoveWeight,
 		Horizon:    p.Horizon.Duration,
-		Rate:       rate,
+		StoreRate:  rate,
 		Stall:      stall,
 	}
 }
 
-// Transfer returns how many seconds the store takes for the bytes. It is kept
+// TransferSeconds returns how many seconds the store takes for the bytes. It is kept
 // in seconds, because a slow store would overflow a duration.
-func (t Terms) Transfer(bytes int64) float64 {
+func (t CostModel) TransferSeconds(bytes int64) float64 {
 	if bytes == 0 {
 		return 0
 	}
-	return float64(bytes) / t.Rate
+	return float64(bytes) / t.StoreRate
 }
 
 // Gain returns the value of going from one step time to another: the seconds
 // saved from the end of the transfer to the end of the horizon, by the skew
 // weight.
-func (t Terms) Gain(before, after float64, bytes int64) float64 {
+func (t CostModel) Gain(before, after float64, bytes int64) float64 {
 	if before <= 0 {
 		return 0
 	}
-	left := max(t.Horizon.Seconds()-t.Transfer(bytes), 0)
+	left := max(t.Horizon.Seconds()-t.TransferSeconds(bytes), 0)
 	return t.SkewWeight * left * (1 - after/before)
 }
 
 // Price returns the cost of one change that transfers the bytes: the seconds of
 // transfer and stall, by the move weight.
-func (t Terms) Price(bytes int64) float64 {
-	return t.MoveWeight * (t.Transfer(bytes) + t.Stall.Seconds())
+func (t CostModel) Price(bytes int64) float64 {
+	return t.MoveWeight * (t.TransferSeconds(bytes) + t.Stall.Seconds())
 }
 
 // Problem is what a planner works on. The demand fits the map's shape.
 type Problem struct {
-	Map    Map
-	Demand Demand
-	Terms  Terms
+	Map       Map
+	Demand    Demand
+	CostModel CostModel
 }
 
 // Plan is a planner's answer. A plan without a change has the problem's map.
@@ -78,12 +78,12 @@
 }
 
 // Gain returns the plan's expected gain under the terms.
-func (p Plan) Gain(t Terms) float64 {
+func (p Plan) Gain(t CostModel) float64 {
 	return t.Gain(p.Before, p.After, p.Moves.Bytes(p.Map.Shape))
 }
 
 // Price returns the plan's price under the terms, zero for no change.
-func (p Plan) Price(t Terms) float64 {
+func (p Plan) Price(t CostModel) float64 {
 	if p.Before == p.After && len(p.Moves) == 0 {
 		return 0
 	}
--- a/core/btexpert/planner_test.go
+++ b/core/btexpert/planner_test.go
@@ -27,9 +27,9 @@
 func drawProblem(t *rapid.T) btexpert.Problem {
 	s := drawShape(t)
 	d := btexpert.Demand{
-		Speeds: btexpert.EvenSpeeds(s.Ranks),
-		Base:   rapid.SampledFrom([]float64{0, 0, 10, 1000}).Draw(t, "base"),
-		Floor:  rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "floor"),
+		Speeds:    btexpert.EvenSpeeds(s.Ranks),
+		Base:      rapid.SampledFrom([]float64{0, 0, 10, 1000}).Draw(t, "base"),
+		SkewFloor: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "floor"),
 	}
 	for range s.Layers {
 		load := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0, 1, 2, 50, 1e6}), s.Experts, s.Experts).Draw(t, "load")
@@ -38,11 +38,11 @@
 	if rapid.Bool().Draw(t, "straggler") {
 		d.Speeds[rapid.IntRange(0, s.Ranks-1).Draw(t, "slow")] = 0.3
 	}
-	return btexpert.Problem{Map: btexpert.Uniform(s), Demand: d, Terms: btexpert.Terms{
+	return btexpert.Problem{Map: btexpert.Uniform(s), Demand: d, CostModel: btexpert.CostModel{
 		SkewWeight: rapid.SampledFrom([]float64{0, 1, 8}).Draw(t, "skew weight"),
 		MoveWeight: rapid.SampledFrom([]float64{0, 1, 8}).Draw(t, "move weight"),
 		Horizon:    time.Minute * time.Duration(rapid.IntRange(1, 60).Draw(t, "horizon")),
-		Rate:       rapid.SampledFrom([]float64{1, 1e6, 1e9}).Draw(t, "rate"),
+		StoreRate:  rapid.SampledFrom([]float64{1, 1e6, 1e9}).Draw(t, "rate"),
 		Stall:      switchStall,
 	}}
 }
@@ -107,15 +107,15 @@
 	for _, s := range []btexpert.Shape{today, toCome} {
 		load := zipf(s)
 		q := btexpert.Problem{
-			Map:    btexpert.Uniform(s),
-			Demand: btexpert.Demand{Load: load, Speeds: btexpert.EvenSpeeds(s.Ranks)},
-			Terms:  btexpert.NewTerms(himal, storeRate, switchStall),
+			Map:       btexpert.Uniform(s),
+			Demand:    btexpert.Demand{Load: load, Speeds: btexpert.EvenSpeeds(s.Ranks)},
+			CostModel: btexpert.NewCostModel(himal, storeRate, switchStall),
 		}
 		greedy := btexpert.Greedy{}.Plan(q)
 		plan := btexpert.Incremental{}.Plan(q)
 		assert.Assert(t, len(plan.Moves) < len(greedy.Moves), "%d moves, greedy %d", len(plan.Moves), len(greedy.Moves))
-		worth := plan.Gain(q.Terms) - plan.Price(q.Terms)
-		assert.Assert(t, worth > greedy.Gain(q.Terms)-greedy.Price(q.Terms))
+		worth := plan.Gain(q.CostModel) - plan.Price(q.CostModel)
+		assert.Assert(t, worth > greedy.Gain(q.CostModel)-greedy.Price(q.CostModel))
 	}
 }
 
@@ -135,7 +135,7 @@
 	t.Parallel()
 	for _, p := range []btexpert.Planner{btexpert.Greedy{}, btexpert.Incremental{}, btexpert.Anytime{}} {
 		d := btexpert.Demand{Load: zipf(today), Speeds: btexpert.EvenSpeeds(today.Ranks)}
-		q := btexpert.Problem{Map: btexpert.Uniform(today), Demand: d, Terms: btexpert.NewTerms(himal, storeRate, switchStall)}
+		q := btexpert.Problem{Map: btexpert.Uniform(today), Demand: d, CostModel: btexpert.NewCostModel(himal, storeRate, switchStall)}
 		q.Map = p.Plan(q).Map
 		q.Demand.Speeds[5] = 0.5
 		plan := p.Plan(q)
@@ -148,9 +148,9 @@
 func ExampleIncremental() {
 	s := btexpert.Shape{Ranks: 4, Layers: 1, Experts: 4, Slots: 2, ExpertBytes: 44 << 20}
 	plan := btexpert.Incremental{}.Plan(btexpert.Problem{
-		Map:    btexpert.Uniform(s),
-		Demand: btexpert.Demand{Load: btexpert.Load{{70, 10, 10, 10}}, Speeds: btexpert.EvenSpeeds(4)},
-		Terms:  btexpert.Terms{SkewWeight: 1, MoveWeight: 1, Horizon: time.Minute, Rate: 200e6},
+		Map:       btexpert.Uniform(s),
+		Demand:    btexpert.Demand{Load: btexpert.Load{{70, 10, 10, 10}}, Speeds: btexpert.EvenSpeeds(4)},
+		CostModel: btexpert.CostModel{SkewWeight: 1, MoveWeight: 1, Horizon: time.Minute, StoreRate: 200e6},
 	})
 	fmt.Printf("slowest rank %.1f to %.1f, %d experts loaded, %d bytes\n",
 		plan.Before, plan.After, len(plan.Moves), plan.Moves.Bytes(s))
--- a/core/btexpert/rapid.go
+++ b/core/btexpert/rapid.go
@@ -4,26 +4,26 @@
 	"slices"
 )
 
-// RapidLimits bound what a Rapid plan may change.
-type RapidLimits struct {
-	// NewPerRank is how many experts of a layer one plan may bring to a rank.
-	NewPerRank int
-	// Gain is how much of a layer's mean load one loaded expert has to take off
+// FastLimits bound what a Rapid plan may change.
+type FastLimits struct {
+	// MaxLayerTransfers is how many experts of a layer one plan may bring to a rank.
+	MaxLayerTransfers int
+	// TransferCost is how much of a layer's mean load one loaded expert has to take off
 	// the most loaded rank. It is the price of loading an expert.
-	Gain float64
-	// Rounds bounds the changes in one layer.
-	Rounds int
-	// Pace is how slow each rank is; 1 is as usual. A slow rank's load counts so
+	TransferCost float64
+	// MaxChanges bounds the changes in one layer.
+	MaxChanges int
+	// Slowness is how slow each rank is; 1 is as usual. A slow rank's load counts so
 	// many times. Nil means that all are as usual.
-	Pace []float64
-	// RankLoads is how many experts one plan may bring to a rank over all
+	Slowness []float64
+	// MaxRankTransfers is how many experts one plan may bring to a rank over all
 	// layers, so that no rank keeps the others waiting; zero means any number.
-	RankLoads int
+	MaxRankTransfers int
 }
 
-// InTurn returns the map that deals each layer's experts to the ranks in turn,
+// SingleReplica returns the map that deals each layer's experts to the ranks in turn,
 // once, and leaves the other slots empty.
-func InTurn(s Shape) Map {
+func SingleReplica(s Shape) Map {
 	m := Map{Shape: s, Layers: make([]Layer, s.Layers)}
 	for l := range m.Layers {
 		m.Layers[l].Ranks = make([][]Expert, s.Ranks)
@@ -35,24 +35,24 @@
 	return m
 }
 
-// RapidPlan is a map that follows a sudden change of load.
-type RapidPlan struct {
+// FastPlan is a map that follows a sudden change of load.
+type FastPlan struct {
 	Map Map
-	// Loads is how many experts must be loaded, over all ranks and layers.
-	Loads int
-	// Before and After are the layers' most loaded ranks over the mean, averaged
+	// Transfers is how many experts must be loaded, over all ranks and layers.
+	Transfers int
+	// PeakBefore and PeakAfter are the layers' most loaded ranks over the mean, averaged
 	// over the layers.
-	Before, After float64
+	PeakBefore, PeakAfter float64
 }
 
-// Rapid improves a map by a few changes that are worth most, in milliseconds of
+// FastRebalance improves a map by a few changes that are worth most, in milliseconds of
 // computing. Load must have a row for each layer and a column for each expert.
 //
 // In each layer it takes the most loaded rank and tries to give one of its
 // experts another replica, to move it away, or to exchange it, at the ranks
 // with least load; the change with the largest gain an expert loaded is kept.
-func Rapid(m Map, load Load, limits RapidLimits) RapidPlan {
-	plan := RapidPlan{Map: Map{Shape: m.Shape, Layers: slices.Clone(m.Layers)}}
+func FastRebalance(m Map, load Load, limits FastLimits) FastPlan {
+	plan := FastPlan{Map: Map{Shape: m.Shape, Layers: slices.Clone(m.Layers)}}
 	counted := 0
 	ranks := make([]int, m.Shape.Ranks)
 	for _, y := range rapidLayers(m, load, limits, ranks) {
@@ -61,7 +61,7 @@
 			continue
 		}
 		before := y.peak()
-		for range limits.Rounds {
+		for range limits.MaxChanges {
 			if !y.improve() {
 				break
 			}
@@ -70,21 +70,21 @@
 		for r, n := range y.added {
 			ranks[r] += n
 		}
-		plan.Loads += y.loads
-		plan.Before += before
-		plan.After += y.peak()
+		plan.Transfers += y.loads
+		plan.PeakBefore += before
+		plan.PeakAfter += y.peak()
 		counted++
 	}
 	if counted > 0 {
-		plan.Before /= float64(counted)
-		plan.After /= float64(counted)
+		plan.PeakBefore /= float64(counted)
+		plan.PeakAfter /= float64(counted)
 	}
 	return plan
 }
 
 // rapidLayers returns a plan's layers, the least even ones first, as they have
 // the first claim on what the ranks may load.
-func rapidLayers(m Map, load Load, limits RapidLimits, ranks []int) []*rapidLayer {
+func rapidLayers(m Map, load Load, limits FastLimits, ranks []int) []*rapidLayer {
 	layers := make([]*rapidLayer, len(m.Layers))
 	for l, layer := range m.Layers {
 		layers[l] = newRapidLayer(m.Shape, layer, load[l], limits)
--- a/core/btexpert/rapid_change.go
+++ b/core/btexpert/rapid_change.go
@@ -45,7 +45,7 @@
 		return
 	}
 	y.make(c)
-	worth := s.before - y.norm() - float64(loads)*y.limits.Gain
+	worth := s.before - y.norm() - float64(loads)*y.limits.TransferCost
 	y.undo(c)
 	if worth > s.gain {
 		s.best = c
--- a/core/btexpert/rapid_layer.go
+++ b/core/btexpert/rapid_layer.go
@@ -10,7 +10,7 @@
 type rapidLayer struct {
 	number int
 	shape  Shape
-	limits RapidLimits
+	limits FastLimits
 	load   []float64
 	mean   float64
 	pace   []float64
@@ -31,7 +31,7 @@
 	order       []Rank
 }
 
-func newRapidLayer(s Shape, layer Layer, load []float64, limits RapidLimits) *rapidLayer {
+func newRapidLayer(s Shape, layer Layer, load []float64, limits FastLimits) *rapidLayer {
 	y := &rapidLayer{
 		shape:   s,
 		limits:  limits,
@@ -64,12 +64,12 @@
 }
 
 // paces returns the pace of each rank; values that make no sense count as usual.
-func (l RapidLimits) paces(ranks int) []float64 {
+func (l FastLimits) paces(ranks int) []float64 {
 	paces := make([]float64, ranks)
 	for r := range paces {
 		paces[r] = 1
-		if r < len(l.Pace) && l.Pace[r] > 1 && !math.IsInf(l.Pace[r], 0) {
-			paces[r] = l.Pace[r]
+		if r < len(l.Slowness) && l.Slowness[r] > 1 && !math.IsInf(l.Slowness[r], 0) {
+			paces[r] = l.Slowness[r]
 		}
 	}
 	return paces
@@ -178,7 +178,7 @@
 		return true
 	}
 	n := y.added[r] + loads
-	return n <= y.limits.NewPerRank && (y.limits.RankLoads == 0 || y.ranks[r]+n <= y.limits.RankLoads)
+	return n <= y.limits.MaxLayerTransfers && (y.limits.MaxRankTransfers == 0 || y.ranks[r]+n <= y.limits.MaxRankTransfers)
 }
 
 // loadsAt tells whether a rank must load an expert: one that the map in force
--- a/core/btexpert/rapid_test.go
+++ b/core/btexpert/rapid_test.go
@@ -33,16 +33,16 @@
 }
 
 func TestRapidKeepsItsLimits(t *testing.T) {
-	limits := btexpert.RapidLimits{NewPerRank: 1, Gain: 0.01, Rounds: 40}
+	limits := btexpert.FastLimits{MaxLayerTransfers: 1, TransferCost: 0.01, MaxChanges: 40}
 	for name, s := range shapes() {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(7, 7))
-			m := btexpert.InTurn(s)
+			m := btexpert.SingleReplica(s)
 			for range 6 {
-				plan := btexpert.Rapid(m, skewedLoad(s, random), limits)
+				plan := btexpert.FastRebalance(m, skewedLoad(s, random), limits)
 				assert.NilError(t, plan.Map.Validate())
-				assert.Assert(t, plan.After <= plan.Before)
-				assert.Equal(t, plan.Loads, loadsOf(t, m, plan.Map, limits.NewPerRank))
+				assert.Assert(t, plan.PeakAfter <= plan.PeakBefore)
+				assert.Equal(t, plan.Transfers, loadsOf(t, m, plan.Map, limits.MaxLayerTransfers))
 				m = plan.Map
 			}
 		})
@@ -80,11 +80,11 @@
 func TestRapidEvensAGroupInTwoMaps(t *testing.T) {
 	s := shapes()["16 ranks"]
 	load := skewedLoad(s, rand.New(rand.NewPCG(1, 2)))
-	limits := btexpert.RapidLimits{NewPerRank: 2, Gain: 0.005, Rounds: 60}
-	first := btexpert.Rapid(btexpert.InTurn(s), load, limits)
-	second := btexpert.Rapid(first.Map, load, limits)
-	t.Logf("peak over mean: %.2f, %.2f, %.2f; loads %d, %d", first.Before, first.After, second.After, first.Loads, second.Loads)
-	assert.Assert(t, second.After < 1.15)
+	limits := btexpert.FastLimits{MaxLayerTransfers: 2, TransferCost: 0.005, MaxChanges: 60}
+	first := btexpert.FastRebalance(btexpert.SingleReplica(s), load, limits)
+	second := btexpert.FastRebalance(first.Map, load, limits)
+	t.Logf("peak over mean: %.2f, %.2f, %.2f; loads %d, %d", first.PeakBefore, first.PeakAfter, second.PeakAfter, first.Transfers, second.Transfers)
+	assert.Assert(t, second.PeakAfter < 1.15)
 }
 
 func TestRapidRelievesASlowRank(t *testing.T) {
@@ -96,14 +96,14 @@
 			load[l][e] = 100
 		}
 	}
-	limits := btexpert.RapidLimits{NewPerRank: 2, Gain: 0.005, Rounds: 60, Pace: make([]float64, s.Ranks)}
-	limits.Pace[3] = 4
-	m := btexpert.InTurn(s)
-	first := btexpert.Rapid(m, load, limits)
-	second := btexpert.Rapid(first.Map, load, limits)
-	t.Logf("peak over mean: %.2f, %.2f, %.2f; loads %d, %d", first.Before, first.After, second.After, first.Loads, second.Loads)
-	assert.Assert(t, first.Before > 3.5)
-	assert.Assert(t, second.After < 1.5)
+	limits := btexpert.FastLimits{MaxLayerTransfers: 2, TransferCost: 0.005, MaxChanges: 60, Slowness: make([]float64, s.Ranks)}
+	limits.Slowness[3] = 4
+	m := btexpert.SingleReplica(s)
+	first := btexpert.FastRebalance(m, load, limits)
+	second := btexpert.FastRebalance(first.Map, load, limits)
+	t.Logf("peak over mean: %.2f, %.2f, %.2f; loads %d, %d", first.PeakBefore, first.PeakAfter, second.PeakAfter, first.Transfers, second.Transfers)
+	assert.Assert(t, first.PeakBefore > 3.5)
+	assert.Assert(t, second.PeakAfter < 1.5)
 }
 
 func TestRapidLeavesAnEvenMapAlone(t *testing.T) {
@@ -115,22 +115,22 @@
 			load[l][e] = 100
 		}
 	}
-	plan := btexpert.Rapid(btexpert.InTurn(s), load, btexpert.RapidLimits{NewPerRank: 2, Gain: 0.01, Rounds: 60})
-	assert.Equal(t, plan.Loads, 0)
+	plan := btexpert.FastRebalance(btexpert.SingleReplica(s), load, btexpert.FastLimits{MaxLayerTransfers: 2, TransferCost: 0.01, MaxChanges: 60})
+	assert.Equal(t, plan.Transfers, 0)
 }
 
 func BenchmarkRapid(b *testing.B) {
 	for name, s := range shapes() {
 		b.Run(name, func(b *testing.B) {
 			load := skewedLoad(s, rand.New(rand.NewPCG(1, 2)))
-			m := btexpert.InTurn(s)
-			limits := btexpert.RapidLimits{NewPerRank: 1, Gain: 0.01, Rounds: 40}
-			var plan btexpert.RapidPlan
+			m := btexpert.SingleReplica(s)
+			limits := btexpert.FastLimits{MaxLayerTransfers: 1, TransferCost: 0.01, MaxChanges: 40}
+			var plan btexpert.FastPlan
 			for b.Loop() {
-				plan = btexpert.Rapid(m, load, limits)
+				plan = btexpert.FastRebalance(m, load, limits)
 			}
-			b.ReportMetric(plan.After, "peak/mean")
-			b.ReportMetric(float64(plan.Loads), "loads")
+			b.ReportMetric(plan.PeakAfter, "peak/mean")
+			b.ReportMetric(float64(plan.Transfers), "loads")
 		})
 	}
 }
--- a/core/btexpert/route_test.go
+++ b/core/btexpert/route_test.go
@@ -165,9 +165,9 @@
 // settledMap returns a map that the incremental planner found for the load.
 func settledMap(speeds btexpert.Speeds) btexpert.Map {
 	q := btexpert.Problem{
-		Map:    btexpert.Uniform(today),
-		Demand: btexpert.Demand{Load: zipf(today), Speeds: speeds},
-		Terms:  btexpert.NewTerms(faellesrum, storeRate, switchStall),
+		Map:       btexpert.Uniform(today),
+		Demand:    btexpert.Demand{Load: zipf(today), Speeds: speeds},
+		CostModel: btexpert.NewCostModel(faellesrum, storeRate, switchStall),
 	}
 	return btexpert.Incremental{}.Plan(q).Map
 }
--- a/core/btexpert/settings.go
+++ b/core/btexpert/settings.go
@@ -11,8 +11,8 @@
 	Stall time.Duration `toml:"stall"`
 	// Margin is how many times the price a gain must be.
 	Margin float64 `toml:"margin"`
-	// LeastGain is the share of the step time that a change must save.
-	LeastGain float64 `toml:"least_gain"`
+	// MinGain is the share of the step time that a change must save.
+	MinGain float64 `toml:"least_gain"`
 	// Reports is how many reports of step times are averaged before and after a
 	// change.
 	Reports int `toml:"reports"`
@@ -30,7 +30,7 @@
 		StoreRate: 200e6,
 		Stall:     50 * time.Millisecond,
 		Margin:    1.2,
-		LeastGain: 0.005,
+		MinGain:   0.005,
 		Reports:   5,
 		MissShare: 0.5,
 		Misses:    2,
--- a/core/btexpert/tables_test.go
+++ b/core/btexpert/tables_test.go
@@ -129,9 +129,9 @@
 	}
 	a.last = a.now
 	plan := a.planner.Plan(btexpert.Problem{
-		Map:    a.inForce,
-		Demand: btexpert.Demand{Load: a.counter.Load(), Speeds: btexpert.EvenSpeeds(a.inForce.Shape.Ranks)},
-		Terms:  btexpert.NewTerms(himal, storeRate, switchStall),
+		Map:       a.inForce,
+		Demand:    btexpert.Demand{Load: a.counter.Load(), Speeds: btexpert.EvenSpeeds(a.inForce.Shape.Ranks)},
+		CostModel: btexpert.NewCostModel(himal, storeRate, switchStall),
 	})
 	if plan.After == plan.Before {
 		return nil
--- a/core/btexpert/trust.go
+++ b/core/btexpert/trust.go
@@ -49,7 +49,7 @@
 	t.caution = min(t.caution*2, largestCaution)
 	detail := fmt.Sprintf("%d predictions in a row missed by more than %.0f%%: a change must now gain %.0f times as much",
 		t.misses, 100*t.settings.MissShare, t.caution)
-	return []Effect{Explain{Reason: ExplainCareful, Detail: detail}}
+	return []Effect{Explain{Reason: ExplainPredictionsMissed, Detail: detail}}
 }
 
 // pass lets time heal.
@@ -74,5 +74,5 @@
 	if !t.careful() {
 		detail = cause + ": back to the normal threshold"
 	}
-	return []Effect{Explain{Reason: ExplainTrusting, Detail: detail}}
+	return []Effect{Explain{Reason: ExplainPredictionsHold, Detail: detail}}
 }
--- a/io/btrank/lead.go
+++ b/io/btrank/lead.go
@@ -229,7 +229,7 @@
 	if reason != "" {
 		if now.Sub(l.planned) > time.Second {
 			l.planned = now
-			l.log.Info("map kept", "reason", reason, "version", version, "peak", plan.Before, "planned_peak", plan.After, "loads", plan.Loads, "strain", l.planner.strain)
+			l.log.Info("map kept", "reason", reason, "version", version, "peak", plan.PeakBefore, "planned_peak", plan.PeakAfter, "loads", plan.Transfers, "strain", l.planner.strain)
 		}
 		return
 	}
@@ -240,7 +240,7 @@
 	}
 	l.planned = now
 	l.planner.begun(version, next, plan)
-	l.log.Info("map round begun", "version", next, "before", version, "epoch", l.machine.Epoch(), "peak", plan.Before, "planned_peak", plan.After, "loads", plan.Loads, "strain", l.planner.strain, "holder", holder, "ballot", l.machine.Ballot())
+	l.log.Info("map round begun", "version", next, "before", version, "epoch", l.machine.Epoch(), "peak", plan.PeakBefore, "planned_peak", plan.PeakAfter, "loads", plan.Transfers, "strain", l.planner.strain, "holder", holder, "ballot", l.machine.Ballot())
 }
 
 // holder chooses the rank that is to hold the group: the first after the own one
--- a/io/btrank/maps.go
+++ b/io/btrank/maps.go
@@ -50,7 +50,7 @@
 	if v != 0 || !found || a.state.Size == 0 {
 		return nil, false
 	}
-	return btexpert.InTurn(shapeOf(group, a.state.Size)).Layers, true
+	return btexpert.SingleReplica(shapeOf(group, a.state.Size)).Layers, true
 }
 
 // changesBetween lists what differs between two maps of one shape.
--- a/io/btrank/planner.go
+++ b/io/btrank/planner.go
@@ -46,20 +46,20 @@
 // planner knows the experts in demand and the map in force.
 type planner struct {
 	size    int
-	choices btexpert.Choices
+	choices btexpert.Activations
 	held    []Held
 	known   []bool
 	// next is the map of the round under way, changes what differs in it from
 	// the version base.
-	next    *btexpert.RapidPlan
+	next    *btexpert.FastPlan
 	base    btround.Version
 	changes []Change
 	version btround.Version
 	failed  time.Time
-	holds   btexpert.HoldBudget
+	holds   btexpert.StallBudget
 	// strains remembers how near answers came to what callers are promised; strain
 	// is the worst of late.
-	strains btexpert.StrainMemory
+	strains btexpert.PeakStrain
 	strain  float64
 	// formed is when the group formed.
 	formed time.Time
@@ -74,7 +74,7 @@
 	p.held = make([]Held, size)
 	p.known = make([]bool, size)
 	p.next = nil
-	p.choices.Formed(now)
+	p.choices.Resume(now)
 }
 
 // count takes choices of experts in.
@@ -106,36 +106,36 @@
 
 // plan returns a better map, or why the one in force stays. Strain is how near the
 // last answers came to what callers are promised.
-func (p *planner) plan(now time.Time, g *btcatalog.Group, pace []float64, version btround.Version, strain float64) (btexpert.RapidPlan, string) {
+func (p *planner) plan(now time.Time, g *btcatalog.Group, pace []float64, version btround.Version, strain float64) (btexpert.FastPlan, string) {
 	size := len(pace)
 	if now.Sub(p.failed) < failedPause {
-		return btexpert.RapidPlan{}, keepPause
+		return btexpert.FastPlan{}, keepPause
 	}
 	if !p.holds.Allows(now) {
-		return btexpert.RapidPlan{}, keepHeld
+		return btexpert.FastPlan{}, keepHeld
 	}
 	shape := shapeOf(g, size)
 	load, total := p.choices.Load(g.Layers, g.Experts)
 	if shape.Validate() != nil || load == nil {
-		return btexpert.RapidPlan{}, keepNoShape
+		return btexpert.FastPlan{}, keepNoShape
 	}
 	m, found := p.inForce(shape, version)
 	if !found {
-		return btexpert.RapidPlan{}, keepNoMap
+		return btexpert.FastPlan{}, keepNoMap
 	}
 	if total < leastCounts*float64(g.Layers*g.Experts) {
-		return btexpert.RapidPlan{}, keepNoCounts
+		return btexpert.FastPlan{}, keepNoCounts
 	}
 	p.strain = p.worst(now, strain)
-	caution := btexpert.Caution(p.strain)
-	plan := btexpert.Rapid(m, load, btexpert.RapidLimits{
-		NewPerRank: g.NewPerMap,
-		Gain:       caution * loadGain(g),
-		Rounds:     planRounds,
-		RankLoads:  rankLoads(g),
-		Pace:       pace,
+	caution := btexpert.PriceFactor(p.strain)
+	plan := btexpert.FastRebalance(m, load, btexpert.FastLimits{
+		MaxLayerTransfers: g.NewPerMap,
+		TransferCost:      caution * loadGain(g),
+		MaxChanges:        planRounds,
+		MaxRankTransfers:  rankLoads(g),
+		Slowness:          pace,
 	})
-	if plan.Before-plan.After < leastGain*caution {
+	if plan.PeakBefore-plan.PeakAfter < leastGain*caution {
 		return plan, keepSmallGain
 	}
 	return plan, ""
@@ -166,7 +166,7 @@
 // which takes half a second in which each step lasts twice as long.
 func (p *planner) inForce(s btexpert.Shape, version btround.Version) (btexpert.Map, bool) {
 	if version == 0 {
-		return btexpert.InTurn(s), true
+		return btexpert.SingleReplica(s), true
 	}
 	m := btexpert.Map{Shape: s, Layers: make([]btexpert.Layer, s.Layers)}
 	for l := range m.Layers {
@@ -184,7 +184,7 @@
 }
 
 // begun notes the map of a round.
-func (p *planner) begun(before, v btround.Version, plan btexpert.RapidPlan) {
+func (p *planner) begun(before, v btround.Version, plan btexpert.FastPlan) {
 	p.version = v
 	p.next = &plan
 	p.base = before
@@ -214,7 +214,7 @@
 
 // ended takes the outcome of a round in: a map that is in force is known.
 func (p *planner) ended(now time.Time, o btround.Outcome) {
-	p.holds.Held(now, o.HeldFor)
+	p.holds.Record(now, o.HeldFor)
 	if !o.Switched {
 		p.failed = now
 		p.next = nil
@@ -241,5 +241,5 @@
 	if now.Sub(p.formed) < settleTime {
 		return max(strain, 1)
 	}
-	return p.strains.Worst(now, strain)
+	return p.strains.Observe(now, strain)
 }
