--- a/core/btexpert/choices_test.go
+++ b/core/btexpert/activations_test.go
@@ -11,28 +11,29 @@
 	"bilberrytide/core/btexpert"
 )
 
-// chosen turns a load into the choices that a group's ranks tell of.
-func chosen(load btexpert.Load) []byte {
-	var choices []byte
+// activationsOf converts a load into the activations that a group's ranks report.
+func activationsOf(load btexpert.Load) []byte {
+	var activations []byte
 	for _, layer := range load {
 		most := slices.Max(layer)
 		for _, v := range layer {
-			choices = append(choices, byte(1+254*v/most))
+			activations = append(activations, byte(1+254*v/most))
 		}
 	}
-	return choices
+	return activations
 }
 
-// A group of 72 ranks is down for four seconds. With the first states heard it gets a
-// map for what was in demand before, in place of steps of twice the length until new
-// choices are heard.
-func TestTheFirstMapAfterAnOutageFollowsTheDemandBefore(t *testing.T) {
+// Guards against planning the first map after an outage without the earlier demand,
+// which leaves steps at twice their length until new activations are reported. A
+// group of 72 ranks is down for four seconds, and Resume must keep the weight of
+// what was counted before.
+func TestActivationsKeepTheirWeightOverAnOutage(t *testing.T) {
 	shape := btexpert.Shape{Ranks: 72, Layers: 12, Experts: 144, Slots: 3, ExpertBytes: 1}
 	load := skewedLoad(shape, rand.New(rand.NewPCG(3, 3)))
 	now := time.Unix(1000, 0)
 	var c btexpert.Activations
 	for range 10 {
-		c.Add(now, chosen(load), 1)
+		c.Add(now, activationsOf(load), 1)
 		now = now.Add(200 * time.Millisecond)
 	}
 	now = now.Add(4 * time.Second)
@@ -41,16 +42,16 @@
 	assert.Assert(t, total > 0)
 	plan := btexpert.FastRebalance(btexpert.SingleReplica(shape), known, btexpert.FastLimits{MaxLayerTransfers: 2, TransferCost: 0.01, MaxChanges: 60})
 	assert.Assert(t, plan.PeakAfter < 0.7*plan.PeakBefore, "%.2f to %.2f", plan.PeakBefore, plan.PeakAfter)
-	// Without the news that the group has formed, the first choices that come after it
-	// are all that counts.
-	var forgets btexpert.Activations
-	forgets.Add(now.Add(-4*time.Second), chosen(load), 1)
-	forgets.Add(now, make([]byte, shape.Layers*shape.Experts), 1)
-	_, total = forgets.Load(shape.Layers, shape.Experts)
+	// Without Resume, the weights from before the outage have decayed to nothing
+	// when the first activations arrive.
+	var withoutResume btexpert.Activations
+	withoutResume.Add(now.Add(-4*time.Second), activationsOf(load), 1)
+	withoutResume.Add(now, make([]byte, shape.Layers*shape.Experts), 1)
+	_, total = withoutResume.Load(shape.Layers, shape.Experts)
 	assert.Assert(t, total < 1, "%.1f", total)
 }
 
-func TestChoicesLoseWeight(t *testing.T) {
+func TestActivationsDecay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var c btexpert.Activations
 	c.Add(now, []byte{100, 0}, 1)
--- a/core/btexpert/anytime.go
+++ b/core/btexpert/anytime.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// EvaluationTime is the time that one tried change of a layer is charged
-	// with, so that a plan's computing cost doesn't depend on a clock.
+	// EvaluationTime is the time charged for evaluating one change of a layer. It
+	// is fixed so that a plan's computing cost doesn't depend on a clock.
 	EvaluationTime = 500 * time.Nanosecond
-	// ComputePrice is the price of a second of computing in seconds of transfer:
-	// a node may spend 3.3% of a core on control, so a second of computing takes
+	// ComputePrice is the price of a second of computing in seconds of transfer: a
+	// host may spend 3.3% of a core on control, so a second of computing takes up
 	// thirty seconds of that.
 	ComputePrice = 30
-	// restarts is how many disturbed descents are judged together.
+	// restarts is how many perturbed descents are evaluated before the search
+	// decides whether to go on.
 	restarts = 8
-	// disturbances is how many random swaps precede a descent.
-	disturbances = 2
+	// perturbations is how many random changes precede a descent.
+	perturbations = 2
 )
 
-// Anytime goes on from the incremental plan by iterated local search: it
-// disturbs a layer, descends again, and keeps what is worth more. It gives way
-// to the incremental plan as soon as computing costs more than it gains.
+// Anytime improves the incremental plan by iterated local search: it perturbs a
+// layer, descends again, and keeps the layer with the larger net gain. It stops as
+// soon as computing costs more than it gains.
 //
 // The rule is that of Bridi et al., "A CP Scheduler for High-Performance
 // Computers", whose optimiser is bounded by its own overhead.
 type Anytime struct {
-	// Seed makes the random choices repeatable.
+	// Seed is the seed of the random choices.
 	Seed uint64
 }
 
@@ -45,63 +46,64 @@
 		if sum(p.Demand.Load[l]) == 0 {
 			continue
 		}
-		n := layerClimb{
-			valuation: v,
-			search:    newLayerSearch(p.Map.Shape, layers[l], p.Demand.layer(l)),
-			from:      p.Map.Layers[l],
-			price:     computePrice(p.CostModel),
-			random:    random,
+		n := iteratedSearch{
+			valuation:       v,
+			search:          newLayerSearch(p.Map.Shape, layers[l], p.Demand.layer(l)),
+			from:            p.Map.Layers[l],
+			evaluationPrice: evaluationPrice(p.CostModel),
+			random:          random,
 		}
 		layers[l] = n.run(layers[l])
 		evaluations += n.search.evaluations
 	}
-	return planOf(p, layers, evaluations)
+	return newPlan(p, layers, evaluations)
 }
 
-// computePrice returns the price of one evaluation.
-func computePrice(t CostModel) float64 {
+// evaluationPrice returns the price of one evaluation.
+func evaluationPrice(t CostModel) float64 {
 	return t.MoveWeight * ComputePrice * EvaluationTime.Seconds()
 }
 
-// layerClimb is the iterated local search of one layer.
-type layerClimb struct {
+// iteratedSearch is the iterated local search of one layer.
+type iteratedSearch struct {
 	valuation valuation
 	search    *layerSearch
-	// from is the layer map in force, against which loads are counted.
-	from   Layer
-	price  float64
-	random *rand.Rand
+	// from is the layer map in force, from which transfers are counted.
+	from            Layer
+	evaluationPrice float64
+	random          *rand.Rand
 }
 
-// run returns the layer map worth most. It stops after the first round of
-// restarts that cost more than it gained.
-func (n layerClimb) run(best Layer) Layer {
+// run returns the layer map with the largest net gain. It stops after the first
+// round of restarts that cost more than it gained.
+func (n iteratedSearch) run(best Layer) Layer {
 	y := n.search
 	before := layerTime(y, n.from)
-	bestWorth := n.worthOf(before, best)
+	bestGain := n.netGainOf(before, best)
 	for {
 		started := y.evaluations
-		startWorth := bestWorth
+		startGain := bestGain
 		for range restarts {
 			y.reset(best)
-			n.disturb()
-			found := n.climb()
-			if worth := n.worthOf(before, found); worth > bestWorth {
-				bestWorth = worth
+			n.perturb()
+			found := n.descend()
+			if gain := n.netGainOf(before, found); gain > bestGain {
+				bestGain = gain
 				best = found
 			}
 		}
-		if bestWorth-startWorth <= n.price*float64(y.evaluations-started) {
+		if bestGain-startGain <= n.evaluationPrice*float64(y.evaluations-started) {
 			return best
 		}
 	}
 }
 
-// climb descends without regard to the price and returns where it ends.
-func (n layerClimb) climb() Layer {
+// descend applies the best change until none helps, whatever the price of its
+// transfers, and returns the final layer map.
+func (n iteratedSearch) descend() Layer {
 	y := n.search
 	for range maxChanges(y.shape) {
-		c, found := y.best()
+		c, found := y.bestChange()
 		if !found {
 			break
 		}
@@ -110,14 +112,14 @@
 	return y.layer()
 }
 
-// disturb makes random changes that take work from one of the slowest ranks.
-func (n layerClimb) disturb() {
+// perturb makes random changes that take work from one of the slowest ranks.
+func (n iteratedSearch) perturb() {
 	y := n.search
-	for range disturbances {
+	for range perturbations {
 		hot := y.hottest(hotRanks)
 		var picked change
 		seen := 0
-		y.changes(hot[n.random.IntN(len(hot))], func(c change) {
+		y.visitChanges(hot[n.random.IntN(len(hot))], func(c change) {
 			seen++
 			if n.random.IntN(seen) == 0 {
 				picked = c
@@ -129,11 +131,12 @@
 	}
 }
 
-func (n layerClimb) worthOf(before float64, layer Layer) float64 {
-	return n.valuation.worth(before, layerTime(n.search, layer), loadsBetween(n.from, layer))
+func (n iteratedSearch) netGainOf(before float64, layer Layer) float64 {
+	return n.valuation.netGain(before, layerTime(n.search, layer), transfersBetween(n.from, layer))
 }
 
+// layerTime moves the search to a layer map and returns how long the layer takes.
 func layerTime(y *layerSearch, layer Layer) float64 {
 	y.reset(layer)
-	return y.lasting()
+	return y.duration()
 }
--- a/core/btexpert/bttrace/bttrace.go
+++ b/core/btexpert/bttrace/bttrace.go
@@ -1,5 +1,5 @@
-// Package bttrace makes seeded traces of expert popularity and rank speed, as
-// a stand-in engine plays them and as placement is measured on.
+// Package bttrace generates seeded traces of expert popularity and rank speed, for
+// stand-in engines and for measurements of placement.
 package bttrace
 
 import (
@@ -11,18 +11,18 @@
 	"bilberrytide/core/btexpert"
 )
 
-// Kind names what a trace does.
+// Kind is the kind of a trace.
 type Kind string
 
 // The kinds of traces.
 const (
-	// Steady has one Zipf popularity throughout.
+	// Steady has one constant Zipf popularity.
 	Steady Kind = "steady"
 	// Drift changes slowly between request mixes in the course of a day.
 	Drift Kind = "drift"
-	// Shift changes to another popularity at once, halfway.
+	// Shift changes to another popularity abruptly, at half of its length.
 	Shift Kind = "shift"
-	// Straggler is Steady with a slow rank in the second and third quarter.
+	// Straggler is Steady with a slow rank in the second and third quarters.
 	Straggler Kind = "straggler"
 	// StragglerDrift is Drift with that slow rank.
 	StragglerDrift Kind = "straggler_drift"
@@ -32,21 +32,21 @@
 func Kinds() []Kind { return []Kind{Steady, Drift, Shift, Straggler, StragglerDrift} }
 
 const (
-	// mixes is how many kinds of requests follow one another during a day.
-	mixes = 4
-	day   = 24 * time.Hour
-	// slowRank is the straggler, and slowSpeed its speed.
+	// mixCount is how many request mixes follow one another in a day.
+	mixCount = 4
+	day      = 24 * time.Hour
+	// slowRank is the rank of the straggler, and slowSpeed its speed.
 	slowRank  = 5
 	slowSpeed = 0.6
 )
 
-// Trace is the popularity and speed of one group over time.
+// Trace is the popularity of experts and the speed of ranks of one group over time.
 type Trace struct {
 	shape  btexpert.Shape
 	kind   Kind
 	length time.Duration
 	// popularity holds each mix's shares by layer and expert.
-	popularity [mixes]btexpert.Load
+	popularity [mixCount]btexpert.Load
 	random     *rand.Rand
 }
 
@@ -72,8 +72,8 @@
 func (t *Trace) zipf(exponent float64) []float64 {
 	shares := make([]float64, t.shape.Experts)
 	total := 0.0
-	for place, e := range t.random.Perm(t.shape.Experts) {
-		shares[e] = math.Pow(float64(place+1), -exponent)
+	for position, e := range t.random.Perm(t.shape.Experts) {
+		shares[e] = math.Pow(float64(position+1), -exponent)
 		total += shares[e]
 	}
 	for e := range shares {
@@ -82,8 +82,8 @@
 	return shares
 }
 
-// Popularity returns the share of each expert in its layer's tokens at a time
-// since the start.
+// Popularity returns each expert's share of its layer's tokens at a time since the
+// start.
 func (t *Trace) Popularity(at time.Duration) btexpert.Load {
 	weights := t.weights(at)
 	load := make(btexpert.Load, t.shape.Layers)
@@ -99,24 +99,25 @@
 }
 
 // weights returns each mix's share of the requests.
-func (t *Trace) weights(at time.Duration) [mixes]float64 {
+func (t *Trace) weights(at time.Duration) [mixCount]float64 {
 	switch t.kind {
 	case Drift, StragglerDrift:
 		return dayWeights(at)
 	case Shift:
 		if at >= t.length/2 {
-			return [mixes]float64{1: 1}
+			return [mixCount]float64{1: 1}
 		}
 	}
-	return [mixes]float64{0: 1}
+	return [mixCount]float64{0: 1}
 }
 
-// dayWeights lets each mix peak once a day, one after the other.
-func dayWeights(at time.Duration) [mixes]float64 {
-	var weights [mixes]float64
+// dayWeights returns weights by which each mix peaks once a day, one after the
+// other.
+func dayWeights(at time.Duration) [mixCount]float64 {
+	var weights [mixCount]float64
 	for k := range weights {
-		phase := at.Seconds()/day.Seconds() - float64(k)/mixes
-		weights[k] = (1 + math.Cos(2*math.Pi*phase)) / mixes
+		phase := at.Seconds()/day.Seconds() - float64(k)/mixCount
+		weights[k] = (1 + math.Cos(2*math.Pi*phase)) / mixCount
 	}
 	return weights
 }
@@ -131,9 +132,8 @@
 	return speeds
 }
 
-// Burst returns the popularity with each expert's share off by chance, by a
-// normal relative error of the given standard deviation, as requests of a kind
-// come in bursts.
+// Burst returns the popularity with a normal relative error of the given standard
+// deviation in each expert's share, as requests of a kind come in bursts.
 func (t *Trace) Burst(popularity btexpert.Load, deviation float64) btexpert.Load {
 	burst := make(btexpert.Load, len(popularity))
 	for l, shares := range popularity {
@@ -145,8 +145,8 @@
 	return burst
 }
 
-// Sample draws the tokens that each expert serves in one step of so many
-// expert calls a layer: the expected number and Poisson noise, by its normal
+// Sample draws the tokens that each expert serves in one step with the given number
+// of expert calls per layer: the expected number plus Poisson noise, in its normal
 // approximation.
 func (t *Trace) Sample(popularity btexpert.Load, calls float64) btexpert.Counts {
 	counts := make(btexpert.Counts, len(popularity))
@@ -161,11 +161,11 @@
 	return counts
 }
 
-// PerfectSplit returns each rank's fractions of the experts of one layer under
-// a split that is perfect for the popularity: the experts' loads laid end to
-// end and cut by the ranks' speeds (McNaughton's wrap-around rule). No map is
-// this good, as replicas share evenly; it is the reference for steps whose
-// noise no map can foresee.
+// PerfectSplit returns each rank's fractions of the experts of one layer under a
+// split that is perfect for the popularity: the experts' loads are laid end to end
+// and cut by the ranks' speeds (McNaughton's wrap-around rule). No map reaches it,
+// as replicas share load evenly. It is the reference for steps whose noise no map
+// can foresee.
 func PerfectSplit(popularity []float64, speeds btexpert.Speeds) [][]Fraction {
 	ranks := make([][]Fraction, len(speeds))
 	total := 0.0
@@ -192,7 +192,7 @@
 	return ranks
 }
 
-// Fraction is the part of an expert's tokens that a rank serves.
+// Fraction is the share of an expert's tokens that a rank serves.
 type Fraction struct {
 	Expert btexpert.Expert
 	Share  float64
--- a/core/btexpert/bttrace/bttrace_test.go
+++ b/core/btexpert/bttrace/bttrace_test.go
@@ -13,7 +13,7 @@
 
 var shape = btexpert.Shape{Ranks: 8, Layers: 2, Experts: 16, Slots: 3, ExpertBytes: 1}
 
-func TestTracesAreSeededAndDoWhatTheyAreNamedFor(t *testing.T) {
+func TestTracesAreSeededAndMatchTheirKind(t *testing.T) {
 	for _, kind := range bttrace.Kinds() {
 		a := bttrace.New(kind, shape, 1, time.Hour, 1)
 		b := bttrace.New(kind, shape, 1, time.Hour, 1)
@@ -26,9 +26,9 @@
 			}
 			assert.Assert(t, math.Abs(total-1) < 1e-9, "%s: shares sum to %v", kind, total)
 		}
-		moved := early[0][0] != a.Popularity(40 * time.Minute)[0][0]
-		still := kind == bttrace.Steady || kind == bttrace.Straggler
-		assert.Equal(t, moved, !still, "%s", kind)
+		changed := early[0][0] != a.Popularity(40 * time.Minute)[0][0]
+		constant := kind == bttrace.Steady || kind == bttrace.Straggler
+		assert.Equal(t, changed, !constant, "%s", kind)
 		slow := a.Speeds(30 * time.Minute)[5] < 1
 		assert.Equal(t, slow, kind == bttrace.Straggler || kind == bttrace.StragglerDrift, "%s", kind)
 	}
--- a/core/btexpert/capacity_test.go
+++ b/core/btexpert/capacity_test.go
@@ -10,9 +10,9 @@
 	"bilberrytide/core/btexpert"
 )
 
-// BenchmarkPlanSizes measures one search of the planner in use from a uniform
-// map under Zipf popularity, by ranks and by layers, with slots for twice the
-// experts at least.
+// BenchmarkPlanSizes measures one search of Incremental, the planner in use, from a
+// uniform map under Zipf popularity, by ranks and by layers. Each shape has slots
+// for at least two replicas per expert.
 func BenchmarkPlanSizes(b *testing.B) {
 	for _, s := range []btexpert.Shape{
 		{Ranks: 8, Layers: 8, Slots: 16}, {Ranks: 16, Layers: 8, Slots: 8}, {Ranks: 32, Layers: 8, Slots: 4}, {Ranks: 64, Layers: 8, Slots: 2},
--- a/core/btexpert/caution.go
+++ b/core/btexpert/caution.go
@@ -1,56 +1,80 @@
 package btexpert
 
 import (
+	"fmt"
 	"math"
 	"time"
 )
 
 const (
-	// restStrain is the strain up to which maps rest: a group that a change of
-	// demand makes half as slow again still answers in time. followStrain is that
-	// from which on they follow the load as fast as they can.
-	restStrain   = 0.5
-	followStrain = 0.9
-	// restPrice is how many times its price a change has to be worth at rest. Twice as
-	// much, with rest up to 0.6, served nobody better where answers are early (mean
-	// worth of five simulated days 0.778 both) and cost 0.02 and 0.03 where steps are
-	// near the allowed pause.
-	restPrice = 10.0
+	// maxCaution bounds the factor.
+	maxCaution = 16
+	// minMiss is the difference in skew up to which a forecast never counts as
+	// missed, as measured steps vary by that much.
+	minMiss = 0.01
+	// easeHorizons is the number of horizons without a further miss after which the
+	// factor halves, since a planner too cautious to act gets no evidence. The wait
+	// doubles with each further miss in a row, up to maxEaseDoublings times.
+	easeHorizons     = 4
+	maxEaseDoublings = 5
 )
 
-// PeakStrain remembers the worst strain of late. What an even group is worth shows
-// when other experts come into demand: the steps are longer at once, for as long as
-// it takes to follow, and a group that was even before is less uneven then.
-type PeakStrain struct {
-	worst float64
-	at    time.Time
+// caution tracks how well forecasts match measurements. Its factor multiplies the
+// gain that a change needs: 1 at first, doubled by misses, halved by hits and over
+// time.
+type caution struct {
+	settings  Settings
+	factor    float64
+	misses    int
+	changedAt time.Time
 }
 
-// strainHalfLife is the time in which a strain loses half of its weight: about two
-// changes of demand as they are seen in high load, 3 to 4 s apart.
-const strainHalfLife = 8 * time.Second
-
-// Observe takes a strain in and returns the worst of late. All from which on maps
-// follow as fast as they can counts as the same, so that an outage is not remembered
-// for longer than a change of demand. Where nothing is remembered yet the group is
-// taken for strained.
-func (m *PeakStrain) Observe(now time.Time, strain float64) float64 {
-	if m.at.IsZero() {
-		strain = followStrain
+func newCaution(s Settings) caution { return caution{settings: s, factor: 1} }
+
+// raised reports whether the factor is above 1.
+func (t *caution) raised() bool { return t.factor > 1 }
+
+// observe compares the expected with the measured fall of the skew. It returns an
+// explanation if the factor changes.
+func (t *caution) observe(now time.Time, expected, measured float64) []Effect {
+	miss := math.Abs(measured - expected)
+	if miss <= max(t.settings.MissShare*math.Abs(expected), minMiss) {
+		t.misses = 0
+		return t.halve(now, "a prediction held")
+	}
+	t.misses++
+	t.changedAt = now
+	if t.misses < t.settings.Misses {
+		return nil
 	}
-	m.worst *= math.Exp2(-float64(now.Sub(m.at)) / float64(strainHalfLife))
-	m.at = now
-	m.worst = max(m.worst, min(strain, followStrain))
-	return m.worst
+	t.factor = min(t.factor*2, maxCaution)
+	detail := fmt.Sprintf("%d predictions in a row missed by more than %.0f%%: a change must now gain %.0f times as much",
+		t.misses, 100*t.settings.MissShare, t.factor)
+	return []Effect{Explain{Reason: ExplainPredictionsMissed, Detail: detail}}
 }
 
-// PriceFactor returns how many times its price, and how many times the least gain, a
-// change of a map has to be worth where answers take the given share of the time that
-// callers are promised. An even group is of no use to callers whose answers are early
-// all the same, and of much where steps are as long as they may be. On a simulated calm
-// day with ten changes of demand, first events after 0.4 of the promised time, 50 maps
-// moved 420 GB with caution and 171 maps 1,518 GB without, and as many were in time.
-func PriceFactor(strain float64) float64 {
-	far := (followStrain - strain) / (followStrain - restStrain)
-	return math.Pow(restPrice, min(max(far, 0), 1))
+// expire halves the factor if it was last changed, or a forecast last missed, long
+// enough ago.
+func (t *caution) expire(now time.Time, horizon time.Duration) []Effect {
+	if !t.raised() {
+		return nil
+	}
+	doublings := min(t.misses-t.settings.Misses, maxEaseDoublings)
+	if now.Sub(t.changedAt) < horizon*easeHorizons<<max(doublings, 0) {
+		return nil
+	}
+	return t.halve(now, "no further miss for a while")
+}
+
+func (t *caution) halve(now time.Time, cause string) []Effect {
+	if !t.raised() {
+		return nil
+	}
+	t.factor /= 2
+	t.changedAt = now
+	detail := fmt.Sprintf("%s: a change must gain %.0f times as much", cause, t.factor)
+	if !t.raised() {
+		detail = cause + ": back to the normal threshold"
+	}
+	return []Effect{Explain{Reason: ExplainPredictionsHold, Detail: detail}}
 }
--- a/core/btexpert/consider.go
+++ b/core/btexpert/consider.go
@@ -8,43 +8,45 @@
 	"bilberrytide/core/btrequest"
 )
 
-// silentHorizons is after how many horizons a proposal counts as unanswered.
-const silentHorizons = 2
+// switchTimeoutHorizons is the number of horizons after which a proposal counts as
+// unanswered.
+const switchTimeoutHorizons = 2
 
-// tick considers the map if an interval has passed.
+// tick considers the map if an interval has passed since it was last considered.
 func (d *Decider[P]) tick() []Effect {
-	if !d.ready {
+	if !d.configured {
 		return keep(KeepNoPolicy, "the bundle names no valid group and placement")
 	}
 	interval := d.placement.Interval.Duration
-	if !d.considered.IsZero() && d.now.Sub(d.considered) < interval {
+	if !d.lastConsidered.IsZero() && d.now.Sub(d.lastConsidered) < interval {
 		return nil
 	}
-	d.considered = d.now
+	d.lastConsidered = d.now
 	d.overdue = false
 	horizon := d.placement.Horizon.Duration
-	effects := d.trust.pass(d.now, horizon)
-	if d.pending != nil && d.now.Sub(d.pending.since) > silentHorizons*horizon {
-		effects = append(effects, d.giveUp("the switch was never answered")...)
+	effects := d.caution.expire(d.now, horizon)
+	if d.pending != nil && d.now.Sub(d.pending.since) > switchTimeoutHorizons*horizon {
+		effects = append(effects, d.abandonSwitch("the switch was never answered")...)
 	}
 	if reason, detail := d.blocked(); reason != "" {
-		d.overdue = d.recovering() && (reason == KeepMeasuring || reason == KeepSwitching)
+		d.overdue = d.recentlyShifted() && (reason == KeepMeasuring || reason == KeepSwitching)
 		return append(effects, keep(reason, detail)...)
 	}
 	return append(effects, d.consider())
 }
 
-// recovering tells whether the popularity has changed at once within a horizon.
-func (d *Decider[P]) recovering() bool {
-	return !d.jumped.IsZero() && d.now.Sub(d.jumped) < d.placement.Horizon.Duration
+// recentlyShifted reports whether the popularity has shifted abruptly within the
+// last horizon.
+func (d *Decider[P]) recentlyShifted() bool {
+	return !d.shiftedAt.IsZero() && d.now.Sub(d.shiftedAt) < d.placement.Horizon.Duration
 }
 
-// makeUp lets the next tick consider the map where a consideration had to wait
-// for the last change, so that after a sudden change of popularity the wait isn't
-// rounded up to whole intervals.
-func (d *Decider[P]) makeUp() {
+// reconsiderIfOverdue lets the next tick consider the map if the last consideration
+// was blocked by a change under way, so that after an abrupt shift of popularity
+// the wait isn't rounded up to whole intervals.
+func (d *Decider[P]) reconsiderIfOverdue() {
 	if d.overdue {
-		d.considered = time.Time{}
+		d.lastConsidered = time.Time{}
 	}
 }
 
@@ -52,7 +54,7 @@
 	return []Effect{Keep{Reason: reason, Detail: detail}}
 }
 
-// blocked returns why no change can be considered now, or nothing.
+// blocked returns why no change can be considered now, or an empty reason.
 func (d *Decider[P]) blocked() (btrequest.Reason, string) {
 	switch {
 	case !d.mapKnown:
@@ -69,87 +71,90 @@
 		return KeepCountsOld, fmt.Sprintf("last counted %v ago", d.now.Sub(d.counter.Last()))
 	case d.storeDown:
 		return KeepStoreDown, "the weight store is down"
-	case d.trial != nil:
+	case d.measuring != nil:
 		return KeepMeasuring, "the effect of the last change is being measured"
-	case d.now.Before(d.notBefore):
-		return KeepBackoff, fmt.Sprintf("until %v", d.notBefore.Format(time.RFC3339))
+	case d.now.Before(d.backoffUntil):
+		return KeepBackoff, fmt.Sprintf("until %v", d.backoffUntil.Format(time.RFC3339))
 	}
 	return "", ""
 }
 
-// consider looks for a better map and weighs it.
+// consider searches for a better map and proposes it if it pays.
 func (d *Decider[P]) consider() Effect {
 	p := Problem{
 		Map:       d.inForce,
-		Demand:    d.demand(perRank(d.counter.Load(), d.shape)),
+		Demand:    d.demand(normaliseLoad(d.counter.Load(), d.shape)),
 		CostModel: NewCostModel(d.placement, d.storeRate, d.stall),
 	}
-	least := max(d.settings.MinGain, d.noise.share(d.counter.kept)) * d.trust.caution
+	minGain := max(d.settings.MinGain, d.noise.minDetectableGain(d.counter.retained)) * d.caution.factor
 	step := StepTime(p.Map, p.Demand)
 	bound := Bound(p.Map.Shape, p.Demand)
-	if 1-bound/step < least {
+	if 1-bound/step < minGain {
 		return Keep{Reason: KeepEven, Detail: fmt.Sprintf("a perfect split would save %.2f%%", 100*(1-bound/step))}
 	}
 	if p.CostModel.TransferSeconds(p.Map.Shape.ExpertBytes) >= p.CostModel.Horizon.Seconds() {
 		detail := fmt.Sprintf("one expert takes %.0f s at %.0f bytes/s", p.CostModel.TransferSeconds(p.Map.Shape.ExpertBytes), p.CostModel.StoreRate)
 		return Keep{Reason: KeepStoreSlow, Detail: detail}
 	}
-	now := refusal{at: d.now, excess: step/bound - 1, rate: d.storeRate, caution: d.trust.caution}
-	if !d.refused.outdated(now, least, refusalIntervals*d.placement.Interval.Duration) {
+	now := refusal{at: d.now, excess: step/bound - 1, rate: d.storeRate, caution: d.caution.factor}
+	if !d.lastRefusal.expired(now, minGain, refusalIntervals*d.placement.Interval.Duration) {
 		detail := fmt.Sprintf("%.2f%% over the bound, hardly more than when a change was last refused", 100*now.excess)
 		return Keep{Reason: KeepUnchanged, Detail: detail}
 	}
-	effect := d.weigh(p, d.planner.Plan(p), least)
+	effect := d.assess(p, d.planner.Plan(p), minGain)
 	if _, kept := effect.(Keep); kept {
-		d.refused = now
+		d.lastRefusal = now
 	}
 	return effect
 }
 
-// refusal is the state in which a change was last refused. The search is the
-// costly part of a consideration, and is spared while little has changed.
+// refusal is the state in which a change was last refused. The search is the costly
+// part of a consideration, and is skipped while little has changed since.
 type refusal struct {
 	at time.Time
-	// excess is the share by which the step exceeded its bound.
+	// excess is the share by which the step time exceeded its bound.
 	excess  float64
 	rate    float64
 	caution float64
 }
 
-// refusalIntervals is how many intervals a refusal holds at most.
+// refusalIntervals is the number of intervals after which a refusal expires at the
+// latest.
 const refusalIntervals = 6
 
-// fasterStore is how many times faster a store must be to be worth a new search.
-const fasterStore = 1.1
+// minRateIncrease is the factor by which the store's rate must exceed that of the
+// refusal for a new search.
+const minRateIncrease = 1.1
 
-// outdated tells whether a new search may find what the refused one didn't.
-func (f refusal) outdated(now refusal, least float64, lifetime time.Duration) bool {
-	return f.at.IsZero() || now.at.Sub(f.at) >= lifetime || now.excess >= f.excess+least/2 ||
-		now.rate > f.rate*fasterStore || now.caution < f.caution
+// expired reports whether a new search may find a change that the refused one
+// didn't.
+func (f refusal) expired(now refusal, minGain float64, maxAge time.Duration) bool {
+	return f.at.IsZero() || now.at.Sub(f.at) >= maxAge || now.excess >= f.excess+minGain/2 ||
+		now.rate > f.rate*minRateIncrease || now.caution < f.caution
 }
 
-// weigh proposes the plan if it pays.
-func (d *Decider[P]) weigh(p Problem, plan Plan, least float64) Effect {
+// assess proposes the plan if it pays.
+func (d *Decider[P]) assess(p Problem, plan Plan, minGain float64) Effect {
 	if plan.After >= plan.Before {
 		return Keep{Reason: KeepNoBetter, Detail: d.planner.Name() + " found no map that is worth its moves"}
 	}
-	if !d.valid(plan.Map) {
+	if !d.assertValid(plan.Map) {
 		return Keep{Reason: KeepInvariant, Detail: d.planner.Name() + " planned an invalid map"}
 	}
 	forecast := forecastOf(p, plan)
-	threshold := forecast.Price * d.settings.Margin * d.trust.caution
-	detail := fmt.Sprintf("%d moves: gain %.2f, price %.2f, caution %.0f", len(plan.Moves), forecast.Gain, forecast.Price, d.trust.caution)
+	threshold := forecast.Price * d.settings.Margin * d.caution.factor
+	detail := fmt.Sprintf("%d moves: gain %.2f, price %.2f, caution %.0f", len(plan.Moves), forecast.Gain, forecast.Price, d.caution.factor)
 	refuse := func(reason btrequest.Reason) Effect {
 		return Keep{Reason: reason, Detail: detail, Forecast: forecast}
 	}
 	switch {
 	case forecast.Transfer >= p.CostModel.Horizon:
 		return refuse(KeepStoreSlow)
-	case plan.GainShare() < least:
+	case plan.GainShare() < minGain:
 		return refuse(KeepSmallGain)
 	case forecast.Gain <= threshold:
 		return refuse(KeepPrice)
-	case !d.pays(p, plan, threshold):
+	case !d.assertPays(p, plan, threshold):
 		return refuse(KeepInvariant)
 	}
 	d.pending = &pending{
@@ -159,14 +164,14 @@
 		speeds:   p.Demand.Speeds,
 	}
 	cause := CauseDrift
-	if !slices.Equal(p.Demand.Speeds, d.planned) {
+	if !slices.Equal(p.Demand.Speeds, d.plannedSpeeds) {
 		cause = CauseStraggler
 	}
 	return Propose{Map: plan.Map, Moves: plan.Moves, Forecast: forecast, Cause: cause}
 }
 
-// valid asserts that a planned map is valid for the group.
-func (d *Decider[P]) valid(m Map) bool {
+// assertValid asserts that a planned map is valid for the group.
+func (d *Decider[P]) assertValid(m Map) bool {
 	err := m.Validate()
 	if err == nil {
 		err = m.Fits(d.shape)
@@ -174,8 +179,9 @@
 	return d.asserter.That(err == nil, InvariantMapValid, "%v", err)
 }
 
-// pays asserts, from the maps alone, that a plan beats its price and threshold.
-func (d *Decider[P]) pays(p Problem, plan Plan, threshold float64) bool {
+// assertPays asserts, by the model computed from the maps alone, that a plan beats
+// its price and its threshold.
+func (d *Decider[P]) assertPays(p Problem, plan Plan, threshold float64) bool {
 	bytes := Diff(p.Map, plan.Map).Bytes(d.shape)
 	gain := p.CostModel.Gain(StepTime(p.Map, p.Demand), StepTime(plan.Map, p.Demand), bytes)
 	return d.asserter.That(gain > threshold && gain > p.CostModel.Price(bytes), InvariantPlanPays,
@@ -196,5 +202,6 @@
 	}
 }
 
-// maxTransfer bounds a stated transfer time, as a slow store's could overflow.
+// maxTransfer bounds the transfer time of a forecast, as a slow store's could
+// overflow.
 const maxTransfer = 365 * 24 * time.Hour
--- a/core/btexpert/counter.go
+++ b/core/btexpert/counter.go
@@ -8,66 +8,67 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Reasons for which counts are ignored or clipped.
+// Reasons for ignoring or clipping counts.
 const (
-	// ReasonCountsShape is for counts of other layers or experts than the group's.
+	// ReasonCountsShape means that the counts are of other layers or experts than
+	// the group's.
 	ReasonCountsShape btrequest.Reason = "counts_shape"
-	// ReasonCountsGap is for a layer without counts; its earlier ones stay.
+	// ReasonCountsGap means that a layer has no counts; its earlier ones stay.
 	ReasonCountsGap btrequest.Reason = "counts_gap"
-	// ReasonCountsZero is for a layer whose counts are all zero.
+	// ReasonCountsZero means that all counts of a layer are zero.
 	ReasonCountsZero btrequest.Reason = "counts_zero"
-	// ReasonCountsNegative is for a layer with a count below zero.
+	// ReasonCountsNegative means that a layer has a count below zero.
 	ReasonCountsNegative btrequest.Reason = "counts_negative"
-	// ReasonCountsAbsurd is for a layer with a count above MaxCount.
+	// ReasonCountsAbsurd means that a layer has a count above MaxCount.
 	ReasonCountsAbsurd btrequest.Reason = "counts_absurd"
-	// ReasonCountsClipped is for a count that jumped above what its layer served
-	// before by more than clipFactor, and was cut to that.
+	// ReasonCountsClipped means that a count exceeded the tokens that its layer
+	// served before by more than clipFactor, and was reduced to that limit.
 	ReasonCountsClipped btrequest.Reason = "counts_clipped"
 )
 
-// MaxCount is the largest count believed for one expert in one report: more
-// tokens than the largest planned fleet serves in a week.
+// MaxCount is the largest count accepted for one expert in one report: more tokens
+// than the largest planned fleet serves in a week.
 const MaxCount = int64(1) << 40
 
 const (
-	// clipFactor bounds a count by this many times the tokens that the whole
-	// layer served in the report before, taken to the same length of time.
+	// clipFactor bounds a count by this many times the tokens that the whole layer
+	// served in the last report, scaled to the same length of time.
 	clipFactor = 100
-	// clipMinimum is a count that is never clipped, so that a group that wakes
-	// from idleness isn't held back.
-	clipMinimum = 1 << 16
+	// minClipLimit is a count that is never clipped, so that a group that was idle
+	// can become busy at once.
+	minClipLimit = 1 << 16
 )
 
-// Counts are the tokens that each expert served since the report before, by
-// layer and expert. An empty layer stands for a gap.
+// Counts are the tokens that each expert served since the last report, by layer and
+// expert. An empty layer is a gap.
 type Counts [][]int64
 
-// CountError tells what was ignored or clipped in one layer of a report.
+// CountError reports what was ignored or clipped in one layer of a report.
 type CountError struct {
 	Reason btrequest.Reason
 	Layer  int
 	Detail string
 }
 
-// Error describes what was ignored.
+// Error returns the reason, the layer and the detail.
 func (e CountError) Error() string {
 	return fmt.Sprintf("%s: layer %d: %s", e.Reason, e.Layer, e.Detail)
 }
 
-// Counter sums the counts of a group, halving the weight of earlier ones every
-// half-life. It is rebuilt from the engines' next reports after a restart.
+// Counter sums the counts of a group with exponential decay. After a restart it is
+// rebuilt from the engines' next reports.
 type Counter struct {
 	shape    Shape
 	halfLife time.Duration
 	last     time.Time
 	load     Load
-	// recent holds each layer's last good report.
+	// recent holds each layer's last valid report.
 	recent Load
-	// kept is the part of its weight that the load kept at the last report.
-	kept float64
-	// before holds each layer's tokens per second in its last good report.
-	before []float64
-	filled []bool
+	// retained is the share of its weight that the load kept at the last report.
+	retained float64
+	// lastRate holds each layer's tokens per second in its last valid report.
+	lastRate []float64
+	counted  []bool
 }
 
 // NewCounter returns an empty counter for a valid shape. A half-life below one
@@ -78,8 +79,8 @@
 		halfLife: max(halfLife, time.Second),
 		load:     make(Load, s.Layers),
 		recent:   make(Load, s.Layers),
-		before:   make([]float64, s.Layers),
-		filled:   make([]bool, s.Layers),
+		lastRate: make([]float64, s.Layers),
+		counted:  make([]bool, s.Layers),
 	}
 	for l := range c.load {
 		c.load[l] = make([]float64, s.Experts)
@@ -88,16 +89,16 @@
 	return c
 }
 
-// Add takes a report in. It returns an error for each layer that was ignored,
-// whose earlier counts stay in force undecayed, or clipped. A time before the
-// last one counts as the last one.
+// Add adds a report. It returns an error for each layer that was clipped or
+// ignored; the earlier counts of an ignored layer stay, undecayed. A time before
+// the last one counts as the last one.
 func (c *Counter) Add(now time.Time, counts Counts) []CountError {
 	if len(counts) != c.shape.Layers {
 		detail := fmt.Sprintf("%d layers, want %d", len(counts), c.shape.Layers)
 		return []CountError{{Reason: ReasonCountsShape, Detail: detail}}
 	}
 	elapsed := c.advance(now)
-	c.kept = math.Exp2(-elapsed.Seconds() / c.halfLife.Seconds())
+	c.retained = math.Exp2(-elapsed.Seconds() / c.halfLife.Seconds())
 	var errs []CountError
 	for l, experts := range counts {
 		if err := c.check(l, experts); err != nil {
@@ -111,9 +112,9 @@
 	return errs
 }
 
-// Complete tells whether every layer has been counted at least once.
+// Complete reports whether every layer has been counted at least once.
 func (c *Counter) Complete() bool {
-	for _, filled := range c.filled {
+	for _, filled := range c.counted {
 		if !filled {
 			return false
 		}
@@ -127,10 +128,11 @@
 // Load returns a copy of the decayed counts.
 func (c *Counter) Load() Load { return c.load.clone() }
 
-// Recent returns a copy of each layer's last good report.
+// Recent returns a copy of each layer's last valid report.
 func (c *Counter) Recent() Load { return c.recent.clone() }
 
-// DiscardHistory drops all but each layer's last good report, as after a sudden change.
+// DiscardHistory drops all but each layer's last valid report, as after an abrupt
+// shift of popularity.
 func (c *Counter) DiscardHistory() { c.load = c.recent.clone() }
 
 func (c *Counter) advance(now time.Time) time.Duration {
@@ -170,8 +172,8 @@
 
 func (c *Counter) addLayer(l int, experts []int64, elapsed time.Duration) *CountError {
 	limit := math.Inf(1)
-	if c.filled[l] && elapsed > 0 && c.before[l] > 0 {
-		limit = max(clipMinimum, clipFactor*c.before[l]*elapsed.Seconds())
+	if c.counted[l] && elapsed > 0 && c.lastRate[l] > 0 {
+		limit = max(minClipLimit, clipFactor*c.lastRate[l]*elapsed.Seconds())
 	}
 	total := 0.0
 	var clipped *CountError
@@ -182,13 +184,13 @@
 			clipped = &CountError{Reason: ReasonCountsClipped, Layer: l, Detail: detail}
 			v = limit
 		}
-		c.load[l][e] = c.load[l][e]*c.kept + v
+		c.load[l][e] = c.load[l][e]*c.retained + v
 		c.recent[l][e] = v
 		total += v
 	}
 	if elapsed > 0 {
-		c.before[l] = total / elapsed.Seconds()
+		c.lastRate[l] = total / elapsed.Seconds()
 	}
-	c.filled[l] = true
+	c.counted[l] = true
 	return clipped
 }
--- a/core/btexpert/counter_test.go
+++ b/core/btexpert/counter_test.go
@@ -12,23 +12,23 @@
 	"bilberrytide/core/btrequest"
 )
 
-var pair = btexpert.Shape{Ranks: 1, Layers: 2, Experts: 2, Slots: 2, ExpertBytes: 1}
+var tinyShape = btexpert.Shape{Ranks: 1, Layers: 2, Experts: 2, Slots: 2, ExpertBytes: 1}
 
-func TestCounterHalvesAndAdds(t *testing.T) {
-	c := btexpert.NewCounter(pair, time.Minute)
+func TestCounterDecaysAndAdds(t *testing.T) {
+	c := btexpert.NewCounter(tinyShape, time.Minute)
 	assert.Assert(t, !c.Complete())
 	assert.Equal(t, len(c.Add(epoch, btexpert.Counts{{8, 0}, {4, 4}})), 0)
 	assert.Equal(t, len(c.Add(epoch.Add(time.Minute), btexpert.Counts{{0, 2}, {1, 1}})), 0)
 	assert.Assert(t, c.Complete())
 	assert.DeepEqual(t, c.Load(), btexpert.Load{{4, 2}, {3, 3}})
 	assert.DeepEqual(t, c.Recent(), btexpert.Load{{0, 2}, {1, 1}})
-	// A clock that goes back ages nothing.
+	// A clock that goes back decays nothing.
 	c.Add(epoch, btexpert.Counts{{1, 0}, {1, 0}})
 	assert.DeepEqual(t, c.Load(), btexpert.Load{{5, 2}, {4, 3}})
 	assert.Equal(t, c.Last(), epoch.Add(time.Minute))
 }
 
-func TestCounterNamesWhatItIgnores(t *testing.T) {
+func TestCounterReportsIgnoredCounts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		counts btexpert.Counts
@@ -44,7 +44,7 @@
 		{"clipped", btexpert.Counts{{2, 2}, {1 << 30, 5}}, btexpert.ReasonCountsClipped, btexpert.Load{{6, 6}, {4 + 1<<16, 9}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			counter := btexpert.NewCounter(pair, time.Minute)
+			counter := btexpert.NewCounter(tinyShape, time.Minute)
 			counter.Add(epoch.Add(-time.Minute), btexpert.Counts{{8, 8}, {8, 8}})
 			counter.Add(epoch, btexpert.Counts{{4, 4}, {4, 4}})
 			errs := counter.Add(epoch.Add(time.Minute), c.counts)
@@ -58,13 +58,13 @@
 
 func TestCounterStaysFiniteOnAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := btexpert.NewCounter(pair, time.Duration(rapid.Int64().Draw(t, "half-life")))
+		c := btexpert.NewCounter(tinyShape, time.Duration(rapid.Int64().Draw(t, "half-life")))
 		now := epoch
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			now = now.Add(time.Duration(rapid.Int64Range(-1e12, 1e17).Draw(t, "elapsed")))
 			counts := rapid.SliceOfN(rapid.SliceOfN(rapid.Int64(), 0, 3), 0, 3).Draw(t, "counts")
 			c.Add(now, counts)
-			assert.NilError(t, c.Load().Validate(pair))
+			assert.NilError(t, c.Load().Validate(tinyShape))
 		}
 	})
 }
--- a/core/btexpert/decider.go
+++ b/core/btexpert/decider.go
@@ -13,73 +13,73 @@
 
 // Invariants asserted by a Decider.
 const (
-	// InvariantMapValid holds that every proposed map is valid for the group.
+	// InvariantMapValid requires that every proposed map is valid for the group.
 	InvariantMapValid btassert.Name = "map_valid"
-	// InvariantPlanPays holds that every proposed map, by the model computed
-	// anew, gains more than its price and its threshold.
+	// InvariantPlanPays requires that every proposed map, by the recomputed model,
+	// gains more than its price and its threshold.
 	InvariantPlanPays btassert.Name = "plan_pays"
 )
 
-// maxStep is the longest step time believed.
+// maxStep is the longest step time accepted in a report.
 const maxStep = time.Minute
 
-// Decider decides when a group changes its expert map, and to which. It
-// considers the map at each interval of the bundle's policy and proposes a
-// change only where the planner's gain over the horizon beats the price by a
-// margin. It then waits for the outcome, measures the effect, and becomes more
-// careful when its predictions miss.
+// Decider decides when a group changes its expert map, and to which one. It
+// considers the map at each interval of the bundle's policy and proposes a change
+// only if the planner's gain over the horizon beats the price by a margin. It then
+// waits for the outcome, measures the effect, and raises its threshold if forecasts
+// miss.
 //
-// The type parameter is the planner that looks for better maps.
+// The type parameter is the planner that searches for better maps.
 type Decider[P Planner] struct {
 	planner  P
 	settings Settings
 	asserter *btassert.Asserter
 
-	now       time.Time
-	shape     Shape
-	placement btbundle.Placement
-	ready     bool
-	inForce   Map
-	mapKnown  bool
-	missing   []Rank
-	storeRate float64
-	storeDown bool
-	stall     time.Duration
-
-	counter *Counter
-	recent  Load
-	meter   *SpeedMeter
-	noise   noiseMeter
-	floor   floorMeter
-	skews   skewWindow
-	trust   trust
-
-	considered time.Time
-	// jumped is when the popularity last changed at once, and overdue tells that
-	// since then the last consideration had to wait for a change.
-	jumped    time.Time
-	overdue   bool
-	notBefore time.Time
-	failures  int
-	pending   *pending
-	trial     *trial
-	planned   Speeds
-	refused   refusal
+	now        time.Time
+	shape      Shape
+	placement  btbundle.Placement
+	configured bool
+	inForce    Map
+	mapKnown   bool
+	missing    []Rank
+	storeRate  float64
+	storeDown  bool
+	stall      time.Duration
+
+	counter    *Counter
+	recentLoad Load
+	speedMeter *SpeedMeter
+	noise      noiseMeter
+	floor      floorMeter
+	skews      skewWindow
+	caution    caution
+
+	lastConsidered time.Time
+	// shiftedAt is when the popularity last shifted abruptly. overdue reports that
+	// the last consideration after that was blocked by a change under way.
+	shiftedAt      time.Time
+	overdue        bool
+	backoffUntil   time.Time
+	switchFailures int
+	pending        *pending
+	measuring      *measurement
+	plannedSpeeds  Speeds
+	lastRefusal    refusal
 }
 
 var _ btcore.Machine[Event, Effect] = (*Decider[Incremental])(nil)
 
-// pending is a proposal that waits for its outcome.
+// pending is a proposed map whose outcome is not known yet.
 type pending struct {
 	digest   btbundle.Digest
 	forecast Forecast
 	since    time.Time
 	speeds   Speeds
-	// outdated tells that the popularity has changed at once since.
+	// outdated reports that the popularity has shifted abruptly since the proposal.
 	outdated bool
 }
 
-// NewDecider returns a decider that knows nothing of its group yet.
+// NewDecider returns a decider that has no policy, map or counts yet.
 func NewDecider[P Planner](planner P, s Settings, a *btassert.Asserter) *Decider[P] {
 	return &Decider[P]{
 		planner:   planner,
@@ -87,12 +87,13 @@
 		asserter:  a,
 		storeRate: s.StoreRate,
 		stall:     s.Stall,
-		trust:     newTrust(s),
+		caution:   newCaution(s),
 		skews:     skewWindow{size: max(s.Reports, 1)},
 	}
 }
 
-// Step takes in one event.
+// Step handles one event and returns its effects. A time before the latest one
+// counts as the latest one.
 func (d *Decider[P]) Step(now time.Time, event Event) []Effect {
 	if now.After(d.now) {
 		d.now = now
@@ -119,15 +120,16 @@
 	return nil
 }
 
-// Caution returns how many times its normal threshold a change must gain now.
-func (d *Decider[P]) Caution() float64 { return d.trust.caution }
+// Caution returns the factor on the gain that a change needs: 1 normally, more
+// after missed forecasts.
+func (d *Decider[P]) Caution() float64 { return d.caution.factor }
 
-// Speeds returns the measured speeds of the ranks, nil before the policy.
+// Speeds returns the measured speeds of the ranks, or nil before the first policy.
 func (d *Decider[P]) Speeds() Speeds {
-	if d.meter == nil {
+	if d.speedMeter == nil {
 		return nil
 	}
-	return d.meter.Speeds()
+	return d.speedMeter.Speeds()
 }
 
 func explain(reason btrequest.Reason, detail string) []Effect {
@@ -142,28 +144,28 @@
 	if err != nil {
 		return explain(ExplainPolicy, err.Error())
 	}
-	changed := !d.ready || shape != d.shape
+	changed := !d.configured || shape != d.shape
 	d.placement = e.Placement
-	d.refused = refusal{}
+	d.lastRefusal = refusal{}
 	d.shape = shape
-	d.ready = true
+	d.configured = true
 	if changed {
 		d.counter = NewCounter(shape, halfLife(e.Placement))
 		d.noise = noiseMeter{}
 		d.floor = floorMeter{}
-		d.recent = nil
-		d.meter = NewSpeedMeter(shape)
-		d.planned = EvenSpeeds(shape.Ranks)
+		d.recentLoad = nil
+		d.speedMeter = NewSpeedMeter(shape)
+		d.plannedSpeeds = EvenSpeeds(shape.Ranks)
 		d.skews.clear()
 		d.pending = nil
-		d.trial = nil
+		d.measuring = nil
 	}
 	d.counter.halfLife = halfLife(e.Placement)
 	return nil
 }
 
 // halfLivesInHorizon sets how fast counts decay: a map that is to be good for a
-// horizon is made from the last quarter of one.
+// horizon is planned from about the last quarter of one.
 const halfLivesInHorizon = 4
 
 func halfLife(p btbundle.Placement) time.Duration {
@@ -199,15 +201,15 @@
 	known := d.mapKnown
 	d.inForce = e.Map
 	d.mapKnown = true
-	d.refused = refusal{}
-	before := d.skews.mean()
-	full := d.skews.full()
+	d.lastRefusal = refusal{}
+	skewBefore := d.skews.mean()
+	hasBaseline := d.skews.full()
 	d.skews.clear()
-	d.trial = nil
+	d.measuring = nil
 	p := d.pending
 	d.pending = nil
 	if p != nil && p.digest == digest {
-		d.startTrial(*p, e.Stall, before, full)
+		d.startMeasurement(*p, e.Stall, skewBefore, hasBaseline)
 		return nil
 	}
 	if known {
@@ -217,54 +219,55 @@
 }
 
 func (d *Decider[P]) addCounts(e CountsReported) []Effect {
-	if !d.ready {
+	if !d.configured {
 		return nil
 	}
 	var decayed Load
 	if d.counter.Complete() {
-		decayed = perRank(d.counter.Load(), d.shape)
+		decayed = normaliseLoad(d.counter.Load(), d.shape)
 	}
 	var effects []Effect
 	for _, err := range d.counter.Add(d.now, e.Counts) {
 		effects = append(effects, Explain{Reason: err.Reason, Detail: err.Error()})
 	}
 	if d.counter.Complete() {
-		d.recent = perRank(d.counter.Recent(), d.shape)
+		d.recentLoad = normaliseLoad(d.counter.Recent(), d.shape)
 	}
 	if decayed != nil && d.mapKnown && d.inForce.Shape == d.shape {
-		d.noise.observe(d.inForce, d.recent, decayed)
+		d.noise.observe(d.inForce, d.recentLoad, decayed)
 	}
-	if d.noise.jumped() {
-		d.forgetPast()
-		effects = append(effects, Explain{Reason: ExplainJump, Detail: "experts' popularity changed at once: earlier counts are forgotten, and a change made for them isn't measured"})
+	if d.noise.shifted() {
+		d.discardHistory()
+		effects = append(effects, Explain{Reason: ExplainShift, Detail: "experts' popularity changed at once: earlier counts are forgotten, and a change made for them isn't measured"})
 	}
 	return effects
 }
 
-// forgetPast drops what rests on the popularity before a sudden change, and
-// lets the next tick consider the map. The forecast of a change made for that
-// popularity can't be held against what comes, so its measuring is no reason to
-// wait.
-func (d *Decider[P]) forgetPast() {
-	d.noise.jumps = 0
-	d.jumped = d.now
+// discardHistory drops the state that rests on the popularity before an abrupt
+// shift, and lets the next tick consider the map. The forecast of a change made for
+// the earlier popularity can't be compared with later steps, so its measurement
+// ends and no longer blocks the next change.
+func (d *Decider[P]) discardHistory() {
+	d.noise.outliers = 0
+	d.shiftedAt = d.now
 	d.counter.DiscardHistory()
-	d.refused = refusal{}
-	d.trial = nil
+	d.lastRefusal = refusal{}
+	d.measuring = nil
 	if d.pending != nil {
 		d.pending.outdated = true
 	}
-	d.considered = time.Time{}
+	d.lastConsidered = time.Time{}
 }
 
-// demand returns what a load asks of the ranks, as far as has been measured.
+// demand returns the demand for a load, with the speeds, base and skew floor
+// measured so far.
 func (d *Decider[P]) demand(load Load) Demand {
-	return Demand{Load: load, Speeds: d.meter.Speeds(), Base: d.meter.Base(), SkewFloor: d.floor.value}
+	return Demand{Load: load, Speeds: d.speedMeter.Speeds(), Base: d.speedMeter.Base(), SkewFloor: d.floor.value}
 }
 
-// perRank scales each layer's load so that the mean rank has 1, which makes
-// layers with gaps comparable with the others.
-func perRank(load Load, s Shape) Load {
+// normaliseLoad scales each layer's load in place to a mean of 1 per rank, which
+// makes layers with gaps in their counts comparable with the others.
+func normaliseLoad(load Load, s Shape) Load {
 	for _, experts := range load {
 		scale := float64(s.Ranks) / sum(experts)
 		for e := range experts {
@@ -282,20 +285,20 @@
 		return explain(ExplainTimes, err.Error())
 	}
 	measured := measuredSkew(e)
-	experts := Demand{Load: d.recent, Speeds: EvenSpeeds(d.shape.Ranks)}
-	d.meter.ObserveSkew(measured, Skew(d.inForce, experts))
+	experts := Demand{Load: d.recentLoad, Speeds: EvenSpeeds(d.shape.Ranks)}
+	d.speedMeter.ObserveSkew(measured, Skew(d.inForce, experts))
 	var effects []Effect
-	for _, s := range d.meter.Observe(e.Ranks, RankTimes(d.inForce, experts)) {
+	for _, s := range d.speedMeter.Observe(e.Ranks, RankTimes(d.inForce, experts)) {
 		effects = append(effects, Explain{Reason: ExplainStraggler, Detail: s.String()})
 	}
 	d.skews.add(measured)
-	d.floor.observe(measured, d.inForce, d.demand(d.recent))
-	return append(effects, d.advanceTrial()...)
+	d.floor.observe(measured, d.inForce, d.demand(d.recentLoad))
+	return append(effects, d.advanceMeasurement()...)
 }
 
-// measurable tells whether step times can be held against a map and counts.
+// measurable reports whether step times can be compared with a map and counts.
 func (d *Decider[P]) measurable() bool {
-	return d.ready && d.mapKnown && d.inForce.Shape == d.shape && d.recent != nil
+	return d.configured && d.mapKnown && d.inForce.Shape == d.shape && d.recentLoad != nil
 }
 
 func checkTimes(e TimesReported, s Shape) error {
@@ -313,7 +316,8 @@
 	return nil
 }
 
-// measuredSkew returns the step over the mean rank's own time, minus one.
+// measuredSkew returns the step time over the mean of the ranks' own times, minus
+// one.
 func measuredSkew(e TimesReported) float64 {
 	total := time.Duration(0)
 	for _, t := range e.Ranks {
@@ -323,8 +327,9 @@
 	return e.Step.Seconds()/mean - 1
 }
 
-// slowStore is the share of the stated rate below which a store is reported.
-const slowStore = 0.5
+// slowStoreShare is the share of the stated rate below which a store is reported as
+// slow.
+const slowStoreShare = 0.5
 
 func (d *Decider[P]) setStore(e StoreReported) []Effect {
 	bad := math.IsNaN(e.Rate) || math.IsInf(e.Rate, 0) || e.Rate <= 0
@@ -332,7 +337,7 @@
 	if d.storeDown {
 		return nil
 	}
-	limit := slowStore * d.settings.StoreRate
+	limit := slowStoreShare * d.settings.StoreRate
 	wasSlow := d.storeRate < limit
 	d.storeRate = e.Rate
 	if e.Rate >= limit || wasSlow {
@@ -342,22 +347,25 @@
 	return explain(ExplainStore, detail)
 }
 
-const maxBackoff = 16
+// maxBackoffIntervals bounds the wait after a failed switch, in intervals of the
+// policy.
+const maxBackoffIntervals = 16
 
 func (d *Decider[P]) failSwitch(e SwitchFailed) []Effect {
 	if d.pending == nil || d.pending.digest != e.Digest {
 		return nil
 	}
-	return d.giveUp(string(e.Reason))
+	return d.abandonSwitch(string(e.Reason))
 }
 
-// giveUp ends a proposal without a switch and waits longer after each in a row.
-func (d *Decider[P]) giveUp(cause string) []Effect {
+// abandonSwitch ends a proposal that did not lead to a switch. The wait before the
+// next change doubles with each failure in a row.
+func (d *Decider[P]) abandonSwitch(cause string) []Effect {
 	d.pending = nil
-	wait := d.placement.Interval.Duration << min(d.failures, 4)
-	wait = min(wait, maxBackoff*d.placement.Interval.Duration)
-	d.failures++
-	d.notBefore = d.now.Add(wait)
+	wait := d.placement.Interval.Duration << min(d.switchFailures, 4)
+	wait = min(wait, maxBackoffIntervals*d.placement.Interval.Duration)
+	d.switchFailures++
+	d.backoffUntil = d.now.Add(wait)
 	detail := fmt.Sprintf("%s: no further change for %v", cause, wait)
 	return explain(ExplainSwitch, detail)
 }
--- a/core/btexpert/decider_test.go
+++ b/core/btexpert/decider_test.go
@@ -14,7 +14,7 @@
 	"bilberrytide/core/btrequest"
 )
 
-// fixture is a decider of a group whose load is uneven, ready to propose.
+// fixture is a decider that is ready to propose, for a group with an uneven load.
 type fixture struct {
 	d   *btexpert.Decider[btexpert.Incremental]
 	now time.Time
@@ -22,8 +22,8 @@
 }
 
 func newFixture(p btbundle.Placement) *fixture {
-	f := &fixture{d: newDecider(btexpert.Incremental{}), now: epoch, m: btexpert.Uniform(today)}
-	f.step(btexpert.PolicySet{Placement: p, Group: group(today)})
+	f := &fixture{d: newDecider(btexpert.Incremental{}), now: epoch, m: btexpert.Uniform(shape16)}
+	f.step(btexpert.PolicySet{Placement: p, Group: group(shape16)})
 	f.step(btexpert.MapInForce{Map: f.m})
 	f.count()
 	return f
@@ -32,7 +32,7 @@
 func (f *fixture) step(e btexpert.Event) []btexpert.Effect { return f.d.Step(f.now, e) }
 
 func (f *fixture) count() []btexpert.Effect {
-	return f.step(btexpert.CountsReported{Counts: unevenCounts(today)})
+	return f.step(btexpert.CountsReported{Counts: unevenCounts(shape16)})
 }
 
 func unevenCounts(s btexpert.Shape) btexpert.Counts {
@@ -53,7 +53,7 @@
 }
 
 func (f *fixture) report(skew float64) []btexpert.Effect {
-	e := btexpert.TimesReported{Step: seconds(meanStep.Seconds() * (1 + skew)), Ranks: make([]time.Duration, today.Ranks)}
+	e := btexpert.TimesReported{Step: seconds(meanStep.Seconds() * (1 + skew)), Ranks: make([]time.Duration, shape16.Ranks)}
 	for r := range e.Ranks {
 		e.Ranks[r] = meanStep
 	}
@@ -69,9 +69,9 @@
 	assert.DeepEqual(t, p.Moves, btexpert.Diff(f.m, p.Map))
 }
 
-func TestDeciderKeepsTheMapAndNamesTheReason(t *testing.T) {
+func TestDeciderKeepReasons(t *testing.T) {
 	t.Parallel()
-	other := today
+	other := shape16
 	other.Ranks = 17
 	for _, c := range []struct {
 		want  btrequest.Reason
@@ -82,7 +82,7 @@
 		{btexpert.KeepStoreSlow, btexpert.StoreReported{Rate: 1000}},
 		{btexpert.KeepRanksMissing, btexpert.RanksReported{Missing: []btexpert.Rank{3}}},
 		{btexpert.KeepMapShape, btexpert.PolicySet{Placement: himal, Group: group(other)}},
-		{btexpert.KeepPrice, btexpert.PolicySet{Placement: policy(0, 1, time.Second, time.Minute), Group: group(today)}},
+		{btexpert.KeepPrice, btexpert.PolicySet{Placement: policy(0, 1, time.Second, time.Minute), Group: group(shape16)}},
 	} {
 		t.Run(string(c.want), func(t *testing.T) {
 			f := newFixture(himal)
@@ -90,7 +90,8 @@
 			k, kept := f.tick().(btexpert.Keep)
 			assert.Assert(t, kept)
 			if c.want == btexpert.KeepPrice {
-				// Nothing is worth a move, so no better map is found either.
+				// With a skew weight of zero no move pays, so the search may find
+				// no better map either.
 				assert.Assert(t, k.Reason == c.want || k.Reason == btexpert.KeepNoBetter, k.Reason)
 				return
 			}
@@ -99,31 +100,31 @@
 	}
 	d := newDecider(btexpert.Incremental{})
 	assert.Equal(t, d.Step(epoch, btexpert.Tick{})[0].(btexpert.Keep).Reason, btexpert.KeepNoPolicy)
-	d.Step(epoch, btexpert.PolicySet{Placement: himal, Group: group(today)})
+	d.Step(epoch, btexpert.PolicySet{Placement: himal, Group: group(shape16)})
 	assert.Equal(t, d.Step(epoch, btexpert.Tick{})[0].(btexpert.Keep).Reason, btexpert.KeepNoMap)
-	d.Step(epoch, btexpert.MapInForce{Map: btexpert.Uniform(today)})
+	d.Step(epoch, btexpert.MapInForce{Map: btexpert.Uniform(shape16)})
 	assert.Equal(t, d.Step(epoch.Add(time.Minute), btexpert.Tick{})[0].(btexpert.Keep).Reason, btexpert.KeepCountsMissing)
 	f := newFixture(himal)
 	f.now = f.now.Add(time.Hour)
 	assert.Equal(t, f.tick().(btexpert.Keep).Reason, btexpert.KeepCountsOld)
 }
 
-func TestDeciderRefusesBadInputAndSaysSo(t *testing.T) {
+func TestDeciderRejectsInvalidInput(t *testing.T) {
 	t.Parallel()
-	broken := btexpert.Uniform(today)
+	broken := btexpert.Uniform(shape16)
 	broken.Layers = broken.Layers[1:]
-	tight := group(today)
-	tight.SlotsPerRank = 1
+	tooFewSlots := group(shape16)
+	tooFewSlots.SlotsPerRank = 1
 	for _, c := range []struct {
 		want  btrequest.Reason
 		event btexpert.Event
 	}{
 		{btexpert.ExplainMap, btexpert.MapInForce{Map: broken}},
-		{btexpert.ExplainPolicy, btexpert.PolicySet{Placement: himal, Group: tight}},
-		{btexpert.ExplainPolicy, btexpert.PolicySet{Placement: policy(-1, 1, time.Minute, time.Hour), Group: group(today)}},
-		{btexpert.ExplainTimes, btexpert.TimesReported{Step: meanStep, Ranks: make([]time.Duration, today.Ranks)}},
+		{btexpert.ExplainPolicy, btexpert.PolicySet{Placement: himal, Group: tooFewSlots}},
+		{btexpert.ExplainPolicy, btexpert.PolicySet{Placement: policy(-1, 1, time.Minute, time.Hour), Group: group(shape16)}},
+		{btexpert.ExplainTimes, btexpert.TimesReported{Step: meanStep, Ranks: make([]time.Duration, shape16.Ranks)}},
 		{btexpert.ExplainStore, btexpert.StoreReported{Rate: storeRate / 3}},
-		{btexpert.ReasonCountsGap, btexpert.CountsReported{Counts: make(btexpert.Counts, today.Layers)}},
+		{btexpert.ReasonCountsGap, btexpert.CountsReported{Counts: make(btexpert.Counts, shape16.Layers)}},
 	} {
 		f := newFixture(himal)
 		effects := f.step(c.event)
@@ -160,16 +161,16 @@
 	assert.Assert(t, again, "an unanswered proposal blocks for ever")
 }
 
-// An engine whose steps don't follow the model: the planner becomes careful, says
-// so, and recovers.
-func TestDeciderLosesAndRegainsTrust(t *testing.T) {
+// Steps here don't follow the model, so forecasts miss: the caution factor must
+// rise, be explained, and return to 1 after a while without further misses.
+func TestDeciderCautionRisesAndFalls(t *testing.T) {
 	t.Parallel()
 	f := newFixture(himal)
-	said := map[btrequest.Reason]int{}
+	explained := map[btrequest.Reason]int{}
 	note := func(effects []btexpert.Effect) {
 		for _, e := range effects {
 			if x, ok := e.(btexpert.Explain); ok {
-				said[x.Reason]++
+				explained[x.Reason]++
 			}
 		}
 	}
@@ -182,65 +183,67 @@
 		for range 6 {
 			note(f.report(2))
 		}
-		// Someone puts the uneven map back.
+		// Another process puts the uneven map back in force.
 		note(f.step(btexpert.MapInForce{Map: f.m}))
 	}
-	assert.Equal(t, said[btexpert.ExplainMeasured], 2)
-	assert.Equal(t, said[btexpert.ExplainForeignMap], 2)
-	assert.Equal(t, said[btexpert.ExplainPredictionsMissed], 1)
+	assert.Equal(t, explained[btexpert.ExplainMeasured], 2)
+	assert.Equal(t, explained[btexpert.ExplainForeignMap], 2)
+	assert.Equal(t, explained[btexpert.ExplainPredictionsMissed], 1)
 	assert.Equal(t, f.d.Caution(), 2.0)
 	for range 21 {
 		f.now = f.now.Add(time.Minute)
 		note(f.step(btexpert.Tick{}))
 	}
-	assert.Equal(t, said[btexpert.ExplainPredictionsHold], 1)
+	assert.Equal(t, explained[btexpert.ExplainPredictionsHold], 1)
 	assert.Equal(t, f.d.Caution(), 1.0)
 }
 
-// quick is a shape that the randomised runs of CI can afford.
-var quick = btexpert.Shape{Ranks: 8, Layers: 2, Experts: 32, Slots: 5, ExpertBytes: 44 << 20}
+// quickShape is small enough for the randomised runs of CI.
+var quickShape = btexpert.Shape{Ranks: 8, Layers: 2, Experts: 32, Slots: 5, ExpertBytes: 44 << 20}
 
-// steadySeeds are the seeds of the runs that prove that nothing flaps.
+// steadySeeds are the seeds of the runs that check that maps don't flap.
 var steadySeeds = []uint64{1, 2, 3}
 
+// Guards against flapping: under constant popularity, sampling noise in the counts
+// must not lead to moves in the second half of a run.
 func TestSteadyTraceSettles(t *testing.T) {
 	t.Parallel()
 	for _, p := range []btbundle.Placement{himal, faellesrum} {
 		for _, seed := range steadySeeds {
-			r := newRun(hoursQuick, quick, bttrace.Steady, seed, newDecider(btexpert.Incremental{}), p).play()
+			r := newTraceRun(lengthQuick, quickShape, bttrace.Steady, seed, newDecider(btexpert.Incremental{}), p).play()
 			assert.Assert(t, r.switches > 0, "seed %d: never acted", seed)
 			assert.Equal(t, r.lateMoves, 0, "seed %d: %d switches", seed, r.switches)
 		}
 	}
 }
 
-// The same run finds the flapping of a planner that takes whatever is better.
+// Checks that the run of TestSteadyTraceSettles can fail: a planner without
+// hysteresis, which takes any better map, must flap in it.
 func TestSteadyTraceFindsFlappingWithoutHysteresis(t *testing.T) {
 	t.Parallel()
-	// One of the seeds is enough to show that the run can find it.
+	// One seed is enough to show that the run detects flapping.
 	for _, seed := range steadySeeds[:1] {
-		naive := &always{
+		naive := &unconditionalRebalancer{
 			planner:  btexpert.Incremental{},
 			interval: himal.Interval.Duration,
 			halfLife: himal.Horizon.Duration / 4,
 		}
-		// A late move is the finding, so that the run may end with the first.
-		r := newRun(hoursQuick, quick, bttrace.Steady, seed, naive, himal)
+		// The run can end with the first late move, which shows the flapping.
+		r := newTraceRun(lengthQuick, quickShape, bttrace.Steady, seed, naive, himal)
 		r.playWhile(func() bool { return r.lateMoves == 0 })
 		assert.Assert(t, r.lateMoves > 0, "seed %d: the run can't find flapping", seed)
 	}
 }
 
-// Whatever comes in whatever order, the assertions hold (they panic here), each
-// consideration says what it did, and a proposal is made only to a whole group
-// with a store that is up.
+// Sends random events in any order. Assertions must hold (they panic here), and a
+// map may be proposed only while no rank is missing and the store is up.
 func TestDeciderUnderAnyEvents(t *testing.T) {
 	t.Parallel()
 	proposals := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := btexpert.Shape{Ranks: 4, Layers: 2, Experts: 6, Slots: 3, ExpertBytes: 1 << 20}
 		d := btexpert.NewDecider(btexpert.Incremental{}, btexpert.DefaultSettings(), btassert.New(btassert.Panic()))
-		a := anyEvents{shape: s, inForce: btexpert.Uniform(s), now: epoch}
+		a := eventGenerator{shape: s, inForce: btexpert.Uniform(s), now: epoch}
 		d.Step(epoch, btexpert.PolicySet{Placement: himal, Group: group(s)})
 		d.Step(epoch, btexpert.MapInForce{Map: a.inForce})
 		d.Step(epoch, btexpert.CountsReported{Counts: unevenCounts(s)})
@@ -260,8 +263,8 @@
 	t.Logf("%d proposals", proposals)
 }
 
-// anyEvents draws events for a decider, sensible and not.
-type anyEvents struct {
+// eventGenerator draws valid and invalid events for a decider.
+type eventGenerator struct {
 	now      time.Time
 	shape    btexpert.Shape
 	inForce  btexpert.Map
@@ -270,7 +273,7 @@
 	missing  bool
 }
 
-func (a *anyEvents) draw(t *rapid.T) btexpert.Event {
+func (a *eventGenerator) draw(t *rapid.T) btexpert.Event {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
 		weight := rapid.SampledFrom([]float64{-1, 0, 1, 8}).Draw(t, "weight")
@@ -304,35 +307,35 @@
 	return btexpert.Tick{}
 }
 
-// liar claims gains that its maps don't have.
-type liar struct {
-	spoil func(m btexpert.Map) btexpert.Map
+// faultyPlanner reports gains that its maps don't have.
+type faultyPlanner struct {
+	corrupt func(m btexpert.Map) btexpert.Map
 }
 
-func (liar) Name() string { return "liar" }
+func (faultyPlanner) Name() string { return "liar" }
 
-func (y liar) Plan(p btexpert.Problem) btexpert.Plan {
+func (y faultyPlanner) Plan(p btexpert.Problem) btexpert.Plan {
 	plan := btexpert.Static{}.Plan(p)
-	plan.Map = y.spoil(plan.Map)
+	plan.Map = y.corrupt(plan.Map)
 	plan.After = plan.Before / 2
 	return plan
 }
 
-func TestAssertionsStopALyingPlanner(t *testing.T) {
+func TestAssertionsRejectFaultyPlans(t *testing.T) {
 	for _, c := range []struct {
-		want  btassert.Name
-		spoil func(m btexpert.Map) btexpert.Map
+		want    btassert.Name
+		corrupt func(m btexpert.Map) btexpert.Map
 	}{
 		{btexpert.InvariantPlanPays, func(m btexpert.Map) btexpert.Map { return m }},
 		{btexpert.InvariantMapValid, func(m btexpert.Map) btexpert.Map { return btexpert.Map{Shape: m.Shape, Layers: m.Layers[1:]} }},
 	} {
 		var violated []btassert.Name
 		sink := btassert.SinkFunc(func(v btassert.Violation) { violated = append(violated, v.Name) })
-		d := btexpert.NewDecider(liar{spoil: c.spoil}, btexpert.DefaultSettings(), btassert.New(sink))
+		d := btexpert.NewDecider(faultyPlanner{corrupt: c.corrupt}, btexpert.DefaultSettings(), btassert.New(sink))
 		f := newFixture(himal)
-		d.Step(epoch, btexpert.PolicySet{Placement: himal, Group: group(today)})
+		d.Step(epoch, btexpert.PolicySet{Placement: himal, Group: group(shape16)})
 		d.Step(epoch, btexpert.MapInForce{Map: f.m})
-		d.Step(epoch, btexpert.CountsReported{Counts: unevenCounts(today)})
+		d.Step(epoch, btexpert.CountsReported{Counts: unevenCounts(shape16)})
 		effects := d.Step(epoch.Add(time.Minute), btexpert.Tick{})
 		assert.Equal(t, effects[0].(btexpert.Keep).Reason, btexpert.KeepInvariant)
 		assert.DeepEqual(t, violated, []btassert.Name{c.want})
--- a/core/btexpert/event.go
+++ b/core/btexpert/event.go
@@ -7,60 +7,58 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Event is what a Decider is told.
+// Event is an input of a Decider.
 type Event interface{ event() }
 
-// PolicySet tells the bundle's policy and the group's shape, at the start and
+// PolicySet sets the bundle's policy and the group's shape, at the start and
 // whenever a bundle changes either.
 type PolicySet struct {
 	Placement btbundle.Placement
 	Group     btbundle.Group
 }
 
-// MapInForce tells the map by which the group steps, as read from the group: at
-// the start and after every switch. Repeats are harmless.
+// MapInForce reports the map that the group uses, as read from the group: at the
+// start and after every switch. Repeated reports have no effect.
 type MapInForce struct {
 	Map Map
-	// Stall is how long the group stood still during the switch, zero where
-	// unknown.
+	// Stall is how long the switch paused the group, or zero if unknown.
 	Stall time.Duration
 }
 
-// CountsReported tells the tokens that the group's experts served since the
-// report before.
+// CountsReported reports the tokens that each expert served since the last report.
 type CountsReported struct {
 	Counts Counts
 }
 
-// TimesReported tells how long steps took since the report before.
+// TimesReported reports how long steps took since the last report.
 type TimesReported struct {
 	// Step is the mean time of a step, without pauses between steps.
 	Step time.Duration
-	// Ranks holds each rank's own mean compute time in a step, without waiting
-	// for others; zero stands for a rank that hasn't reported.
+	// Ranks holds each rank's own mean compute time in a step, without waiting for
+	// others; zero means that the rank hasn't reported.
 	Ranks []time.Duration
 }
 
-// StoreReported tells what the weight store gives.
+// StoreReported reports the state of the weight store.
 type StoreReported struct {
 	// Rate is the measured rate in bytes per second.
 	Rate float64
 	Down bool
 }
 
-// RanksReported tells which ranks can't take part in a switch; none after all
+// RanksReported reports the ranks that can't take part in a switch; none once all
 // are back.
 type RanksReported struct {
 	Missing []Rank
 }
 
-// SwitchFailed tells that a proposed map did not come into force and won't.
+// SwitchFailed reports that a proposed map did not come into force and won't.
 type SwitchFailed struct {
 	Digest btbundle.Digest
 	Reason btrequest.Reason
 }
 
-// Tick tells that time has passed. A Decider considers the map on ticks alone.
+// Tick reports that time has passed. A Decider considers the map only on ticks.
 type Tick struct{}
 
 func (PolicySet) event()      {}
@@ -72,27 +70,28 @@
 func (SwitchFailed) event()   {}
 func (Tick) event()           {}
 
-// Effect is what a Decider wants done or known.
+// Effect is an output of a Decider.
 type Effect interface{ effect() }
 
-// Forecast is what a change is expected to bring and to cost.
+// Forecast is the expected gain and cost of a change.
 type Forecast struct {
 	// Gain and Price are in weighted seconds over the policy's horizon.
 	Gain  float64 `json:"gain"`
 	Price float64 `json:"price"`
-	// SkewBefore and SkewAfter are the slowest rank over the mean, minus 1.
+	// SkewBefore and SkewAfter are the modelled skews without and with the change;
+	// see Skew.
 	SkewBefore float64 `json:"skew_before"`
 	SkewAfter  float64 `json:"skew_after"`
 	// SkewBound is the skew that no map can beat.
 	SkewBound float64 `json:"skew_bound"`
-	// Transfer is how long the store will take, Stall how long the group will
-	// stand still.
+	// Transfer is how long the store will take, Stall how long the switch will
+	// pause the group.
 	Transfer time.Duration `json:"transfer"`
 	Stall    time.Duration `json:"stall"`
 }
 
-// Propose asks for a switch to another map. The Decider then waits for
-// MapInForce with that map, or for SwitchFailed.
+// Propose requests a switch to another map. The Decider then waits for MapInForce
+// with that map, or for SwitchFailed.
 type Propose struct {
 	Map      Map
 	Moves    Moves
@@ -101,7 +100,7 @@
 	Cause btrequest.Reason
 }
 
-// Keep tells that the map in force stays after a consideration, and why.
+// Keep reports that a consideration left the map in force, and why.
 type Keep struct {
 	Reason btrequest.Reason
 	Detail string
@@ -109,7 +108,7 @@
 	Forecast Forecast
 }
 
-// Explain is one line for operators: what was seen and what followed.
+// Explain is a line for operators about an observation and its consequence.
 type Explain struct {
 	Reason btrequest.Reason
 	Detail string
@@ -121,72 +120,76 @@
 
 // Causes of a proposal.
 const (
-	// CauseDrift is for experts whose load has changed.
+	// CauseDrift means that the load of experts has changed.
 	CauseDrift btrequest.Reason = "expert_load_drift"
-	// CauseStraggler is for ranks whose speed has changed.
+	// CauseStraggler means that the speed of a rank has changed.
 	CauseStraggler btrequest.Reason = "straggler"
 )
 
 // Reasons for which the map in force stays.
 const (
-	// KeepNoPolicy is for a group whose policy isn't known yet, or can't be served.
+	// KeepNoPolicy means that no valid policy of the group is known yet.
 	KeepNoPolicy btrequest.Reason = "no_policy"
-	// KeepNoMap is for a group whose map in force isn't known.
+	// KeepNoMap means that the map in force isn't known.
 	KeepNoMap btrequest.Reason = "no_map_in_force"
-	// KeepMapShape is for a map in force of another shape than the bundle's.
+	// KeepMapShape means that the map in force doesn't have the bundle's shape.
 	KeepMapShape btrequest.Reason = "map_of_other_shape"
-	// KeepSwitching is for a proposal that hasn't been answered.
+	// KeepSwitching means that an earlier proposal has no outcome yet.
 	KeepSwitching btrequest.Reason = "switch_pending"
-	// KeepMeasuring is for a change whose effect is still being measured.
+	// KeepMeasuring means that the effect of the last change is still being
+	// measured.
 	KeepMeasuring btrequest.Reason = "measuring_last_change"
-	// KeepBackoff is for the wait after a failed switch.
+	// KeepBackoff means that the wait after a failed switch isn't over.
 	KeepBackoff btrequest.Reason = "switch_failed_backoff"
-	// KeepRanksMissing is for a group that isn't whole.
+	// KeepRanksMissing means that some ranks can't take part in a switch.
 	KeepRanksMissing btrequest.Reason = "ranks_missing"
-	// KeepCountsMissing is for layers that were never counted.
+	// KeepCountsMissing means that a layer was never counted.
 	KeepCountsMissing btrequest.Reason = "counts_missing"
-	// KeepCountsOld is for counts older than the horizon.
+	// KeepCountsOld means that the newest counts are older than the horizon.
 	KeepCountsOld btrequest.Reason = "counts_old"
-	// KeepStoreDown is for a weight store that is down.
+	// KeepStoreDown means that the weight store is down.
 	KeepStoreDown btrequest.Reason = "store_down"
-	// KeepStoreSlow is for a transfer that would take longer than the horizon.
+	// KeepStoreSlow means that the transfer would take longer than the horizon.
 	KeepStoreSlow btrequest.Reason = "store_slow"
-	// KeepEven is for steps so even that no change is looked for.
+	// KeepEven means that even a perfect split would save too little.
 	KeepEven btrequest.Reason = "steps_even"
-	// KeepUnchanged is for steps hardly less even than when a change was refused.
+	// KeepUnchanged means that steps are hardly less even than when a change was
+	// last refused.
 	KeepUnchanged btrequest.Reason = "unchanged_since_refusal"
-	// KeepNoBetter is for a search that found no better map.
+	// KeepNoBetter means that the search found no better map.
 	KeepNoBetter btrequest.Reason = "no_better_map"
-	// KeepSmallGain is for a gain below the least share of the step time.
+	// KeepSmallGain means that the change would save too small a share of the step
+	// time.
 	KeepSmallGain btrequest.Reason = "gain_small"
-	// KeepPrice is for a gain that doesn't beat the price.
+	// KeepPrice means that the gain doesn't beat the price.
 	KeepPrice btrequest.Reason = "price_above_gain"
-	// KeepInvariant is for a plan that failed an assertion.
+	// KeepInvariant means that the plan failed an assertion.
 	KeepInvariant btrequest.Reason = "invariant_violated"
 )
 
 // Reasons of the lines that explain what was seen.
 const (
-	// ExplainPolicy is for a policy or group that was refused; the earlier stays.
+	// ExplainPolicy reports an invalid policy or group; the earlier one stays.
 	ExplainPolicy btrequest.Reason = "policy_refused"
-	// ExplainMap is for a reported map that isn't valid; the earlier stays.
+	// ExplainMap reports an invalid map; the earlier one stays.
 	ExplainMap btrequest.Reason = "map_refused"
-	// ExplainForeignMap is for a map in force that wasn't proposed here.
+	// ExplainForeignMap reports a map in force that this Decider didn't propose.
 	ExplainForeignMap btrequest.Reason = "map_not_proposed"
-	// ExplainTimes is for step times with gaps or absurd values.
+	// ExplainTimes reports step times that are missing or out of range.
 	ExplainTimes btrequest.Reason = "times_refused"
-	// ExplainJump is for a popularity that changed at once.
-	ExplainJump btrequest.Reason = "popularity_jumped"
-	// ExplainStore is for a store whose rate is below half the stated one.
+	// ExplainJump reports an abrupt shift of the experts' popularity.
+	ExplainShift btrequest.Reason = "popularity_jumped"
+	// ExplainStore reports a store whose rate is below half the stated one.
 	ExplainStore btrequest.Reason = "store_slower_than_stated"
-	// ExplainStraggler is for a rank that became slow or recovered.
+	// ExplainStraggler reports a rank that became slow or recovered.
 	ExplainStraggler btrequest.Reason = "straggler_evidence"
-	// ExplainMeasured is for the measured effect of a change.
+	// ExplainMeasured reports the measured effect of a change.
 	ExplainMeasured btrequest.Reason = "change_measured"
-	// ExplainPredictionsMissed is for predictions that missed; the threshold rises.
+	// ExplainPredictionsMissed reports forecasts that missed, which raises the
+	// threshold.
 	ExplainPredictionsMissed btrequest.Reason = "predictions_miss"
-	// ExplainPredictionsHold is for a threshold that is back to normal.
+	// ExplainPredictionsHold reports that the threshold falls again.
 	ExplainPredictionsHold btrequest.Reason = "predictions_hold"
-	// ExplainSwitch is for a switch that failed or was never answered.
+	// ExplainSwitch reports a switch that failed or was never answered.
 	ExplainSwitch btrequest.Reason = "switch_failed"
 )
--- a/core/btexpert/rapid_test.go
+++ b/core/btexpert/fast_test.go
@@ -10,8 +10,8 @@
 	"bilberrytide/core/btexpert"
 )
 
-// skewedLoad returns a load whose popularity falls with the rank in a shuffled
-// order, as it does for engines in use.
+// skewedLoad returns a load in which popularity falls as a power of an expert's
+// place in a random order, as it does for engines in use.
 func skewedLoad(s btexpert.Shape, random *rand.Rand) btexpert.Load {
 	load := make(btexpert.Load, s.Layers)
 	for l := range load {
@@ -23,18 +23,18 @@
 	return load
 }
 
-func shapes() map[string]btexpert.Shape {
+func fastShapes() map[string]btexpert.Shape {
 	return map[string]btexpert.Shape{
 		"16 ranks": {Ranks: 16, Layers: 4, Experts: 64, Slots: 5, ExpertBytes: 1},
 		"72 ranks": {Ranks: 72, Layers: 12, Experts: 144, Slots: 3, ExpertBytes: 1},
-		// A plan for a group of this size is to take less than 20 ms.
+		// A plan for a group of this size must take less than 20 ms.
 		"192 ranks": {Ranks: 192, Layers: 10, Experts: 384, Slots: 3, ExpertBytes: 1},
 	}
 }
 
-func TestRapidKeepsItsLimits(t *testing.T) {
+func TestFastRebalanceRespectsLimits(t *testing.T) {
 	limits := btexpert.FastLimits{MaxLayerTransfers: 1, TransferCost: 0.01, MaxChanges: 40}
-	for name, s := range shapes() {
+	for name, s := range fastShapes() {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(7, 7))
 			m := btexpert.SingleReplica(s)
@@ -42,15 +42,16 @@
 				plan := btexpert.FastRebalance(m, skewedLoad(s, random), limits)
 				assert.NilError(t, plan.Map.Validate())
 				assert.Assert(t, plan.PeakAfter <= plan.PeakBefore)
-				assert.Equal(t, plan.Transfers, loadsOf(t, m, plan.Map, limits.MaxLayerTransfers))
+				assert.Equal(t, plan.Transfers, countTransfers(t, m, plan.Map, limits.MaxLayerTransfers))
 				m = plan.Map
 			}
 		})
 	}
 }
 
-// loadsOf counts the experts that are new to a rank, and checks the limit.
-func loadsOf(t *testing.T, from, to btexpert.Map, most int) int {
+// countTransfers counts the experts that are new to a rank, and checks the limit
+// per layer.
+func countTransfers(t *testing.T, from, to btexpert.Map, most int) int {
 	t.Helper()
 	total := 0
 	for l := range to.Layers {
@@ -77,18 +78,18 @@
 	return false
 }
 
-func TestRapidEvensAGroupInTwoMaps(t *testing.T) {
-	s := shapes()["16 ranks"]
+func TestFastRebalanceBalancesInTwoPlans(t *testing.T) {
+	s := fastShapes()["16 ranks"]
 	load := skewedLoad(s, rand.New(rand.NewPCG(1, 2)))
 	limits := btexpert.FastLimits{MaxLayerTransfers: 2, TransferCost: 0.005, MaxChanges: 60}
 	first := btexpert.FastRebalance(btexpert.SingleReplica(s), load, limits)
 	second := btexpert.FastRebalance(first.Map, load, limits)
-	t.Logf("peak over mean: %.2f, %.2f, %.2f; loads %d, %d", first.PeakBefore, first.PeakAfter, second.PeakAfter, first.Transfers, second.Transfers)
+	t.Logf("peak over mean: %.2f, %.2f, %.2f; transfers %d, %d", first.PeakBefore, first.PeakAfter, second.PeakAfter, first.Transfers, second.Transfers)
 	assert.Assert(t, second.PeakAfter < 1.15)
 }
 
-func TestRapidRelievesASlowRank(t *testing.T) {
-	s := shapes()["16 ranks"]
+func TestFastRebalanceRelievesASlowRank(t *testing.T) {
+	s := fastShapes()["16 ranks"]
 	load := make(btexpert.Load, s.Layers)
 	for l := range load {
 		load[l] = make([]float64, s.Experts)
@@ -101,13 +102,13 @@
 	m := btexpert.SingleReplica(s)
 	first := btexpert.FastRebalance(m, load, limits)
 	second := btexpert.FastRebalance(first.Map, load, limits)
-	t.Logf("peak over mean: %.2f, %.2f, %.2f; loads %d, %d", first.PeakBefore, first.PeakAfter, second.PeakAfter, first.Transfers, second.Transfers)
+	t.Logf("peak over mean: %.2f, %.2f, %.2f; transfers %d, %d", first.PeakBefore, first.PeakAfter, second.PeakAfter, first.Transfers, second.Transfers)
 	assert.Assert(t, first.PeakBefore > 3.5)
 	assert.Assert(t, second.PeakAfter < 1.5)
 }
 
-func TestRapidLeavesAnEvenMapAlone(t *testing.T) {
-	s := shapes()["16 ranks"]
+func TestFastRebalanceKeepsABalancedMap(t *testing.T) {
+	s := fastShapes()["16 ranks"]
 	load := make(btexpert.Load, s.Layers)
 	for l := range load {
 		load[l] = make([]float64, s.Experts)
@@ -119,8 +120,8 @@
 	assert.Equal(t, plan.Transfers, 0)
 }
 
-func BenchmarkRapid(b *testing.B) {
-	for name, s := range shapes() {
+func BenchmarkFastRebalance(b *testing.B) {
+	for name, s := range fastShapes() {
 		b.Run(name, func(b *testing.B) {
 			load := skewedLoad(s, rand.New(rand.NewPCG(1, 2)))
 			m := btexpert.SingleReplica(s)
--- a/core/btexpert/forecast_test.go
+++ b/core/btexpert/forecast_test.go
@@ -12,20 +12,20 @@
 	"bilberrytide/core/btexpert/bttrace"
 )
 
-// outcome is one change's forecast skews beside the measured ones.
+// outcome holds the forecast and the measured skews of one change.
 type outcome struct {
 	expectedBefore, expectedAfter, before, after float64
 }
 
-// miss is the difference of the expected to the measured fall, as a share of the
-// latter.
+// miss returns the difference between the expected and the measured fall of the
+// skew, as a share of the measured one.
 func (o outcome) miss() float64 {
 	fall := o.before - o.after
 	return math.Abs(o.expectedBefore-o.expectedAfter-fall) / math.Abs(fall)
 }
 
-// outcomes reads what the decider said of its changes.
-func (r *run) outcomes() []outcome {
+// outcomes parses the decider's explanations of measured changes.
+func (r *traceRun) outcomes() []outcome {
 	var list []outcome
 	for _, e := range r.explained {
 		if e.Reason != btexpert.ExplainMeasured {
@@ -41,28 +41,31 @@
 	return list
 }
 
-// forecastRanks are the sizes of groups whose forecasts are checked, the first
-// too small for a line through its ranks.
+// forecastRanks are the sizes of the groups whose forecasts are checked. The first
+// is too small for a fit over its ranks.
 var forecastRanks = []int{2, 4, 16}
 
-// baseWork is as much work beside the experts as the mean rank's experts bring.
+// baseWork is the work other than experts, in units of the mean rank's expert work.
 const baseWork = 1.0
 
-// forecasts plays a steady trace before a group whose steps hold base work, and
-// returns the outcome of its first change, or none.
-func forecasts(ranks int, base float64, seed uint64) []outcome {
+// firstChange runs a steady trace against a group whose steps include base work,
+// and returns the outcome of its first change, or none.
+func firstChange(ranks int, base float64, seed uint64) []outcome {
 	s := btexpert.Shape{Ranks: ranks, Layers: 2, Experts: 8 * ranks, Slots: 10, ExpertBytes: 44 << 20}
 	const length = 20 * time.Minute
-	r := newRun(length, s, bttrace.Steady, seed, newDecider(btexpert.Incremental{}), himal)
+	r := newTraceRun(length, s, bttrace.Steady, seed, newDecider(btexpert.Incremental{}), himal)
 	r.base = base
 	return r.playWhile(func() bool { return len(r.outcomes()) == 0 }).outcomes()
 }
 
-func TestFirstForecastKnowsTheBaseWork(t *testing.T) {
+// Guards against forecasts that ignore the base work and so expect too large a fall
+// of the skew, in particular in a group of two ranks, where the base can't be
+// fitted over the ranks.
+func TestFirstForecastIncludesBaseWork(t *testing.T) {
 	t.Parallel()
 	for _, ranks := range forecastRanks {
 		for _, seed := range []uint64{1, 2, 3} {
-			list := forecasts(ranks, baseWork, seed)
+			list := firstChange(ranks, baseWork, seed)
 			assert.Assert(t, len(list) > 0, "%d ranks, seed %d: never acted", ranks, seed)
 			first := list[0]
 			assert.Assert(t, first.miss() < 0.2, "%d ranks, seed %d: %+v", ranks, seed, first)
@@ -70,7 +73,7 @@
 	}
 }
 
-// BenchmarkForecasts prints the first change's forecast beside what followed.
+// BenchmarkForecasts prints the first change's forecast beside the measured skews.
 func BenchmarkForecasts(b *testing.B) {
 	if b.N != 1 {
 		return
@@ -79,7 +82,7 @@
 	for _, ranks := range forecastRanks {
 		for _, base := range []float64{0, baseWork} {
 			for _, seed := range []uint64{1, 2, 3} {
-				for _, o := range forecasts(ranks, base, seed) {
+				for _, o := range firstChange(ranks, base, seed) {
 					fmt.Printf("%5d %5.1f %5d  %6.3f to %5.3f  %6.3f to %5.3f  %4.0f%%\n", ranks, base, seed, o.expectedBefore, o.expectedAfter, o.before, o.after, 100*o.miss())
 				}
 			}
--- a/core/btexpert/greedy.go
+++ b/core/btexpert/greedy.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Greedy computes the whole map anew, without regard to the one in force: it
-// gives the spare slots to the hottest experts, then places the replicas,
-// longest first, on the rank that they leave lightest. It is the baseline of
-// full recomputation.
+// Greedy computes the whole map from scratch, without regard to the one in force:
+// it gives the spare slots to the hottest experts, then places the replicas in
+// descending order of load, each on the rank that stays fastest with it. It is the
+// baseline of full recomputation.
 type Greedy struct{}
 
 // Name returns "greedy".
 func (Greedy) Name() string { return "greedy" }
 
-// Plan computes each layer anew.
+// Plan computes each layer from scratch.
 func (Greedy) Plan(p Problem) Plan {
 	layers := make([]Layer, p.Map.Shape.Layers)
 	for l := range layers {
 		layers[l] = greedyLayer(p.Map.Shape, p.Demand.layer(l))
 	}
-	return planOf(p, layers, 0)
+	return newPlan(p, layers, 0)
 }
 
-// replicate gives each expert one replica and each further slot to the expert
-// whose replicas are the hottest.
-func replicate(s Shape, load []float64) []int {
+// replicaCounts gives each expert one replica and each further slot to the expert
+// with the largest load per replica.
+func replicaCounts(s Shape, load []float64) []int {
 	replicas := make([]int, s.Experts)
 	for e := range replicas {
 		replicas[e] = 1
@@ -50,7 +50,7 @@
 
 func greedyLayer(s Shape, d layerDemand) Layer {
 	load := d.load
-	replicas := replicate(s, load)
+	replicas := replicaCounts(s, load)
 	order := make([]Expert, s.Experts)
 	for e := range order {
 		order[e] = Expert(e)
@@ -66,7 +66,7 @@
 	for _, e := range order {
 		share := load[e] / float64(replicas[e])
 		for range replicas[e] {
-			r := lightest(s, layer, work, d.speeds, e, share)
+			r := fastestRank(s, layer, work, d.speeds, e, share)
 			if r < 0 {
 				// Every rank with room holds the expert already; the slot stays free.
 				break
@@ -81,9 +81,9 @@
 	return layer
 }
 
-// lightest returns the rank that is fastest with the replica added, of those
-// with a free slot that lack the expert, or -1.
-func lightest(s Shape, layer Layer, work []float64, speeds Speeds, e Expert, share float64) int {
+// fastestRank returns the rank that is fastest with the replica added, of those
+// with a free slot that lack the expert, or -1 if there is none.
+func fastestRank(s Shape, layer Layer, work []float64, speeds Speeds, e Expert, share float64) int {
 	best := -1
 	bestTime := 0.0
 	for r, experts := range layer.Ranks {
--- a/core/btexpert/incremental.go
+++ b/core/btexpert/incremental.go
@@ -1,10 +1,10 @@
 package btexpert
 
-// Incremental improves the map in force by few changes, those with the best
-// gain a byte first, and stops in each layer where the next ones would cost
-// more than they save. Where the number of replicas no longer fits the load, it
-// also starts from maps with the counts repaired, and looks at Greedy's map. In
-// each layer it takes what is worth most.
+// Incremental improves the map in force by a few changes, those with the best gain
+// per transfer first, and stops in each layer once further ones would cost more
+// than they save. It also searches from maps whose numbers of replicas were
+// repaired to fit the load, and evaluates Greedy's map. In each layer it keeps the
+// map with the largest net gain.
 type Incremental struct{}
 
 // Name returns "incremental".
@@ -24,16 +24,16 @@
 		layers[l] = v.improve(y, layers[l])
 		evaluations += y.evaluations
 	}
-	return planOf(p, layers, evaluations)
+	return newPlan(p, layers, evaluations)
 }
 
-// valuation is the worth of a step's time and the price of a load, both taken
-// as linear over one plan.
+// valuation converts step time and transfers into gain and price, taken as linear
+// over one plan.
 type valuation struct {
-	// saving is the gain of one token of step time saved.
-	saving float64
-	// load is the price of loading one expert.
-	load float64
+	// gainPerUnit is the gain of one unit of step time saved.
+	gainPerUnit float64
+	// transferPrice is the price of loading one expert.
+	transferPrice float64
 }
 
 func newValuation(p Problem) valuation {
@@ -42,78 +42,79 @@
 		return valuation{}
 	}
 	t := p.CostModel
-	// Each second of transfer also delays the gain of the rest by a second.
-	delayed := 1 - Bound(p.Map.Shape, p.Demand)/step
-	perSecond := t.MoveWeight + t.SkewWeight*delayed
+	// Each second of transfer also delays the gain by a second; the bound limits
+	// that gain.
+	maxSaving := 1 - Bound(p.Map.Shape, p.Demand)/step
+	perSecond := t.MoveWeight + t.SkewWeight*maxSaving
 	return valuation{
-		saving: t.SkewWeight * t.Horizon.Seconds() / step,
-		load:   perSecond * t.TransferSeconds(p.Map.Shape.ExpertBytes),
+		gainPerUnit:   t.SkewWeight * t.Horizon.Seconds() / step,
+		transferPrice: perSecond * t.TransferSeconds(p.Map.Shape.ExpertBytes),
 	}
 }
 
-// repairTolerances are the shares by which the hottest replica may exceed the
-// least possible before its expert gets another one.
+// repairTolerances returns the shares by which the load of the hottest replica may
+// exceed the least possible before its expert gets another replica.
 func repairTolerances() []float64 { return []float64{0, 0.1, 0.3} }
 
-// improve returns the layer map worth most among those found from the layer and
-// from its repairs.
+// improve returns the layer map with the largest net gain of those found from the
+// layer map, from its repaired versions and by greedyLayer.
 func (v valuation) improve(y *layerSearch, from Layer) Layer {
-	start := y.lasting()
-	best, bestWorth := v.descend(y, start, 0)
+	start := y.duration()
+	best, bestGain := v.descend(y, start, 0)
 	for _, tolerance := range repairTolerances() {
 		y.reset(from)
-		loads := y.repair(tolerance)
-		if loads == 0 {
+		transfers := y.repair(tolerance)
+		if transfers == 0 {
 			continue
 		}
-		found, worth := v.descend(y, start, loads)
-		if worth > bestWorth {
+		found, gain := v.descend(y, start, transfers)
+		if gain > bestGain {
 			best = found
-			bestWorth = worth
+			bestGain = gain
 		}
 	}
-	anew := greedyLayer(y.shape, y.demand)
-	y.reset(anew)
-	if v.worth(start, y.lasting(), loadsBetween(from, anew)) > bestWorth {
-		return anew
+	recomputed := greedyLayer(y.shape, y.demand)
+	y.reset(recomputed)
+	if v.netGain(start, y.duration(), transfersBetween(from, recomputed)) > bestGain {
+		return recomputed
 	}
 	return best
 }
 
-// loadsBetween returns how many experts must be loaded to go from one layer map
+// transfersBetween returns how many experts must be loaded to go from one layer map
 // to another.
-func loadsBetween(from, to Layer) int {
+func transfersBetween(from, to Layer) int {
 	return len(Diff(Map{Layers: []Layer{from}}, Map{Layers: []Layer{to}}))
 }
 
-// maxChanges bounds the changes to one layer in one plan, by the slots.
+// maxChanges bounds the changes to one layer in one plan by the number of slots.
 func maxChanges(s Shape) int { return s.Ranks * s.Slots }
 
-// descend makes the best change again and again, until none helps. Start is the
-// layer's time in force, and loads how many experts the search has loaded since.
-// It returns the layer map among those passed that is worth most, and its worth.
-func (v valuation) descend(y *layerSearch, start float64, loads int) (Layer, float64) {
+// descend applies the best change until none helps. Start is the layer's time with
+// the map in force, and transfers those that the search has already made. It
+// returns the layer map with the largest net gain on the way, and that gain.
+func (v valuation) descend(y *layerSearch, start float64, transfers int) (Layer, float64) {
 	best := y.layer()
-	bestWorth := v.worth(start, y.lasting(), loads)
+	bestGain := v.netGain(start, y.duration(), transfers)
 	for range maxChanges(y.shape) {
-		if v.worth(start, y.ideal, loads) < bestWorth {
-			// Not even a perfect split would pay for further loads.
+		if v.netGain(start, y.lowerBound, transfers) < bestGain {
+			// Not even a perfect split would pay for further transfers.
 			break
 		}
-		c, found := y.best()
+		c, found := y.bestChange()
 		if !found {
 			break
 		}
 		y.apply(c)
-		loads += c.loads
-		if worth := v.worth(start, y.lasting(), loads); worth > bestWorth {
-			bestWorth = worth
+		transfers += c.transfers
+		if gain := v.netGain(start, y.duration(), transfers); gain > bestGain {
+			bestGain = gain
 			best = y.layer()
 		}
 	}
-	return best, bestWorth
+	return best, bestGain
 }
 
-func (v valuation) worth(before, after float64, loads int) float64 {
-	return v.saving*(before-after) - v.load*float64(loads)
+func (v valuation) netGain(before, after float64, transfers int) float64 {
+	return v.gainPerUnit*(before-after) - v.transferPrice*float64(transfers)
 }
--- a/core/btexpert/load.go
+++ b/core/btexpert/load.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// ErrLoad is wrapped by the error of a malformed load or list of speeds.
+// ErrLoad is wrapped by errors about a malformed load, demand or list of speeds.
 var ErrLoad = errors.New("malformed load")
 
-// Load is the work that each expert of each layer brings to a step, indexed by
-// layer and expert. Its unit is the token; only proportions matter to a plan.
+// Load is the work of each expert in a step, indexed by layer and expert. Its unit
+// is the token; plans depend only on proportions.
 type Load [][]float64
 
-// Validate reports a load that doesn't fit the shape or holds values that are
-// not finite or below zero. The error wraps ErrLoad.
+// Validate reports a load that doesn't fit the shape, or a value that is negative
+// or not finite. The error wraps ErrLoad.
 func (o Load) Validate(s Shape) error {
 	if len(o) != s.Layers {
 		return fmt.Errorf("%w: %d layers, want %d", ErrLoad, len(o), s.Layers)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// clone returns a copy that shares nothing with the load.
+// clone returns a deep copy.
 func (o Load) clone() Load {
 	load := make(Load, len(o))
 	for l, experts := range o {
@@ -42,11 +42,11 @@
 	return load
 }
 
-// Speeds holds each rank's speed relative to the group's median, 1 for a rank
-// in order and less for a straggler.
+// Speeds holds each rank's speed relative to the group's median: 1 for a healthy
+// rank, less for a straggler.
 type Speeds []float64
 
-// EvenSpeeds returns the speeds of a group without stragglers.
+// EvenSpeeds returns a speed of 1 for each rank, as in a group without stragglers.
 func EvenSpeeds(ranks int) Speeds {
 	speeds := make(Speeds, ranks)
 	for r := range speeds {
@@ -55,7 +55,7 @@
 	return speeds
 }
 
-// Validate reports a list that has not one finite speed above zero for each
+// Validate reports a list without exactly one finite speed above zero for each
 // rank. The error wraps ErrLoad.
 func (p Speeds) Validate(s Shape) error {
 	if len(p) != s.Ranks {
--- a/core/btexpert/main_test.go
+++ b/core/btexpert/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the randomised runs, so that every run gives the
-// same verdict; -rapid.seed and -rapid.checks still override.
+// TestMain sets a fixed seed for randomised tests, so that every run gives the same
+// result; -rapid.seed and -rapid.checks still override it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/core/btexpert/map.go
+++ b/core/btexpert/map.go
@@ -1,13 +1,14 @@
 // Package btexpert decides where a group's ranks hold their experts.
 //
-// A Map places replicas of every expert of every layer on ranks. From decayed
-// counts of the tokens that each expert served, a Planner looks for a map whose
-// slowest rank is faster, and a Decider weighs the step time saved against the
-// price of moving weights, by the weights of the bundle's placement policy. The
-// package also ranks the group's members for new requests.
+// A Map places replicas of every expert of every layer on ranks. A Planner searches
+// for a map with a shorter modelled step, from decayed counts of the tokens that
+// each expert served. A Decider weighs the step time saved against the price of
+// moving weights, by the weights of the bundle's placement policy, and proposes the
+// map if it pays. FastRebalance is a quicker search that follows abrupt changes of
+// load. ScoreRanks orders a group's members for new requests.
 //
-// Everything here is deterministic and free of I/O: time, counts and measured
-// step times come in as arguments.
+// The package is deterministic and does no I/O: time, counts and measured step
+// times are arguments.
 package btexpert
 
 import (
@@ -19,41 +20,40 @@
 	"bilberrytide/core/btbundle"
 )
 
-// Errors that tell what is wrong with a map or with a group's shape.
+// Errors about maps and group shapes.
 var (
-	// ErrShape is wrapped by the error of a group that no map can serve.
+	// ErrShape is wrapped by errors about a shape that no valid map can have.
 	ErrShape = errors.New("impossible group shape")
-	// ErrMap is wrapped by the error of every invalid map.
+	// ErrMap is wrapped by errors about invalid maps.
 	ErrMap = errors.New("invalid expert map")
 )
 
-// Largest sizes accepted, far above the planned ones, so that a malformed
-// message can't ask for unbounded memory.
+// Upper bounds on sizes, far above the planned ones, so that a malformed message
+// can't cause unbounded allocation.
 const (
 	MaxRanks   = 4096
 	MaxLayers  = 1024
 	MaxExperts = 4096
 )
 
-// Expert numbers an expert within its layer, from zero.
+// Expert is the index of an expert within its layer, from zero.
 type Expert uint16
 
-// Rank numbers a member of a group, from zero, in the bundle's order.
+// Rank is the index of a member of a group, from zero, in the bundle's order.
 type Rank uint16
 
-// Shape is what a map must fit: the group's ranks, layers, experts and memory.
+// Shape is the size of a group's maps: its ranks, layers, experts and expert slots.
 type Shape struct {
 	Ranks   int `cbor:"ranks" json:"ranks"`
 	Layers  int `cbor:"layers" json:"layers"`
 	Experts int `cbor:"experts" json:"experts"`
-	// Slots is how many expert replicas of one layer a rank holds at most.
+	// Slots is the largest number of expert replicas of one layer on a rank.
 	Slots int `cbor:"slots" json:"slots"`
 	// ExpertBytes is the size of one expert's weights in one layer.
 	ExpertBytes int64 `cbor:"expert_bytes" json:"expert_bytes"`
 }
 
-// ShapeOf returns the shape that the bundle gives a group. The error wraps
-// ErrShape.
+// ShapeOf returns the shape of a group in the bundle. The error wraps ErrShape.
 func ShapeOf(g btbundle.Group) (Shape, error) {
 	s := Shape{
 		Ranks:       len(g.Ranks),
@@ -95,20 +95,20 @@
 
 // Layer is the part of a map for one layer.
 type Layer struct {
-	// Ranks lists for each rank the experts that it holds, in rising order.
+	// Ranks lists the experts on each rank, in ascending order.
 	Ranks [][]Expert `cbor:"ranks" json:"ranks"`
 }
 
-// Map places the replicas of every expert on a group's ranks. A map is treated
-// as immutable once it has been handed out.
+// Map places the replicas of every expert on a group's ranks. A map must not be
+// modified once it is shared.
 type Map struct {
 	Shape  Shape   `cbor:"shape" json:"shape"`
 	Layers []Layer `cbor:"layers" json:"layers"`
 }
 
-// Uniform returns the map that deals experts to ranks in turn, the second time
-// round as second replicas, until every slot is full or every rank holds every
-// expert. It is the map that a group starts from. The shape must be valid.
+// Uniform returns the map that assigns experts to ranks round robin, first one
+// replica of each and then further ones, until every slot is full or every rank
+// holds every expert. A group starts from this map. The shape must be valid.
 func Uniform(s Shape) Map {
 	m := Map{Shape: s, Layers: make([]Layer, s.Layers)}
 	for l := range m.Layers {
@@ -122,7 +122,7 @@
 	for i := range s.Ranks * s.Slots {
 		r := i % s.Ranks
 		e := Expert(i % s.Experts)
-		// A rank that already holds the expert takes the next one it lacks.
+		// A rank that already holds the expert takes the next one that it lacks.
 		for slices.Contains(ranks[r], e) {
 			e = Expert((int(e) + 1) % s.Experts)
 		}
@@ -135,8 +135,8 @@
 }
 
 // Validate reports a map in which an expert has no replica, a rank holds more
-// than its slots, or experts are unknown, doubled or out of order. The error
-// wraps ErrMap or ErrShape and names layer and rank.
+// experts than its slots, or experts are unknown, listed twice or out of order. The
+// error wraps ErrMap or ErrShape and names the layer and the rank.
 func (m Map) Validate() error {
 	if err := m.Shape.Validate(); err != nil {
 		return err
@@ -177,8 +177,7 @@
 	return nil
 }
 
-// Fits reports a valid map that was made for another shape. The error wraps
-// ErrMap.
+// Fits reports a map that was made for another shape. The error wraps ErrMap.
 func (m Map) Fits(s Shape) error {
 	if m.Shape != s {
 		return fmt.Errorf("%w: made for %+v, the group is %+v", ErrMap, m.Shape, s)
@@ -186,9 +185,9 @@
 	return nil
 }
 
-// Digest identifies the map: equal maps have equal digests on every host and
-// in every release. It is the SHA-256 of the shape and the placed experts, each
-// number in eight or two bytes, big endian.
+// Digest returns the SHA-256 of the shape and the placed experts, with each number
+// in eight or two bytes, big endian. Equal maps have equal digests on every host
+// and in every release.
 func (m Map) Digest() btbundle.Digest {
 	s := m.Shape
 	data := make([]byte, 0, 40+s.Layers*s.Ranks*(s.Slots+1)*2)
@@ -206,7 +205,7 @@
 	return btbundle.DigestOf(data)
 }
 
-// clone returns a copy that shares nothing with the map.
+// clone returns a deep copy.
 func (l Layer) clone() Layer {
 	ranks := make([][]Expert, len(l.Ranks))
 	for r, experts := range l.Ranks {
--- a/core/btexpert/model.go
+++ b/core/btexpert/model.go
@@ -6,28 +6,30 @@
 	"slices"
 )
 
-// The model of a step. All ranks exchange tokens in every layer, so a layer
-// lasts as long as its slowest rank, and a step is the sum of its layers:
+// The model of a step. All ranks exchange tokens in every layer, so a layer takes
+// as long as its slowest rank, and a step is the sum of its layers:
 //
 //	step = Σ over layers of max over ranks of ((base + rank's load) / rank's speed)
 //
-// Tokens come by chance, so that even a perfect map's single steps are uneven, by
-// the floor. Chance picks the slowest of all ranks that are nearly as slow, so the
-// maximum is taken as a p-norm, whose p is set so that even ranks give the floor:
-// a few ranks that stick out count alone, many that are close count together.
+// The tokens of a step are random, so that single steps are uneven even under a
+// perfectly balanced map, by the skew floor. The slowest rank is then any of those
+// that are nearly as slow, so the maximum is replaced by a p-norm, whose p is set
+// such that equal ranks give the skew floor: a few outliers count alone, many ranks
+// with similar times count together.
 //
-// An expert's load is split evenly among its replicas, which is what an engine
-// does that picks replicas in turn. Loads are in tokens, so a model's times are
-// in tokens too: the time that a rank in order takes to serve that many.
+// An expert's load is split evenly among its replicas, as by an engine that picks
+// replicas round robin. Loads are in tokens, and so are modelled times: the time
+// that a rank of speed 1 takes to serve that many.
 
-// Demand is what a step asks of the ranks.
+// Demand is the work of a step and the speeds of the ranks that do it.
 type Demand struct {
 	Load   Load
 	Speeds Speeds
-	// Base is the work beside the experts that every rank does in every layer,
-	// such as attention, in the load's unit.
+	// Base is the work other than experts, such as attention, that every rank does
+	// in every layer, in the unit of the load.
 	Base float64
-	// SkewFloor is the skew that chance alone gives a step.
+	// SkewFloor is the skew of a step under a perfectly balanced map, which is due
+	// to chance alone.
 	SkewFloor float64
 }
 
@@ -46,34 +48,36 @@
 
 // layer returns the demand of one layer.
 func (d Demand) layer(l int) layerDemand {
-	return layerDemand{load: d.Load[l], speeds: d.Speeds, base: d.Base, floor: d.SkewFloor}
+	return layerDemand{load: d.Load[l], speeds: d.Speeds, base: d.Base, skewFloor: d.SkewFloor}
 }
 
 // layerDemand is the demand of one layer.
 type layerDemand struct {
-	load   []float64
-	speeds Speeds
-	base   float64
-	floor  float64
+	load      []float64
+	speeds    Speeds
+	base      float64
+	skewFloor float64
 }
 
-// leastFloor is the floor below which a layer lasts as long as its slowest rank.
-const leastFloor = 1e-3
+// minSkewFloor is the skew floor below which a layer takes as long as its slowest
+// rank.
+const minSkewFloor = 1e-3
 
-// power returns the p of the norm, or infinity.
-func (d layerDemand) power() float64 {
+// normExponent returns the p of the norm, which is infinite for the maximum.
+func (d layerDemand) normExponent() float64 {
 	ranks := float64(len(d.speeds))
-	if d.floor < leastFloor || ranks < 2 {
+	if d.skewFloor < minSkewFloor || ranks < 2 {
 		return math.Inf(1)
 	}
-	// Below 2, a group so small and so uneven tells nothing of norms.
-	return max(math.Log(ranks)/math.Log1p(d.floor), 2)
+	// In a group so small and so uneven that p is below 2, the norm is no model of
+	// the slowest rank.
+	return max(math.Log(ranks)/math.Log1p(d.skewFloor), 2)
 }
 
-// lasting returns how long the layer lasts whose ranks take the times.
-func (d layerDemand) lasting(times []float64) float64 {
+// duration returns how long the layer takes, given the ranks' times in it.
+func (d layerDemand) duration(times []float64) float64 {
 	slowest := slices.Max(times)
-	p := d.power()
+	p := d.normExponent()
 	if math.IsInf(p, 1) || slowest == 0 {
 		return slowest
 	}
@@ -84,11 +88,12 @@
 	return slowest * math.Pow(total, 1/p)
 }
 
-// least returns a time that the layer can't beat: the slowest rank's bound, or
-// by Hölder's inequality the least norm of times that do all the work.
-func (d layerDemand) least(s Shape) float64 {
-	slowest := d.bound(s)
-	p := d.power()
+// lowerBound returns a time that the layer can't beat: the larger of the slowest
+// rank's bound and, by Hölder's inequality, the least norm of rank times that do
+// all the work.
+func (d layerDemand) lowerBound(s Shape) float64 {
+	slowest := d.slowestRankBound(s)
+	p := d.normExponent()
 	if math.IsInf(p, 1) {
 		return slowest
 	}
@@ -101,7 +106,7 @@
 	return max(slowest, work/math.Pow(norm, 1/q))
 }
 
-// addTimes adds to times each rank's time in the layer.
+// addTimes adds each rank's time in the layer to times.
 func (d layerDemand) addTimes(layer Layer, times []float64) {
 	replicas := make([]int, len(d.load))
 	for _, experts := range layer.Ranks {
@@ -118,8 +123,8 @@
 	}
 }
 
-// RankTimes returns each rank's own time in a step, summed over the layers.
-// The demand must fit the map's shape.
+// RankTimes returns each rank's own time in a step, summed over the layers. The
+// demand must fit the map's shape.
 func RankTimes(m Map, d Demand) []float64 {
 	times := make([]float64, m.Shape.Ranks)
 	for l, layer := range m.Layers {
@@ -128,8 +133,9 @@
 	return times
 }
 
-// StepTime returns the modelled time of a step: the slowest rank of each layer,
-// summed over the layers, with the floor added in quadrature. The demand must fit the map's shape.
+// StepTime returns the modelled time of a step: the p-norm of the ranks' times in
+// each layer, or the slowest rank's time without a skew floor, summed over the
+// layers. The demand must fit the map's shape.
 func StepTime(m Map, d Demand) float64 {
 	total := 0.0
 	times := make([]float64, m.Shape.Ranks)
@@ -137,13 +143,13 @@
 		clear(times)
 		y := d.layer(l)
 		y.addTimes(layer, times)
-		total += y.lasting(times)
+		total += y.duration(times)
 	}
 	return total
 }
 
-// Skew returns how far the slowest ranks lag the mean: the step time over the
-// mean rank's time in it, minus one. It is zero for an idle group.
+// Skew returns the step time over the mean of the ranks' own times in it, minus
+// one. It is zero for an idle group.
 func Skew(m Map, d Demand) float64 {
 	mean := sum(RankTimes(m, d)) / float64(m.Shape.Ranks)
 	if mean == 0 {
@@ -152,19 +158,20 @@
 	return StepTime(m, d)/mean - 1
 }
 
-// Bound returns a time that no map of the shape can beat, whatever the split
-// among replicas: the larger, per layer, of the perfect split over the ranks'
-// speeds and of what the number of slots allows.
+// Bound returns a step time that no map of the shape can beat, however load is
+// split among replicas. Per layer it is the larger of the time of a perfect split
+// over the ranks' speeds and of what the number of slots allows.
 func Bound(s Shape, d Demand) float64 {
 	total := 0.0
 	for l := range d.Load {
-		total += d.layer(l).least(s)
+		total += d.layer(l).lowerBound(s)
 	}
 	return total
 }
 
-// BoundSkew returns the skew that remains at the bound: zero but where slots or
-// the base forbid a perfect split, which alone sets the mean here.
+// BoundSkew returns the skew of the bound, relative to the mean rank under a
+// perfect split. With a skew floor of zero it is zero, unless the slots or the base
+// rule out a perfect split.
 func BoundSkew(s Shape, d Demand) float64 {
 	perfect := 0.0
 	for _, experts := range d.Load {
@@ -176,18 +183,19 @@
 	return Bound(s, d)/perfect - 1
 }
 
-// boundSteps is how often the search for a layer's bound halves its range; 40
-// halvings leave an error below one part in a million million.
-const boundSteps = 40
+// boundBisections is the number of bisections in the search for a layer's bound; 40
+// leave an error below 1e-12 of the range.
+const boundBisections = 40
 
-func (d layerDemand) bound(s Shape) float64 {
-	low := d.perfect(s)
+// slowestRankBound returns a time that the layer's slowest rank can't beat.
+func (d layerDemand) slowestRankBound(s Shape) float64 {
+	low := d.evenSplitTime(s)
 	if d.slotsSuffice(s, low) {
 		return low
 	}
-	// With a replica of its own on the fastest rank, every expert fits.
+	// In this time the fastest rank can serve any expert by a single replica.
 	high := max(low, (slices.Max(d.load)+d.base)/slices.Max(d.speeds))
-	for range boundSteps {
+	for range boundBisections {
 		middle := (low + high) / 2
 		if d.slotsSuffice(s, middle) {
 			high = middle
@@ -198,20 +206,21 @@
 	return low
 }
 
-// perfect returns the layer's time under a perfect split.
-func (d layerDemand) perfect(s Shape) float64 {
+// evenSplitTime returns the layer's time under a perfect split.
+func (d layerDemand) evenSplitTime(s Shape) float64 {
 	even := (sum(d.load) + float64(s.Ranks)*d.base) / sum(d.speeds)
 	return max(even, d.base/slices.Min(d.speeds))
 }
 
-// slotsSuffice tells whether the group has enough slots for every expert to
-// have replicas so small that the fastest rank bears each within the time.
+// slotsSuffice reports whether the group has enough slots to split every expert
+// into replicas that the fastest rank can each serve within the time.
 func (d layerDemand) slotsSuffice(s Shape, time float64) bool {
 	largest := time*slices.Max(d.speeds) - d.base
 	if largest <= 0 {
 		return sum(d.load) == 0
 	}
-	// Rounding must not count one replica too many, or the bound would be no bound.
+	// A rounding error must not add a replica, as the result would no longer be a
+	// lower bound.
 	const rounding = 1e-9
 	slots := 0
 	for _, v := range d.load {
--- a/core/btexpert/move.go
+++ b/core/btexpert/move.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Move is one weight transfer: a rank loads an expert that it didn't hold.
+// Move is the transfer of one expert's weights to a rank that didn't hold them.
 type Move struct {
 	Layer  int    `cbor:"layer" json:"layer"`
 	Rank   Rank   `cbor:"rank" json:"rank"`
 	Expert Expert `cbor:"expert" json:"expert"`
 }
 
-// Moves lists the transfers of one map change by layer, rank and expert.
-// Dropping a replica moves no weights and is not listed.
+// Moves lists the transfers of one map change by layer, rank and expert. Removing a
+// replica transfers no weights and is not listed.
 type Moves []Move
 
 // Diff returns the transfers that lead from one map to another of equal shape.
@@ -29,7 +29,7 @@
 	return moves
 }
 
-// Bytes returns the weight bytes transferred for the shape's expert size.
+// Bytes returns the total size of the transfers in bytes.
 func (m Moves) Bytes(s Shape) int64 { return int64(len(m)) * s.ExpertBytes }
 
 // ForRank returns the transfers of one rank, in order.
--- a/core/btexpert/neighbourhood.go
+++ b/core/btexpert/neighbourhood.go
@@ -2,83 +2,82 @@
 
 import "slices"
 
-// changes calls visit for each promising change that takes work from the rank:
-// another replica elsewhere, the expert moved, two experts swapped, or a replica
-// dropped. A change that would leave the receiving rank as slow as the hot one is
-// not promising. Visit must leave the search as it found it.
-func (y *layerSearch) changes(hot Rank, visit func(c change)) {
-	// Visiting tries changes, which reorders the lists walked here.
+// visitChanges calls visit for each promising change that takes work from the hot
+// rank: adding a replica elsewhere, moving an expert, swapping two experts or
+// removing a replica. A change that would leave the receiving rank as slow as the
+// hot one is skipped. Visit must restore the search's state.
+func (y *layerSearch) visitChanges(hot Rank, visit func(c change)) {
+	// Evaluating a change reorders the lists, so a copy is iterated over.
 	for _, e := range slices.Clone(y.held[hot]) {
 		if len(y.holders[e]) > 1 {
-			visit(newChange(0, placement{rank: hot, expert: e}))
+			visit(newChange(0, replicaEdit{rank: hot, expert: e}))
 		}
 		for r := range Rank(y.shape.Ranks) {
 			if r != hot && !y.holds(r, e) {
-				y.changesTo(hot, r, e, visit)
+				y.visitChangesTo(hot, r, e, visit)
 			}
 		}
 	}
 }
 
-// shareAmong returns the load of one replica among so many.
-func (y *layerSearch) shareAmong(e Expert, replicas int) float64 {
+// replicaLoad returns the load of one of an expert's replicas, given their number.
+func (y *layerSearch) replicaLoad(e Expert, replicas int) float64 {
 	return y.demand.load[e] / float64(replicas)
 }
 
-// changesTo visits the changes that bring an expert of the hot rank to a rank
+// visitChangesTo visits the changes that bring an expert of the hot rank to rank r,
 // which lacks it.
-func (y *layerSearch) changesTo(hot, r Rank, e Expert, visit func(c change)) {
-	leave := placement{rank: hot, expert: e}
-	arrive := placement{rank: r, expert: e, add: true}
+func (y *layerSearch) visitChangesTo(hot, r Rank, e Expert, visit func(c change)) {
+	dropHot := replicaEdit{rank: hot, expert: e}
+	add := replicaEdit{rank: r, expert: e, add: true}
 	replicas := len(y.holders[e])
-	// spare is the work that the receiving rank can take.
-	spare := (y.times[hot] - y.times[r]) * y.demand.speeds[r]
-	moved := y.shareAmong(e, replicas)
-	shared := y.shareAmong(e, replicas+1)
-	if !y.full(r) && shared < spare {
-		visit(newChange(1, arrive))
-		visit(newChange(1, arrive, leave))
+	// spareWork is the work that r can take before it is as slow as the hot rank.
+	spareWork := (y.times[hot] - y.times[r]) * y.demand.speeds[r]
+	movedLoad := y.replicaLoad(e, replicas)
+	sharedLoad := y.replicaLoad(e, replicas+1)
+	if !y.full(r) && sharedLoad < spareWork {
+		visit(newChange(1, add))
+		visit(newChange(1, add, dropHot))
 	}
 	for _, f := range slices.Clone(y.held[r]) {
-		given := y.shareAmong(f, len(y.holders[f]))
-		room := placement{rank: r, expert: f}
+		otherLoad := y.replicaLoad(f, len(y.holders[f]))
+		dropOther := replicaEdit{rank: r, expert: f}
 		redundant := len(y.holders[f]) > 1
-		if redundant && shared-given < spare {
-			visit(newChange(1, room, arrive))
+		if redundant && sharedLoad-otherLoad < spareWork {
+			visit(newChange(1, dropOther, add))
 		}
-		if redundant && moved-given < spare {
-			visit(newChange(1, room, arrive, leave))
+		if redundant && movedLoad-otherLoad < spareWork {
+			visit(newChange(1, dropOther, add, dropHot))
 		}
-		if given < moved && moved-given < spare && !y.holds(hot, f) {
-			back := placement{rank: hot, expert: f, add: true}
-			visit(newChange(2, leave, room, arrive, back))
+		if otherLoad < movedLoad && movedLoad-otherLoad < spareWork && !y.holds(hot, f) {
+			addOther := replicaEdit{rank: hot, expert: f, add: true}
+			visit(newChange(2, dropHot, dropOther, add, addOther))
 		}
 	}
 }
 
 const (
-	// hotRanks is how many of the slowest ranks are looked at before a search
-	// gives up.
+	// hotRanks is how many of the slowest ranks are searched for a change.
 	hotRanks = 3
-	// leastProgress is the share of the potential that a change must save.
-	leastProgress = 1e-4
-	// dropLoads stands for the loads of a change that moves no weights, so that
-	// its gain a byte is finite.
-	dropLoads = 0.25
+	// minProgress is the least share of the potential that a change must save.
+	minProgress = 1e-4
+	// dropTransfers is the number of transfers charged to a change that moves no
+	// weights, so that its gain per transfer is finite.
+	dropTransfers = 0.25
 )
 
-// best returns the change with the best gain a byte that relieves the slowest
-// rank, or where none does, one of the next slowest.
-func (y *layerSearch) best() (change, bool) {
+// bestChange returns the change with the best gain per transfer that relieves the
+// slowest rank or, if there is none, one of the next slowest.
+func (y *layerSearch) bestChange() (change, bool) {
 	start := y.potential()
-	least := start * leastProgress
+	minSaved := start * minProgress
 	var found change
 	for _, hot := range y.hottest(hotRanks) {
 		bestScore := 0.0
-		y.changes(hot, func(c change) {
-			saved := start - y.try(c)
-			score := saved / max(float64(c.loads), dropLoads)
-			if saved > least && score > bestScore {
+		y.visitChanges(hot, func(c change) {
+			saved := start - y.evaluate(c)
+			score := saved / max(float64(c.transfers), dropTransfers)
+			if saved > minSaved && score > bestScore {
 				bestScore = score
 				found = c
 			}
--- a/core/btexpert/noise.go
+++ b/core/btexpert/noise.go
@@ -3,26 +3,27 @@
 import "math"
 
 const (
-	// noiseWeight is the weight of the newest report in the noise.
+	// noiseWeight is the weight of the newest report in the variance.
 	noiseWeight = 0.1
-	// noiseFactor is how many standard deviations of a rank's counted load a
-	// change must save, as a planner picks the ranks whose errors are largest.
+	// noiseFactor is how many standard deviations of a rank's counted load a change
+	// must save, as a planner picks the ranks whose errors are largest.
 	noiseFactor = 3
 )
 
-// noiseMeter estimates how much of what the counts show is chance: how far each
-// report lies from the decayed counts before it, in ranks' loads within a layer.
-// Drift counts as noise too, but from one report to the next it is small.
+// noiseMeter estimates the sampling noise in the counts: the deviation of each
+// report from the decayed counts before it, in ranks' loads within a layer. It
+// includes drift, but that is small from one report to the next.
 type noiseMeter struct {
-	// variance is that of a rank's load in one report, as a share of the mean.
+	// variance is that of a rank's load in one report, relative to the squared
+	// mean.
 	variance float64
 	known    bool
-	// jumps is how many reports in a row lay outside what noise accounts for.
-	jumps int
+	// outliers is how many reports in a row lay outside what noise accounts for.
+	outliers int
 }
 
-// observe takes in the loads by the newest report and by the decayed counts
-// before it, both with the same mean, under a map.
+// observe adds the loads of the newest report and of the decayed counts before it,
+// both with the same mean, under a map.
 func (n *noiseMeter) observe(m Map, recent, decayed Load) {
 	total := 0.0
 	even := EvenSpeeds(m.Shape.Ranks)
@@ -47,64 +48,66 @@
 		n.known = true
 		return
 	}
-	if variance <= noiseClip*n.variance {
-		n.jumps = 0
+	if variance <= maxVarianceGrowth*n.variance {
+		n.outliers = 0
 		n.variance += noiseWeight * (variance - n.variance)
 		return
 	}
-	// A sudden change of popularity is no noise, but if it goes on, noise has grown.
-	n.jumps++
-	n.variance += noiseWeight * (noiseClip - 1) * n.variance
+	// An abrupt shift of popularity isn't noise, but if reports keep deviating, the
+	// noise itself has grown.
+	n.outliers++
+	n.variance += noiseWeight * (maxVarianceGrowth - 1) * n.variance
 }
 
-// jumped tells whether the popularity has changed at once, so that the counts
-// before the change mislead.
-func (n *noiseMeter) jumped() bool { return n.jumps >= jumpReports }
+// shifted reports whether the popularity has shifted abruptly, so that earlier
+// counts mislead.
+func (n *noiseMeter) shifted() bool { return n.outliers >= shiftReports }
 
 const (
-	// noiseClip bounds a report's variance by this many times the one known.
-	noiseClip = 9
-	// jumpReports is how many reports in a row must lie beyond that before the
-	// popularity counts as changed.
-	jumpReports = 2
+	// maxVarianceGrowth bounds a report's variance by this many times the current
+	// estimate.
+	maxVarianceGrowth = 9
+	// shiftReports is how many reports in a row must exceed that to count as a
+	// shift of popularity.
+	shiftReports = 2
 )
 
-// share returns the share of the step time that chance alone may seem to save,
-// where the decayed counts keep the given part of their weight from one report
-// to the next.
-func (n *noiseMeter) share(keep float64) float64 {
-	averaged := n.variance * (1 - keep) / (1 + keep)
+// minDetectableGain returns the share of the step time that a change may seem to
+// save by chance alone, if the decayed counts retain the given share of their
+// weight from one report to the next.
+func (n *noiseMeter) minDetectableGain(retained float64) float64 {
+	averaged := n.variance * (1 - retained) / (1 + retained)
 	return noiseFactor * math.Sqrt(averaged)
 }
 
 const (
 	// floorWeight is the weight of the newest report in the floor.
 	floorWeight = 0.1
-	// floorSkew is the modelled skew above which a report tells nothing about the
-	// floor, as few ranks stick out then.
-	floorSkew = 0.2
-	// largestFloor bounds the floor.
-	largestFloor = 0.5
-	// floorSteps is how often the search for the floor halves its range.
-	floorSteps = 12
+	// maxFloorSkew is the modelled skew above which a report isn't used: the few
+	// slowest ranks then determine the skew, and it says nothing about the floor.
+	maxFloorSkew = 0.2
+	// maxFloor bounds the floor.
+	maxFloor = 0.5
+	// floorBisections is the number of bisections in the search for the floor.
+	floorBisections = 12
 )
 
-// floorMeter estimates the skew that chance alone gives a step: the floor with
-// which the model accounts for measured skews.
+// floorMeter estimates the skew floor: the value with which the model accounts for
+// measured skews.
 type floorMeter struct {
 	value float64
 	known bool
 }
 
-// observe takes in the skew measured under a map and the demand of those steps.
+// observe adds a measured skew, with the map and the demand of its steps.
 func (f *floorMeter) observe(measured float64, m Map, d Demand) {
 	d.SkewFloor = 0
-	if Skew(m, d) > floorSkew {
+	if Skew(m, d) > maxFloorSkew {
 		return
 	}
 	low := 0.0
-	high := largestFloor
-	for range floorSteps {
+	high := maxFloor
+	for range floorBisections {
 		d.SkewFloor = (low + high) / 2
 		if Skew(m, d) < measured {
 			low = d.SkewFloor
--- a/core/btexpert/planner.go
+++ b/core/btexpert/planner.go
@@ -6,22 +6,22 @@
 	"bilberrytide/core/btbundle"
 )
 
-// CostModel hold what a change of the map is worth and what it costs, in weighted
+// CostModel computes the gain and the price of a change of the map, in weighted
 // seconds.
 type CostModel struct {
 	// SkewWeight and MoveWeight are the bundle's placement weights.
 	SkewWeight float64
 	MoveWeight float64
-	// Horizon is how long a new map is expected to stay good.
+	// Horizon is how long a new map is expected to remain useful.
 	Horizon time.Duration
 	// StoreRate is the weight store's rate in bytes per second.
 	StoreRate float64
-	// Stall is how long the group stands still during a switch.
+	// Stall is how long a switch pauses the group.
 	Stall time.Duration
 }
 
-// NewCostModel returns the terms under a bundle's policy, at a store's rate in
-// bytes per second and with the stall of one switch.
+// NewCostModel returns the cost model for a bundle's policy, a store's rate in
+// bytes per second and the stall of one switch.
 func NewCostModel(p btbundle.Placement, rate float64, stall time.Duration) CostModel {
 	return CostModel{
 		SkewWeight: p.SkewWeight,
@@ -32,8 +32,8 @@
 	}
 }
 
-// TransferSeconds returns how many seconds the store takes for the bytes. It is kept
-// in seconds, because a slow store would overflow a duration.
+// TransferSeconds returns how many seconds the store takes for the bytes. A slow
+// store would overflow a time.Duration.
 func (t CostModel) TransferSeconds(bytes int64) float64 {
 	if bytes == 0 {
 		return 0
@@ -41,48 +41,48 @@
 	return float64(bytes) / t.StoreRate
 }
 
-// Gain returns the value of going from one step time to another: the seconds
-// saved from the end of the transfer to the end of the horizon, by the skew
-// weight.
+// Gain returns the value of reducing the step time from before to after: the
+// seconds saved between the end of the transfer and the end of the horizon, times
+// the skew weight.
 func (t CostModel) Gain(before, after float64, bytes int64) float64 {
 	if before <= 0 {
 		return 0
 	}
-	left := max(t.Horizon.Seconds()-t.TransferSeconds(bytes), 0)
-	return t.SkewWeight * left * (1 - after/before)
+	remaining := max(t.Horizon.Seconds()-t.TransferSeconds(bytes), 0)
+	return t.SkewWeight * remaining * (1 - after/before)
 }
 
 // Price returns the cost of one change that transfers the bytes: the seconds of
-// transfer and stall, by the move weight.
+// transfer and stall, times the move weight.
 func (t CostModel) Price(bytes int64) float64 {
 	return t.MoveWeight * (t.TransferSeconds(bytes) + t.Stall.Seconds())
 }
 
-// Problem is what a planner works on. The demand fits the map's shape.
+// Problem is the input of a planner. The demand must fit the map's shape.
 type Problem struct {
 	Map       Map
 	Demand    Demand
 	CostModel CostModel
 }
 
-// Plan is a planner's answer. A plan without a change has the problem's map.
+// Plan is the result of a planner. A plan without a change has the problem's map.
 type Plan struct {
 	Map   Map
 	Moves Moves
-	// Before and After are the modelled step times of the two maps, in tokens of
-	// a rank in order; see StepTime.
+	// Before and After are the modelled step times with the two maps, in the unit
+	// of StepTime.
 	Before float64
 	After  float64
-	// Evaluations is how many changes of a layer the search tried.
+	// Evaluations is the number of changes that the search evaluated.
 	Evaluations int
 }
 
-// Gain returns the plan's expected gain under the terms.
+// Gain returns the plan's expected gain under the cost model.
 func (p Plan) Gain(t CostModel) float64 {
 	return t.Gain(p.Before, p.After, p.Moves.Bytes(p.Map.Shape))
 }
 
-// Price returns the plan's price under the terms, zero for no change.
+// Price returns the plan's price under the cost model, zero for no change.
 func (p Plan) Price(t CostModel) float64 {
 	if p.Before == p.After && len(p.Moves) == 0 {
 		return 0
@@ -98,12 +98,12 @@
 	return 1 - p.After/p.Before
 }
 
-// Planner looks for a better map. It is deterministic, and by its own model its
-// plan is never slower than the map it was given.
+// Planner searches for a better map. It must be deterministic, and its plan must
+// never be slower by the model than the map it was given.
 type Planner interface {
-	// Name names the planner in reports.
+	// Name returns the planner's name in reports.
 	Name() string
-	// Plan answers a problem.
+	// Plan solves a problem.
 	Plan(p Problem) Plan
 }
 
@@ -114,23 +114,24 @@
 	_ Planner = Anytime{}
 )
 
-// Static never changes the map: the baseline without rebalancing.
+// Static never changes the map. It is the baseline without rebalancing.
 type Static struct{}
 
 // Name returns "static".
 func (Static) Name() string { return "static" }
 
 // Plan returns the problem's map.
-func (Static) Plan(p Problem) Plan { return unchanged(p) }
+func (Static) Plan(p Problem) Plan { return unchangedPlan(p) }
 
-func unchanged(p Problem) Plan {
+func unchangedPlan(p Problem) Plan {
 	step := StepTime(p.Map, p.Demand)
 	return Plan{Map: p.Map, Before: step, After: step}
 }
 
-// planOf makes the plan for a map, or for no change where the map is slower.
-func planOf(p Problem, layers []Layer, evaluations int) Plan {
-	plan := unchanged(p)
+// newPlan returns the plan for a map, or one without a change if that map isn't
+// faster.
+func newPlan(p Problem, layers []Layer, evaluations int) Plan {
+	plan := unchangedPlan(p)
 	plan.Evaluations = evaluations
 	found := Map{Shape: p.Map.Shape, Layers: layers}
 	after := StepTime(found, p.Demand)
--- a/core/btexpert/planner_test.go
+++ b/core/btexpert/planner_test.go
@@ -89,7 +89,7 @@
 		d := q.Demand
 		d.Speeds = speeds
 		assert.Equal(t, btexpert.StepTime(m, d), before)
-		// Sums over ranks come in another order, so the last digits may differ.
+		// The sums over ranks are in another order, so the last digits may differ.
 		assert.Assert(t, math.Abs(btexpert.Bound(m.Shape, d)-btexpert.Bound(m.Shape, q.Demand)) <= 1e-9*before)
 	})
 }
@@ -102,9 +102,9 @@
 	return ranks
 }
 
-func TestIncrementalPaysLessForWhatGreedyReaches(t *testing.T) {
+func TestIncrementalHasLargerNetGainThanGreedy(t *testing.T) {
 	t.Parallel()
-	for _, s := range []btexpert.Shape{today, toCome} {
+	for _, s := range []btexpert.Shape{shape16, shape64} {
 		load := zipf(s)
 		q := btexpert.Problem{
 			Map:       btexpert.Uniform(s),
@@ -114,8 +114,8 @@
 		greedy := btexpert.Greedy{}.Plan(q)
 		plan := btexpert.Incremental{}.Plan(q)
 		assert.Assert(t, len(plan.Moves) < len(greedy.Moves), "%d moves, greedy %d", len(plan.Moves), len(greedy.Moves))
-		worth := plan.Gain(q.CostModel) - plan.Price(q.CostModel)
-		assert.Assert(t, worth > greedy.Gain(q.CostModel)-greedy.Price(q.CostModel))
+		netGain := plan.Gain(q.CostModel) - plan.Price(q.CostModel)
+		assert.Assert(t, netGain > greedy.Gain(q.CostModel)-greedy.Price(q.CostModel))
 	}
 }
 
@@ -131,20 +131,21 @@
 	return load
 }
 
-func TestWorkLeavesAStraggler(t *testing.T) {
+func TestPlannersRelieveAStraggler(t *testing.T) {
 	t.Parallel()
 	for _, p := range []btexpert.Planner{btexpert.Greedy{}, btexpert.Incremental{}, btexpert.Anytime{}} {
-		d := btexpert.Demand{Load: zipf(today), Speeds: btexpert.EvenSpeeds(today.Ranks)}
-		q := btexpert.Problem{Map: btexpert.Uniform(today), Demand: d, CostModel: btexpert.NewCostModel(himal, storeRate, switchStall)}
+		d := btexpert.Demand{Load: zipf(shape16), Speeds: btexpert.EvenSpeeds(shape16.Ranks)}
+		q := btexpert.Problem{Map: btexpert.Uniform(shape16), Demand: d, CostModel: btexpert.NewCostModel(himal, storeRate, switchStall)}
 		q.Map = p.Plan(q).Map
 		q.Demand.Speeds[5] = 0.5
 		plan := p.Plan(q)
-		own := btexpert.RankTimes(plan.Map, btexpert.Demand{Load: d.Load, Speeds: btexpert.EvenSpeeds(today.Ranks)})
+		own := btexpert.RankTimes(plan.Map, btexpert.Demand{Load: d.Load, Speeds: btexpert.EvenSpeeds(shape16.Ranks)})
 		assert.Assert(t, own[5] < 0.65*mean(own), "%s: %v of mean %v", p.Name(), own[5], mean(own))
 	}
 }
 
-// A popular expert gets replicas, and the plan tells what that costs.
+// The popular expert gets more replicas, and the plan states the transfers for
+// that.
 func ExampleIncremental() {
 	s := btexpert.Shape{Ranks: 4, Layers: 1, Experts: 4, Slots: 2, ExpertBytes: 44 << 20}
 	plan := btexpert.Incremental{}.Plan(btexpert.Problem{
--- a/core/btexpert/route_test.go
+++ b/core/btexpert/route_test.go
@@ -35,7 +35,7 @@
 	assert.ErrorIs(t, err, btexpert.ErrMembers)
 }
 
-// request is one running request of the routing run.
+// request is a running request in the simulation.
 type request struct {
 	rank   btexpert.Rank
 	tokens int64
@@ -57,8 +57,8 @@
 	return scores[0].Rank
 }
 
-// What the routing run assumes: the experts take 600 units of a mean rank's
-// step, and 64 requests of 1,500 tokens on average about 400.
+// routeCosts are the costs in the simulation: the experts take 600 units of a mean
+// rank's step, and 64 requests of 1,500 tokens on average about 400.
 var routeCosts = btexpert.Costs{Request: 2, KVToken: 0.0028}
 
 const (
@@ -69,9 +69,9 @@
 	routeExpertTime = 600
 )
 
-// routing plays requests of random length against a router, and returns the
-// skews of whole steps.
-func routing(m btexpert.Map, speeds btexpert.Speeds, pick router, steps int, seed uint64) []float64 {
+// simulateRouting routes requests of random length by a router, and returns the
+// skew of each step after the warm-up.
+func simulateRouting(m btexpert.Map, speeds btexpert.Speeds, pick router, steps int, seed uint64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 0))
 	s := m.Shape
 	load := zipf(s)
@@ -83,7 +83,7 @@
 	sent := 0
 	for step := range steps {
 		if step%routeReportLag == 0 {
-			observe(members, running, expert, speeds)
+			reportMembers(members, running, expert, speeds)
 		}
 		for range arrivals(random, s.Ranks) {
 			q := newRequest(random)
@@ -92,9 +92,9 @@
 			sent++
 			running = append(running, q)
 		}
-		running = advance(running)
+		running = finishStep(running)
 		if step >= routeWarmUp {
-			skews = append(skews, jointSkew(running, expert, speeds))
+			skews = append(skews, stepSkew(running, expert, speeds))
 		}
 	}
 	return skews
@@ -109,12 +109,12 @@
 	}
 }
 
-// meanAnswer is the mean length of an answer in steps; with 64 requests a rank
-// running, as many begin and end in that time.
-const meanAnswer = 300
+// meanAnswerSteps is the mean length of an answer in steps. With 64 requests
+// running on each rank, as many begin and end in that time.
+const meanAnswerSteps = 300
 
 func arrivals(random *rand.Rand, ranks int) int {
-	expected := 64 * float64(ranks) / meanAnswer
+	expected := 64 * float64(ranks) / meanAnswerSteps
 	n := int(expected)
 	if random.Float64() < expected-float64(n) {
 		n++
@@ -124,10 +124,10 @@
 
 func newRequest(random *rand.Rand) request {
 	tokens := int64(math.Exp(7+0.8*random.NormFloat64()) * 0.9)
-	return request{tokens: tokens, left: 1 + int(random.ExpFloat64()*meanAnswer)}
+	return request{tokens: tokens, left: 1 + int(random.ExpFloat64()*meanAnswerSteps)}
 }
 
-func advance(running []request) []request {
+func finishStep(running []request) []request {
 	left := running[:0]
 	for _, q := range running {
 		q.left--
@@ -139,7 +139,7 @@
 	return left
 }
 
-func observe(members []btexpert.Member, running []request, expert []float64, speeds btexpert.Speeds) {
+func reportMembers(members []btexpert.Member, running []request, expert []float64, speeds btexpert.Speeds) {
 	for r := range members {
 		members[r] = btexpert.Member{KVLimit: 1 << 20, Expert: expert[r], Speed: speeds[r]}
 	}
@@ -149,7 +149,7 @@
 	}
 }
 
-func jointSkew(running []request, expert []float64, speeds btexpert.Speeds) float64 {
+func stepSkew(running []request, expert []float64, speeds btexpert.Speeds) float64 {
 	work := append([]float64(nil), expert...)
 	for _, q := range running {
 		work[q.rank] += routeCosts.Request + routeCosts.KVToken*float64(q.tokens)
@@ -162,11 +162,11 @@
 	return slowest/mean(work) - 1
 }
 
-// settledMap returns a map that the incremental planner found for the load.
-func settledMap(speeds btexpert.Speeds) btexpert.Map {
+// plannedMap returns the map that the incremental planner finds for the load.
+func plannedMap(speeds btexpert.Speeds) btexpert.Map {
 	q := btexpert.Problem{
-		Map:       btexpert.Uniform(today),
-		Demand:    btexpert.Demand{Load: zipf(today), Speeds: speeds},
+		Map:       btexpert.Uniform(shape16),
+		Demand:    btexpert.Demand{Load: zipf(shape16), Speeds: speeds},
 		CostModel: btexpert.NewCostModel(faellesrum, storeRate, switchStall),
 	}
 	return btexpert.Incremental{}.Plan(q).Map
@@ -174,38 +174,39 @@
 
 func TestRoutingByScoreKeepsTheSlowestRankLow(t *testing.T) {
 	t.Parallel()
-	even := btexpert.EvenSpeeds(today.Ranks)
-	slow := btexpert.EvenSpeeds(today.Ranks)
+	even := btexpert.EvenSpeeds(shape16.Ranks)
+	slow := btexpert.EvenSpeeds(shape16.Ranks)
 	slow[5] = 0.8
 	for _, speeds := range []btexpert.Speeds{even, slow} {
-		m := settledMap(even)
-		robin := quantile(routing(m, speeds, roundRobin, routeTestSteps, 1), 0.95)
-		scored := quantile(routing(m, speeds, byScore, routeTestSteps, 1), 0.95)
+		m := plannedMap(even)
+		robin := quantile(simulateRouting(m, speeds, roundRobin, routeTestSteps, 1), 0.95)
+		scored := quantile(simulateRouting(m, speeds, byScore, routeTestSteps, 1), 0.95)
 		assert.Assert(t, scored < robin/2, "p95 skew %v, round robin %v", scored, robin)
 	}
 }
 
-// BenchmarkRouting prints the joint effect of placement and routing on steps.
+// BenchmarkRouting prints the joint effect of placement and routing on the skew of
+// steps.
 func BenchmarkRouting(b *testing.B) {
 	if b.N != 1 {
 		return
 	}
 	fmt.Printf("\nrouting, 16 ranks x 64 requests, seed 1\n%-12s %-12s %-12s %6s %6s %6s\n", "ranks", "map", "router", "mean", "p95", "p99")
-	slow := btexpert.EvenSpeeds(today.Ranks)
+	slow := btexpert.EvenSpeeds(shape16.Ranks)
 	slow[5] = 0.8
 	for _, ranks := range []struct {
 		name   string
 		speeds btexpert.Speeds
-	}{{"even", btexpert.EvenSpeeds(today.Ranks)}, {"one at 0.8", slow}} {
+	}{{"even", btexpert.EvenSpeeds(shape16.Ranks)}, {"one at 0.8", slow}} {
 		for _, m := range []struct {
 			name string
 			m    btexpert.Map
-		}{{"uniform", btexpert.Uniform(today)}, {"incremental", settledMap(ranks.speeds)}} {
+		}{{"uniform", btexpert.Uniform(shape16)}, {"incremental", plannedMap(ranks.speeds)}} {
 			for _, p := range []struct {
 				name string
 				pick router
 			}{{"round robin", roundRobin}, {"by score", byScore}} {
-				v := routing(m.m, ranks.speeds, p.pick, routeSteps, 1)
+				v := simulateRouting(m.m, ranks.speeds, p.pick, routeSteps, 1)
 				fmt.Printf("%-12s %-12s %-12s %6.1f %6.1f %6.1f\n", ranks.name, m.name, p.name, 100*mean(v), 100*quantile(v, 0.95), 100*quantile(v, 0.99))
 			}
 		}
--- a/core/btexpert/search.go
+++ b/core/btexpert/search.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// layerSearch is one layer under local search. It keeps each rank's time up to
-// date while replicas come and go.
+// layerSearch is one layer in a local search. It keeps each rank's time up to date
+// as replicas are added and removed.
 type layerSearch struct {
 	shape   Shape
 	demand  layerDemand
 	holders [][]Rank
 	held    [][]Expert
-	// has tells by rank and expert what held lists.
+	// has is indexed by rank and expert, and true for the experts in held.
 	has   []bool
 	times []float64
-	// ideal is the time that the layer can't beat, the unit of the potential.
-	ideal       float64
-	scratch     []float64
+	// lowerBound is a time that the layer can't beat, the unit of the potential.
+	lowerBound  float64
+	savedTimes  []float64
 	evaluations int
 }
 
-// newLayerSearch starts from a layer of a valid map.
+// newLayerSearch returns a search that starts from a layer of a valid map.
 func newLayerSearch(s Shape, layer Layer, d layerDemand) *layerSearch {
 	y := &layerSearch{
-		shape:   s,
-		demand:  d,
-		times:   make([]float64, s.Ranks),
-		ideal:   d.least(s),
-		scratch: make([]float64, s.Ranks),
+		shape:      s,
+		demand:     d,
+		times:      make([]float64, s.Ranks),
+		lowerBound: d.lowerBound(s),
+		savedTimes: make([]float64, s.Ranks),
 	}
 	y.reset(layer)
 	return y
 }
 
-// reset goes to another layer map of the same load.
+// reset continues from another layer map of the same load.
 func (y *layerSearch) reset(layer Layer) {
 	y.held = layer.clone().Ranks
 	y.holders = make([][]Rank, y.shape.Experts)
@@ -42,11 +42,12 @@
 			y.has[r*y.shape.Experts+int(e)] = true
 		}
 	}
-	y.settle()
+	y.recompute()
 }
 
-// settle computes the times anew, so that rounding doesn't add up.
-func (y *layerSearch) settle() {
+// recompute computes the times from scratch, so that rounding errors don't
+// accumulate.
+func (y *layerSearch) recompute() {
 	for r := range y.times {
 		y.times[r] = y.demand.base / y.demand.speeds[r]
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-// layer returns the map that the search stands at.
+// layer returns the current layer map.
 func (y *layerSearch) layer() Layer {
 	l := Layer{Ranks: y.held}.clone()
 	for _, experts := range l.Ranks {
@@ -67,15 +68,16 @@
 	return l
 }
 
-// lasting returns the layer's time.
-func (y *layerSearch) lasting() float64 { return y.demand.lasting(y.times) }
+// duration returns how long the layer takes.
+func (y *layerSearch) duration() float64 { return y.demand.duration(y.times) }
 
-// potential falls when the slowest ranks become faster, also while others stay
-// as slow: the sum of the ranks' times over the ideal, to the eighth power.
+// potential returns the sum of the ranks' times over the lower bound, each to the
+// eighth power. Unlike the maximum it also falls if only some of several equally
+// slow ranks become faster.
 func (y *layerSearch) potential() float64 {
 	total := 0.0
 	for _, t := range y.times {
-		v := t / y.ideal
+		v := t / y.lowerBound
 		v *= v
 		v *= v
 		total += v * v
@@ -83,7 +85,7 @@
 	return total
 }
 
-// hottest returns the ranks by falling time, at most n of them.
+// hottest returns at most n ranks, the slowest first.
 func (y *layerSearch) hottest(n int) []Rank {
 	ranks := make([]Rank, y.shape.Ranks)
 	for r := range ranks {
@@ -105,35 +107,37 @@
 
 func (y *layerSearch) full(r Rank) bool { return len(y.held[r]) == y.shape.Slots }
 
-// add puts a replica on a rank and splits the expert's load anew.
+// add places a replica on a rank and splits the expert's load anew.
 func (y *layerSearch) add(r Rank, e Expert) {
-	y.share(e, -1)
-	y.list(r, e)
-	y.share(e, 1)
+	y.addShares(e, -1)
+	y.recordReplica(r, e)
+	y.addShares(e, 1)
 }
 
-// drop takes a replica from a rank and splits the expert's load anew.
+// drop removes a replica from a rank and splits the expert's load anew.
 func (y *layerSearch) drop(r Rank, e Expert) {
-	y.share(e, -1)
-	y.unlist(r, e)
-	y.share(e, 1)
+	y.addShares(e, -1)
+	y.eraseReplica(r, e)
+	y.addShares(e, 1)
 }
 
-// list notes a replica, without its share of the times.
-func (y *layerSearch) list(r Rank, e Expert) {
+// recordReplica adds a replica to the lists without updating the times.
+func (y *layerSearch) recordReplica(r Rank, e Expert) {
 	y.holders[e] = append(y.holders[e], r)
 	y.held[r] = append(y.held[r], e)
 	y.has[int(r)*y.shape.Experts+int(e)] = true
 }
 
-// unlist is the reverse of list.
-func (y *layerSearch) unlist(r Rank, e Expert) {
-	y.holders[e] = without(y.holders[e], r)
-	y.held[r] = without(y.held[r], e)
+// eraseReplica is the reverse of recordReplica.
+func (y *layerSearch) eraseReplica(r Rank, e Expert) {
+	y.holders[e] = removeUnordered(y.holders[e], r)
+	y.held[r] = removeUnordered(y.held[r], e)
 	y.has[int(r)*y.shape.Experts+int(e)] = false
 }
 
-func (y *layerSearch) share(e Expert, sign float64) {
+// addShares adds an expert's load to its holders' times, or subtracts it if sign is
+// -1.
+func (y *layerSearch) addShares(e Expert, sign float64) {
 	ranks := y.holders[e]
 	if len(ranks) == 0 {
 		return
@@ -144,8 +148,9 @@
 	}
 }
 
-// without removes a value from a list in which order doesn't matter.
-func without[T comparable](list []T, v T) []T {
+// removeUnordered removes the first occurrence of a value from a list, without
+// keeping the order.
+func removeUnordered[T comparable](list []T, v T) []T {
 	last := len(list) - 1
 	for i := range list {
 		if list[i] == v {
@@ -156,38 +161,39 @@
 	return list
 }
 
-// placement puts a replica on a rank, or takes it away.
-type placement struct {
+// replicaEdit adds a replica to a rank or removes it.
+type replicaEdit struct {
 	rank   Rank
 	expert Expert
 	add    bool
 }
 
-// maxPlacements is how many steps a change has at most.
-const maxPlacements = 4
+// maxEdits is the largest number of edits in a change.
+const maxEdits = 4
 
-// change is a small change of a layer, and how many experts must be loaded.
+// change is a step of the local search: a few edits of a layer, and the transfers
+// that they need.
 type change struct {
-	steps [maxPlacements]placement
-	count int
-	loads int
+	edits     [maxEdits]replicaEdit
+	count     int
+	transfers int
 }
 
-func newChange(loads int, steps ...placement) change {
-	c := change{count: len(steps), loads: loads}
-	copy(c.steps[:], steps)
+func newChange(transfers int, edits ...replicaEdit) change {
+	c := change{count: len(edits), transfers: transfers}
+	copy(c.edits[:], edits)
 	return c
 }
 
-// apply makes the change for good.
+// apply makes a change.
 func (y *layerSearch) apply(c change) {
-	for _, p := range c.steps[:c.count] {
-		y.place(p)
+	for _, p := range c.edits[:c.count] {
+		y.applyEdit(p)
 	}
-	y.settle()
+	y.recompute()
 }
 
-func (y *layerSearch) place(p placement) {
+func (y *layerSearch) applyEdit(p replicaEdit) {
 	if p.add {
 		y.add(p.rank, p.expert)
 		return
@@ -195,26 +201,26 @@
 	y.drop(p.rank, p.expert)
 }
 
-// unplace undoes a step but for the times.
-func (y *layerSearch) unplace(p placement) {
+// revertEdit undoes an edit without updating the times.
+func (y *layerSearch) revertEdit(p replicaEdit) {
 	if p.add {
-		y.unlist(p.rank, p.expert)
+		y.eraseReplica(p.rank, p.expert)
 		return
 	}
-	y.list(p.rank, p.expert)
+	y.recordReplica(p.rank, p.expert)
 }
 
-// try returns the potential after the change, and undoes it.
-func (y *layerSearch) try(c change) float64 {
+// evaluate returns the potential after a change, without applying it.
+func (y *layerSearch) evaluate(c change) float64 {
 	y.evaluations++
-	copy(y.scratch, y.times)
-	for _, p := range c.steps[:c.count] {
-		y.place(p)
+	copy(y.savedTimes, y.times)
+	for _, p := range c.edits[:c.count] {
+		y.applyEdit(p)
 	}
 	v := y.potential()
 	for i := c.count - 1; i >= 0; i-- {
-		y.unplace(c.steps[i])
+		y.revertEdit(c.edits[i])
 	}
-	copy(y.times, y.scratch)
+	copy(y.times, y.savedTimes)
 	return v
 }
--- a/core/btexpert/jump_test.go
+++ b/core/btexpert/shift_test.go
@@ -11,32 +11,34 @@
 	"bilberrytide/core/btexpert/bttrace"
 )
 
-// jump reports another popularity, as often as it takes to be believed.
-func (f *fixture) jump() {
-	counts := unevenCounts(today)
+// shiftPopularity reports another popularity, as often as it takes to count as a
+// shift.
+func (f *fixture) shiftPopularity() {
+	counts := unevenCounts(shape16)
 	for l := range counts {
 		slices.Reverse(counts[l])
 	}
 	f.step(btexpert.CountsReported{Counts: counts})
 	effects := f.step(btexpert.CountsReported{Counts: counts})
-	if len(effects) != 1 || effects[0].(btexpert.Explain).Reason != btexpert.ExplainJump {
-		panic("the jump went unnoticed")
+	if len(effects) != 1 || effects[0].(btexpert.Explain).Reason != btexpert.ExplainShift {
+		panic("the shift was not reported")
 	}
 }
 
-// The forecast of a change for a popularity that is gone can't be measured, so
-// neither that nor the rest of an interval holds back the next change.
-func TestJumpEndsTheWait(t *testing.T) {
+// After a shift, the forecast of a change made for the earlier popularity can't be
+// measured. Guards against that measurement, or the rest of the interval, blocking
+// the next change.
+func TestShiftEndsMeasurementAndInterval(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		events func(f *fixture, p btexpert.Map)
 	}{
 		{"while measuring", func(f *fixture, p btexpert.Map) {
 			f.step(btexpert.MapInForce{Map: p})
-			f.jump()
+			f.shiftPopularity()
 		}},
 		{"while switching", func(f *fixture, p btexpert.Map) {
-			f.jump()
+			f.shiftPopularity()
 			assert.Equal(t, f.step(btexpert.Tick{})[0].(btexpert.Keep).Reason, btexpert.KeepSwitching)
 			f.step(btexpert.MapInForce{Map: p})
 		}},
@@ -50,12 +52,12 @@
 	}
 }
 
-// Soon after a jump, the rest of the interval isn't waited for either once an
-// effect is measured.
-func TestBlockedConsiderationIsMadeUp(t *testing.T) {
+// Soon after a shift, a consideration blocked by the last change must happen as
+// soon as its effect is measured, not at the end of the interval.
+func TestBlockedConsiderationIsRetriedAfterShift(t *testing.T) {
 	f := newFixture(faellesrum)
 	f.count()
-	f.jump()
+	f.shiftPopularity()
 	p := f.tick().(btexpert.Propose)
 	f.step(btexpert.MapInForce{Map: p.Map})
 	assert.Equal(t, f.tick().(btexpert.Keep).Reason, btexpert.KeepMeasuring)
@@ -69,13 +71,13 @@
 	assert.Equal(t, len(f.step(btexpert.Tick{})), 0)
 }
 
-// After a sudden change the steps are even again within three reports: the jump
-// is believed at the second, and the new weights take the rest.
-func TestStepsAreEvenSoonAfterASuddenChange(t *testing.T) {
+// After a shift, steps must be even again within three reports: the shift is
+// recognised at the second one, and the transfer of the weights takes the rest.
+func TestStepsAreEvenSoonAfterShift(t *testing.T) {
 	t.Parallel()
 	for _, seed := range steadySeeds {
-		r := newRun(24*time.Minute, quick, bttrace.Shift, seed, newDecider(btexpert.Incremental{}), himal).play()
-		t.Logf("seed %d: %v", seed, r.settled())
-		assert.Assert(t, r.settled() <= 3*reportInterval, "seed %d: %v", seed, r.settled())
+		r := newTraceRun(24*time.Minute, quickShape, bttrace.Shift, seed, newDecider(btexpert.Incremental{}), himal).play()
+		t.Logf("seed %d: %v", seed, r.settlingTime())
+		assert.Assert(t, r.settlingTime() <= 3*reportInterval, "seed %d: %v", seed, r.settlingTime())
 	}
 }
--- a/core/btexpert/speed_test.go
+++ b/core/btexpert/speed_test.go
@@ -9,8 +9,9 @@
 	"bilberrytide/core/btexpert"
 )
 
-// times returns own step times of a base and a unit for each load.
-func times(loads []float64, base float64, slow int, factor float64) []time.Duration {
+// ownTimes returns step times in milliseconds of base plus load, with one rank
+// slowed by a factor.
+func ownTimes(loads []float64, base float64, slow int, factor float64) []time.Duration {
 	own := make([]time.Duration, len(loads))
 	for r, v := range loads {
 		own[r] = seconds((base + v) * 1e-3)
@@ -21,12 +22,12 @@
 	return own
 }
 
-func TestMeterFindsAStragglerAndItsRecovery(t *testing.T) {
+func TestSpeedMeterReportsStragglerAndRecovery(t *testing.T) {
 	m := btexpert.NewSpeedMeter(btexpert.Shape{Ranks: 6, Layers: 1, Experts: 6, Slots: 1, ExpertBytes: 1})
 	loads := []float64{0.6, 1.4, 1, 0.8, 1.2, 1}
 	var found []btexpert.Straggler
 	for range 6 {
-		found = append(found, m.Observe(times(loads, 2, 4, 2), loads)...)
+		found = append(found, m.Observe(ownTimes(loads, 2, 4, 2), loads)...)
 	}
 	assert.Equal(t, len(found), 1)
 	assert.Equal(t, found[0].Rank, btexpert.Rank(4))
@@ -35,20 +36,20 @@
 	assert.Equal(t, m.Speeds()[4], 0.5)
 	found = nil
 	for range 12 {
-		found = append(found, m.Observe(times(loads, 2, 4, 1), loads)...)
+		found = append(found, m.Observe(ownTimes(loads, 2, 4, 1), loads)...)
 	}
 	assert.Equal(t, len(found), 1)
 	assert.Assert(t, found[0].Recovered)
 	assert.DeepEqual(t, m.Speeds(), btexpert.EvenSpeeds(6))
 }
 
-// A rank that is late because of the experts on it is no straggler, nor is a
-// lightly loaded one whose base work weighs more.
-func TestMeterDoesNotBlameLoad(t *testing.T) {
+// Guards against reporting a rank as a straggler that is late because of the
+// experts on it, or a lightly loaded one on which the base work weighs more.
+func TestSpeedMeterAllowsForLoad(t *testing.T) {
 	m := btexpert.NewSpeedMeter(btexpert.Shape{Ranks: 6, Layers: 1, Experts: 6, Slots: 1, ExpertBytes: 1})
 	loads := []float64{0.1, 3, 1, 0.8, 0.9, 0.2}
 	for range 20 {
-		assert.Equal(t, len(m.Observe(times(loads, 1, -1, 1), loads)), 0)
+		assert.Equal(t, len(m.Observe(ownTimes(loads, 1, -1, 1), loads)), 0)
 	}
 	assert.DeepEqual(t, m.Speeds(), btexpert.EvenSpeeds(6))
 }
--- a/core/btexpert/hold_budget_test.go
+++ b/core/btexpert/stall_budget_test.go
@@ -10,9 +10,9 @@
 	"bilberrytide/core/btexpert"
 )
 
-// heldShare plays changes that are wanted every 0.7 s for a minute, and returns the
-// part of the time for which they hold the group.
-func heldShare(hold func() time.Duration, allows func(time.Time) bool, held func(time.Time, time.Duration)) (share float64, changes int) {
+// stallShare simulates a minute in which a change is wanted every 0.7 s. It returns
+// the share of the time for which changes stall the group, and their number.
+func stallShare(stallTime func() time.Duration, allows func(time.Time) bool, record func(time.Time, time.Duration)) (share float64, changes int) {
 	begin := time.Unix(1000, 0)
 	const minute = time.Minute
 	total := time.Duration(0)
@@ -20,36 +20,39 @@
 		if !allows(now) {
 			continue
 		}
-		took := hold()
-		held(now, took)
+		took := stallTime()
+		record(now, took)
 		total += took
 		changes++
 	}
 	return total.Seconds() / minute.Seconds(), changes
 }
 
-func TestHoldBudgetBoundsWhatUnansweredOrdersCost(t *testing.T) {
+// Guards against changes that stall the group for over 30% of the time, as each one
+// does for 100 to 400 ms while commands stay unanswered.
+func TestStallBudgetBoundsLongStalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	slow := func() time.Duration { return time.Duration(100+random.IntN(300)) * time.Millisecond }
-	without, _ := heldShare(slow, func(time.Time) bool { return true }, func(time.Time, time.Duration) {})
+	without, _ := stallShare(slow, func(time.Time) bool { return true }, func(time.Time, time.Duration) {})
 	var b btexpert.StallBudget
-	with, _ := heldShare(slow, b.Allows, b.Record)
+	with, _ := stallShare(slow, b.Allows, b.Record)
 	t.Logf("held for %.3f of the time without a budget, %.3f with one", without, with)
 	assert.Assert(t, without > 0.3)
 	assert.Assert(t, with < 0.08)
 }
 
-func TestHoldBudgetLeavesUsualChangesAlone(t *testing.T) {
+// Stalls of the usual length must not reduce the number of changes.
+func TestStallBudgetAllowsUsualStalls(t *testing.T) {
 	usual := func() time.Duration { return 30 * time.Millisecond }
 	var b btexpert.StallBudget
-	_, with := heldShare(usual, b.Allows, b.Record)
-	_, without := heldShare(usual, func(time.Time) bool { return true }, func(time.Time, time.Duration) {})
+	_, with := stallShare(usual, b.Allows, b.Record)
+	_, without := stallShare(usual, func(time.Time) bool { return true }, func(time.Time, time.Duration) {})
 	assert.Equal(t, with, without)
 }
 
-// One hold of seconds, as by a host that stood still, costs a short rest and none
-// once changes go well again.
-func TestHoldBudgetForgetsOneLongHold(t *testing.T) {
+// One stall of seconds, as by a host that stood still, must block changes for a
+// short time only, and no longer once stalls have their usual length again.
+func TestStallBudgetRecoversFromOneLongStall(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	var b btexpert.StallBudget
 	b.Record(begin, 3*time.Second)
--- a/core/btexpert/tables_test.go
+++ b/core/btexpert/tables_test.go
@@ -15,8 +15,8 @@
 	"bilberrytide/core/btid"
 )
 
-// What the measured runs assume. The times of two steps are sampled for each
-// report, whose counts are those of all its steps.
+// Assumptions of the measured runs. Each report has the sampled times of two steps,
+// and the counts of all steps of its interval.
 const (
 	stepsPerReport = 2
 	reportInterval = 10 * time.Second
@@ -30,18 +30,18 @@
 )
 
 var (
-	today  = btexpert.Shape{Ranks: 16, Layers: 4, Experts: 64, Slots: 5, ExpertBytes: 44 << 20}
-	toCome = btexpert.Shape{Ranks: 64, Layers: 8, Experts: 64, Slots: 2, ExpertBytes: 44 << 20}
-	roomy  = btexpert.Shape{Ranks: 64, Layers: 8, Experts: 64, Slots: 3, ExpertBytes: 44 << 20}
+	shape16      = btexpert.Shape{Ranks: 16, Layers: 4, Experts: 64, Slots: 5, ExpertBytes: 44 << 20}
+	shape64      = btexpert.Shape{Ranks: 64, Layers: 8, Experts: 64, Slots: 2, ExpertBytes: 44 << 20}
+	shape64Spare = btexpert.Shape{Ranks: 64, Layers: 8, Experts: 64, Slots: 3, ExpertBytes: 44 << 20}
 )
 
 // The lengths of runs, from the start of the day, when the mixes change fastest.
 const (
-	hoursToday  = 4 * time.Hour
-	hoursToCome = time.Hour
-	hoursQuick  = 40 * time.Minute
-	// settling is left out of the skews, as every run starts from an even map.
-	settling = 10 * time.Minute
+	lengthShape16 = 4 * time.Hour
+	lengthShape64 = time.Hour
+	lengthQuick   = 40 * time.Minute
+	// warmUp is excluded from the skews, as every run starts from a uniform map.
+	warmUp = 10 * time.Minute
 )
 
 // policy returns a placement policy.
@@ -72,15 +72,15 @@
 	}
 }
 
-// timed measures a planner's processor time.
-type timed struct {
+// timedPlanner measures the time that a planner takes.
+type timedPlanner struct {
 	btexpert.Planner
 	total   *time.Duration
 	largest *time.Duration
 	plans   *int
 }
 
-func (p timed) Plan(q btexpert.Problem) btexpert.Plan {
+func (p timedPlanner) Plan(q btexpert.Problem) btexpert.Plan {
 	start := time.Now()
 	plan := p.Planner.Plan(q)
 	took := time.Since(start)
@@ -90,9 +90,10 @@
 	return plan
 }
 
-// always proposes what its planner finds at each interval, without weighing it
-// and without waiting for its effect: no decider.
-type always struct {
+// unconditionalRebalancer is a baseline without a Decider: it proposes the
+// planner's map at each interval, without weighing it against the price or waiting
+// for its effect.
+type unconditionalRebalancer struct {
 	planner  btexpert.Planner
 	interval time.Duration
 	halfLife time.Duration
@@ -102,12 +103,12 @@
 	counter  *btexpert.Counter
 }
 
-func (a *always) Step(now time.Time, event btexpert.Event) []btexpert.Effect {
+func (a *unconditionalRebalancer) Step(now time.Time, event btexpert.Event) []btexpert.Effect {
 	a.now = now
 	switch e := event.(type) {
 	case btexpert.MapInForce:
 		a.inForce = e.Map
-		a.counter = cmpOr(a.counter, btexpert.NewCounter(e.Map.Shape, a.halfLife))
+		a.counter = firstCounter(a.counter, btexpert.NewCounter(e.Map.Shape, a.halfLife))
 	case btexpert.CountsReported:
 		a.counter.Add(now, e.Counts)
 	case btexpert.Tick:
@@ -116,14 +117,14 @@
 	return nil
 }
 
-func cmpOr(a, b *btexpert.Counter) *btexpert.Counter {
+func firstCounter(a, b *btexpert.Counter) *btexpert.Counter {
 	if a != nil {
 		return a
 	}
 	return b
 }
 
-func (a *always) tick() []btexpert.Effect {
+func (a *unconditionalRebalancer) tick() []btexpert.Effect {
 	if a.now.Sub(a.last) < a.interval {
 		return nil
 	}
@@ -139,35 +140,35 @@
 	return []btexpert.Effect{btexpert.Propose{Map: plan.Map, Moves: plan.Moves}}
 }
 
-// stepper is what a run drives: a decider of any planner.
-type stepper interface {
+// stepMachine is what a run drives: a Decider or a baseline.
+type stepMachine interface {
 	Step(now time.Time, event btexpert.Event) []btexpert.Effect
 }
 
-// run plays a trace against a stepper.
-type run struct {
-	length  time.Duration
-	shape   btexpert.Shape
-	trace   *bttrace.Trace
-	machine stepper
-	inForce btexpert.Map
-	next    *btexpert.Map
-	ready   time.Duration
-	// base is the work beside the experts, in units of the mean rank's experts.
-	base      float64
-	skews     []float64
-	bounds    []float64
-	splits    []float64
-	moves     int
-	lateMoves int
-	switches  int
-	explained []btexpert.Explain
-	kept      map[string]int
-	proposed  []btexpert.Propose
+// traceRun runs a trace against a stepMachine.
+type traceRun struct {
+	length     time.Duration
+	shape      btexpert.Shape
+	trace      *bttrace.Trace
+	machine    stepMachine
+	inForce    btexpert.Map
+	pendingMap *btexpert.Map
+	readyAt    time.Duration
+	// base is the work other than experts, in units of the mean rank's expert work.
+	base       float64
+	skews      []float64
+	boundSkews []float64
+	splitSkews []float64
+	moves      int
+	lateMoves  int
+	switches   int
+	explained  []btexpert.Explain
+	kept       map[string]int
+	proposed   []btexpert.Propose
 }
 
-func newRun(length time.Duration, s btexpert.Shape, kind bttrace.Kind, seed uint64, m stepper, p btbundle.Placement) *run {
-	r := &run{
+func newTraceRun(length time.Duration, s btexpert.Shape, kind bttrace.Kind, seed uint64, m stepMachine, p btbundle.Placement) *traceRun {
+	r := &traceRun{
 		length:  length,
 		shape:   s,
 		trace:   bttrace.New(kind, s, zipfExponent, length, seed),
@@ -182,7 +183,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (r *run) step(at time.Duration, event btexpert.Event) {
+func (r *traceRun) step(at time.Duration, event btexpert.Event) {
 	for _, effect := range r.machine.Step(epoch.Add(at), event) {
 		switch e := effect.(type) {
 		case btexpert.Propose:
@@ -195,10 +196,10 @@
 	}
 }
 
-func (r *run) propose(at time.Duration, e btexpert.Propose) {
-	r.next = &e.Map
+func (r *traceRun) propose(at time.Duration, e btexpert.Propose) {
+	r.pendingMap = &e.Map
 	bytes := e.Moves.Bytes(r.shape)
-	r.ready = at + time.Duration(float64(bytes)/storeRate*float64(time.Second)) + switchStall
+	r.readyAt = at + time.Duration(float64(bytes)/storeRate*float64(time.Second)) + switchStall
 	r.moves += len(e.Moves)
 	if at >= r.length/2 {
 		r.lateMoves += len(e.Moves)
@@ -208,10 +209,10 @@
 }
 
 // play runs the whole trace.
-func (r *run) play() *run { return r.playWhile(func() bool { return true }) }
+func (r *traceRun) play() *traceRun { return r.playWhile(func() bool { return true }) }
 
-// playWhile runs the trace until its end or until the condition no longer holds.
-func (r *run) playWhile(holds func() bool) *run {
+// playWhile runs the trace until its end or until the condition is false.
+func (r *traceRun) playWhile(holds func() bool) *traceRun {
 	for at := time.Duration(0); at <= r.length && holds(); at += reportInterval {
 		r.finishSwitch(at)
 		r.report(at)
@@ -220,18 +221,18 @@
 	return r
 }
 
-// finishSwitch puts a proposed map in force once its weights are there.
-func (r *run) finishSwitch(at time.Duration) {
-	if r.next == nil || r.ready > at {
+// finishSwitch puts a proposed map in force once its weights are transferred.
+func (r *traceRun) finishSwitch(at time.Duration) {
+	if r.pendingMap == nil || r.readyAt > at {
 		return
 	}
-	r.inForce = *r.next
-	r.next = nil
+	r.inForce = *r.pendingMap
+	r.pendingMap = nil
 	r.step(at, btexpert.MapInForce{Map: r.inForce, Stall: switchStall})
 }
 
-// report samples a few steps and tells their counts and times.
-func (r *run) report(at time.Duration) {
+// report samples a few steps and reports their counts and times.
+func (r *traceRun) report(at time.Duration) {
 	popularity := r.trace.Popularity(at)
 	speeds := r.trace.Speeds(at)
 	splits := make([][][]bttrace.Fraction, r.shape.Layers)
@@ -245,10 +246,10 @@
 	for range stepsPerReport {
 		counts := r.trace.Sample(popularity, calls)
 		d := btexpert.Demand{Load: loadOf(counts), Speeds: speeds, Base: r.base * callsPerRank}
-		if at >= settling {
+		if at >= warmUp {
 			r.skews = append(r.skews, btexpert.Skew(r.inForce, d))
-			r.bounds = append(r.bounds, btexpert.BoundSkew(r.shape, d))
-			r.splits = append(r.splits, bttrace.SplitSkew(splits, counts, speeds))
+			r.boundSkews = append(r.boundSkews, btexpert.BoundSkew(r.shape, d))
+			r.splitSkews = append(r.splitSkews, bttrace.SplitSkew(splits, counts, speeds))
 		}
 		step += btexpert.StepTime(r.inForce, d)
 		for k, v := range btexpert.RankTimes(r.inForce, d) {
@@ -271,7 +272,7 @@
 	return load
 }
 
-// timesReported turns tokens into times, so that a mean rank takes meanStep.
+// timesReported converts tokens into times such that a mean rank takes meanStep.
 func timesReported(step float64, ranks []float64, s btexpert.Shape) btexpert.TimesReported {
 	token := meanStep.Seconds() / float64(callsPerRank*s.Layers) / stepsPerReport
 	e := btexpert.TimesReported{Step: seconds(step * token), Ranks: make([]time.Duration, len(ranks))}
@@ -299,37 +300,36 @@
 
 var traceSeed = flag.Uint64("trace.seed", 1, "seed of the traces that the tables are made from")
 
-// settledSkew is the skew below which a group counts as settled after a sudden
-// change.
+// settledSkew is the skew below which a group counts as settled after a shift.
 const settledSkew = 0.3
 
-// settled returns how long after the middle of the run, where a shift's sudden
-// change is, the last step was uneven.
-func (r *run) settled() time.Duration {
+// settlingTime returns how long after the middle of the run, when a Shift trace
+// shifts, the last uneven step was.
+func (r *traceRun) settlingTime() time.Duration {
 	for i := len(r.skews) - 1; i >= 0; i-- {
 		if r.skews[i] > settledSkew {
-			return max(settling+reportInterval*time.Duration(i/stepsPerReport+1)-r.length/2, 0)
+			return max(warmUp+reportInterval*time.Duration(i/stepsPerReport+1)-r.length/2, 0)
 		}
 	}
 	return 0
 }
 
-// row prints one run, in points of skew.
-func (r *run) row(name string, cpu timed) string {
+// row formats one run, with skews in percent.
+func (r *traceRun) row(name string, cpu timedPlanner) string {
 	p95 := quantile(r.skews, 0.95)
 	plans := max(*cpu.plans, 1)
 	stalled := float64(r.switches) * switchStall.Seconds() / meanStep.Seconds()
 	return fmt.Sprintf("%-24s %6.1f %6.1f %6.1f  %+6.1f  %6d %9.1f %6d %7.0f %8d %6d  %7.2f %7.2f %6d %8.0f\n",
-		name, 100*mean(r.skews), 100*p95, 100*quantile(r.skews, 0.99), 100*(p95-quantile(r.splits, 0.95)),
+		name, 100*mean(r.skews), 100*p95, 100*quantile(r.skews, 0.99), 100*(p95-quantile(r.splitSkews, 0.95)),
 		r.moves, float64(r.moves)*float64(r.shape.ExpertBytes)/1e9, r.switches, stalled,
 		r.switches*callsPerRank/8*r.shape.Ranks, r.lateMoves,
-		float64(cpu.total.Microseconds())/float64(plans)/1000, float64(cpu.largest.Microseconds())/1000, *cpu.plans, r.settled().Seconds())
+		float64(cpu.total.Microseconds())/float64(plans)/1000, float64(cpu.largest.Microseconds())/1000, *cpu.plans, r.settlingTime().Seconds())
 }
 
 const tableHead = "%-24s %6s %6s %6s  %6s  %6s %9s %6s %7s %8s %6s  %7s %7s %6s %8s\n"
 
-// deciders lists the planners that are run under both policies of a table.
-// The anytime search takes long, so it is tried on drift alone.
+// deciders returns the planners that a table runs under both policies. The anytime
+// search takes long, so it runs on drift alone.
 func deciders(kind bttrace.Kind) []btexpert.Planner {
 	list := []btexpert.Planner{btexpert.Greedy{}, btexpert.Incremental{}}
 	if kind == bttrace.Drift {
@@ -338,8 +338,8 @@
 	return list
 }
 
-func newTimed(p btexpert.Planner) timed {
-	return timed{Planner: p, total: new(time.Duration), largest: new(time.Duration), plans: new(int)}
+func newTimedPlanner(p btexpert.Planner) timedPlanner {
+	return timedPlanner{Planner: p, total: new(time.Duration), largest: new(time.Duration), plans: new(int)}
 }
 
 func newDecider[P btexpert.Planner](p P) *btexpert.Decider[P] {
@@ -351,13 +351,13 @@
 	fmt.Fprintf(&b, "\n%s, %d ranks x %d experts x %d layers, %d slots, %v, seed %d\n", kind, s.Ranks, s.Experts, s.Layers, s.Slots, length, seed)
 	fmt.Fprintf(&b, tableHead, "planner", "mean", "p95", "p99", "to ref", "moves", "GB", "switch", "stalled", "delayed", "late", "cpu ms", "max ms", "plans", "uneven")
 	for _, p := range []btexpert.Planner{btexpert.Static{}, btexpert.Greedy{}} {
-		cpu := newTimed(p)
-		r := newRun(length, s, kind, seed, &always{planner: cpu, interval: fullInterval, halfLife: fullInterval / 4}, himal).play()
+		cpu := newTimedPlanner(p)
+		r := newTraceRun(length, s, kind, seed, &unconditionalRebalancer{planner: cpu, interval: fullInterval, halfLife: fullInterval / 4}, himal).play()
 		if p.Name() == "static" {
 			for _, v := range []struct {
 				name   string
 				values []float64
-			}{{"bound: hindsight", r.bounds}, {"ref: perfect split", r.splits}} {
+			}{{"bound: hindsight", r.boundSkews}, {"ref: perfect split", r.splitSkews}} {
 				fmt.Fprintf(&b, "%-24s %6.1f %6.1f %6.1f\n", v.name, 100*mean(v.values), 100*quantile(v.values, 0.95), 100*quantile(v.values, 0.99))
 			}
 		}
@@ -368,8 +368,8 @@
 		policy btbundle.Placement
 	}{{"himal", himal}, {"faellesrum", faellesrum}} {
 		for _, p := range deciders(kind) {
-			cpu := newTimed(p)
-			r := newRun(length, s, kind, seed, newDecider(cpu), u.policy).play()
+			cpu := newTimedPlanner(p)
+			r := newTraceRun(length, s, kind, seed, newDecider(cpu), u.policy).play()
 			b.WriteString(r.row(p.Name()+" "+u.name, cpu))
 		}
 	}
@@ -384,9 +384,9 @@
 		length time.Duration
 		kinds  []bttrace.Kind
 	}{
-		{today, hoursToday, bttrace.Kinds()},
-		{toCome, hoursToCome, bttrace.Kinds()},
-		{roomy, hoursToCome, []bttrace.Kind{bttrace.Drift}},
+		{shape16, lengthShape16, bttrace.Kinds()},
+		{shape64, lengthShape64, bttrace.Kinds()},
+		{shape64Spare, lengthShape64, []bttrace.Kind{bttrace.Drift}},
 	} {
 		for _, kind := range c.kinds {
 			b.Run(fmt.Sprintf("%s-%dx%d", kind, c.shape.Ranks, c.shape.Slots), func(b *testing.B) {
