--- a/core/btexpert/caution.go
+++ b/core/btexpert/caution.go
@@ -50,7 +50,7 @@
 	t.factor = min(t.factor*2, maxCaution)
 	detail := fmt.Sprintf("%d predictions in a row missed by more than %.0f%%: a change must now gain %.0f times as much",
 		t.misses, 100*t.settings.MissShare, t.factor)
-	return []Effect{Explain{Reason: ExplainPredictionsMissed, Detail: detail}}
+	return []Effect{Explain{Reason: ExplainForecastsMissed, Detail: detail}}
 }
 
 // expire halves the factor if it was last changed, or a forecast last missed, long
@@ -76,5 +76,5 @@
 	if !t.raised() {
 		detail = cause + ": back to the normal threshold"
 	}
-	return []Effect{Explain{Reason: ExplainPredictionsHold, Detail: detail}}
+	return []Effect{Explain{Reason: ExplainForecastsHold, Detail: detail}}
 }
--- a/core/btexpert/counter_test.go
+++ b/core/btexpert/counter_test.go
@@ -28,6 +28,8 @@
 	assert.Equal(t, c.Last(), epoch.Add(time.Minute))
 }
 
+// An invalid layer must be reported and must leave its earlier counts undecayed.
+// The other layers of the report still count.
 func TestCounterReportsIgnoredCounts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -56,6 +58,8 @@
 	}
 }
 
+// Guards against loads that are negative, infinite or NaN after extreme counts,
+// half-lives or jumps of the clock.
 func TestCounterStaysFiniteOnAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := btexpert.NewCounter(tinyShape, time.Duration(rapid.Int64().Draw(t, "half-life")))
--- a/core/btexpert/decider_test.go
+++ b/core/btexpert/decider_test.go
@@ -109,6 +109,8 @@
 	assert.Equal(t, f.tick().(btexpert.Keep).Reason, btexpert.KeepCountsOld)
 }
 
+// Invalid input must be explained and must leave the earlier state in place, so
+// that the decider still proposes a map.
 func TestDeciderRejectsInvalidInput(t *testing.T) {
 	t.Parallel()
 	broken := btexpert.Uniform(shape16)
@@ -135,6 +137,8 @@
 	}
 }
 
+// No map may be proposed while a switch is pending, backed off or measured. A
+// proposal that is never answered must expire, or it would block changes forever.
 func TestDeciderWaitsForTheOutcomeOfASwitch(t *testing.T) {
 	t.Parallel()
 	f := newFixture(himal)
@@ -188,13 +192,13 @@
 	}
 	assert.Equal(t, explained[btexpert.ExplainMeasured], 2)
 	assert.Equal(t, explained[btexpert.ExplainForeignMap], 2)
-	assert.Equal(t, explained[btexpert.ExplainPredictionsMissed], 1)
+	assert.Equal(t, explained[btexpert.ExplainForecastsMissed], 1)
 	assert.Equal(t, f.d.Caution(), 2.0)
 	for range 21 {
 		f.now = f.now.Add(time.Minute)
 		note(f.step(btexpert.Tick{}))
 	}
-	assert.Equal(t, explained[btexpert.ExplainPredictionsHold], 1)
+	assert.Equal(t, explained[btexpert.ExplainForecastsHold], 1)
 	assert.Equal(t, f.d.Caution(), 1.0)
 }
 
@@ -321,6 +325,8 @@
 	return plan
 }
 
+// A plan that is invalid or gains less than it reports must fail an assertion
+// instead of being proposed.
 func TestAssertionsRejectFaultyPlans(t *testing.T) {
 	for _, c := range []struct {
 		want    btassert.Name
--- a/core/btexpert/event.go
+++ b/core/btexpert/event.go
@@ -185,11 +185,11 @@
 	ExplainStraggler btrequest.Reason = "straggler_evidence"
 	// ExplainMeasured reports the measured effect of a change.
 	ExplainMeasured btrequest.Reason = "change_measured"
-	// ExplainPredictionsMissed reports forecasts that missed, which raises the
+	// ExplainForecastsMissed reports forecasts that missed, which raises the
 	// threshold.
-	ExplainPredictionsMissed btrequest.Reason = "predictions_miss"
-	// ExplainPredictionsHold reports that the threshold falls again.
-	ExplainPredictionsHold btrequest.Reason = "predictions_hold"
+	ExplainForecastsMissed btrequest.Reason = "predictions_miss"
+	// ExplainForecastsHold reports that the threshold falls again.
+	ExplainForecastsHold btrequest.Reason = "predictions_hold"
 	// ExplainSwitch reports a switch that failed or was never answered.
 	ExplainSwitch btrequest.Reason = "switch_failed"
 )
--- a/core/btexpert/fast_test.go
+++ b/core/btexpert/fast_test.go
@@ -88,6 +88,8 @@
 	assert.Assert(t, second.PeakAfter < 1.15)
 }
 
+// Guards against plans that ignore Slowness: the loads are even, so only the slow
+// rank makes the layers uneven.
 func TestFastRebalanceRelievesASlowRank(t *testing.T) {
 	s := fastShapes()["16 ranks"]
 	load := make(btexpert.Load, s.Layers)
--- a/core/btexpert/planner_test.go
+++ b/core/btexpert/planner_test.go
@@ -51,6 +51,8 @@
 	return []btexpert.Planner{btexpert.Static{}, btexpert.Greedy{}, btexpert.Incremental{}, btexpert.Anytime{Seed: 7}}
 }
 
+// Each planner must be deterministic and leave the map in force unmodified. Its
+// plan must be valid, no slower than the map in force and no faster than the bound.
 func TestPlansAreValidAndNeverWorse(t *testing.T) {
 	t.Parallel()
 	for _, p := range allPlanners() {
--- a/core/btexpert/route_test.go
+++ b/core/btexpert/route_test.go
@@ -172,6 +172,8 @@
 	return btexpert.Incremental{}.Plan(q).Map
 }
 
+// Guards against scores that ignore the expert load or a straggler: the p95 skew
+// must stay below half of that of round robin.
 func TestRoutingByScoreKeepsTheSlowestRankLow(t *testing.T) {
 	t.Parallel()
 	even := btexpert.EvenSpeeds(shape16.Ranks)
--- a/core/btexpert/speed_test.go
+++ b/core/btexpert/speed_test.go
@@ -22,6 +22,8 @@
 	return own
 }
 
+// A straggler must be reported once when it becomes slow and once when it recovers,
+// and its speed and the base must be estimated.
 func TestSpeedMeterReportsStragglerAndRecovery(t *testing.T) {
 	m := btexpert.NewSpeedMeter(btexpert.Shape{Ranks: 6, Layers: 1, Experts: 6, Slots: 1, ExpertBytes: 1})
 	loads := []float64{0.6, 1.4, 1, 0.8, 1.2, 1}
