--- a/core/btclaim/bench_test.go
+++ b/core/btclaim/bench_test.go
@@ -88,7 +88,7 @@
 		}
 		granted := heap()
 		for _, g := range grants {
-			ledger.Step(now, btclaim.RunAsked{Grant: g})
+			ledger.Step(now, btclaim.RunRequested{Grant: g})
 		}
 		run := heap()
 		b.ReportMetric((granted-empty)/records, "B/home_record")
--- a/core/btclaim/capacity_test.go
+++ b/core/btclaim/capacity_test.go
@@ -34,7 +34,7 @@
 	}
 	granted := heap()
 	for _, g := range grants {
-		ledger.Step(now, btclaim.RunAsked{Grant: g})
+		ledger.Step(now, btclaim.RunRequested{Grant: g})
 	}
 	run := heap()
 	began := time.Now()
--- a/core/btclaim/client.go
+++ b/core/btclaim/client.go
@@ -25,38 +25,38 @@
 // ClientEvent is what happens to a Client.
 type ClientEvent interface{ clientEvent() }
 
-// Begun starts the flow.
-type Begun struct{}
+// ClientStarted starts the flow.
+type ClientStarted struct{}
 
-// Chosen answers Choose; the zero Executor says that there is none.
-type Chosen struct{ Executor btid.Executor }
+// ExecutorChosen answers ChooseExecutor; the zero Executor says that there is none.
+type ExecutorChosen struct{ Executor btid.Executor }
 
-// HomeSilent tells that the home didn't answer the numbered ask in time.
-type HomeSilent struct{ Ask uint32 }
+// HomeTimedOut tells that the home didn't answer the numbered ask in time.
+type HomeTimedOut struct{ Ask uint32 }
 
-// Served tells that the executor's whole answer to the grant came.
-type Served struct{ Attempt uint32 }
+// AnswerReceived tells that the executor's whole answer to the grant came.
+type AnswerReceived struct{ Attempt uint32 }
 
-// Running tells that the executor runs the claim for an earlier request.
-type Running struct{ Attempt uint32 }
+// RunInProgress tells that the executor runs the claim for an earlier request.
+type RunInProgress struct{ Attempt uint32 }
 
-// ExecutorSilent tells that contact was lost after the grant was sent.
-type ExecutorSilent struct{ Attempt uint32 }
+// ExecutorLost tells that contact was lost after the grant was sent.
+type ExecutorLost struct{ Attempt uint32 }
 
-func (Begun) clientEvent()          {}
-func (Chosen) clientEvent()         {}
+func (ClientStarted) clientEvent()  {}
+func (ExecutorChosen) clientEvent() {}
 func (AcquireReply) clientEvent()   {}
-func (HomeSilent) clientEvent()     {}
-func (Served) clientEvent()         {}
-func (Running) clientEvent()        {}
+func (HomeTimedOut) clientEvent()   {}
+func (AnswerReceived) clientEvent() {}
+func (RunInProgress) clientEvent()  {}
 func (Refused) clientEvent()        {}
-func (ExecutorSilent) clientEvent() {}
+func (ExecutorLost) clientEvent()   {}
 
 // ClientEffect is what a Client wants done.
 type ClientEffect interface{ clientEffect() }
 
-// Choose asks the router for an executor, none of the excluded targets.
-type Choose struct{ Exclude []btid.Target }
+// ChooseExecutor asks the router for an executor, none of the excluded targets.
+type ChooseExecutor struct{ Exclude []btid.Target }
 
 // SendAcquire sends the message to the home.
 type SendAcquire struct {
@@ -70,21 +70,21 @@
 	Message Release
 }
 
-// Serve sends the request with its grant to the executor that it names.
-type Serve struct{ Grant Grant }
+// SendRequest sends the request with its grant to the executor that it names.
+type SendRequest struct{ Grant Grant }
 
-// Ended is the final outcome. A not_run is to be told at once.
-type Ended struct {
+// Result is the final outcome. A not_run is to be told at once.
+type Result struct {
 	Outcome    btrequest.Outcome
 	Reason     btrequest.Reason
 	RetryAfter time.Duration
 }
 
-func (Choose) clientEffect()      {}
-func (SendAcquire) clientEffect() {}
-func (SendRelease) clientEffect() {}
-func (Serve) clientEffect()       {}
-func (Ended) clientEffect()       {}
+func (ChooseExecutor) clientEffect() {}
+func (SendAcquire) clientEffect()    {}
+func (SendRelease) clientEffect()    {}
+func (SendRequest) clientEffect()    {}
+func (Result) clientEffect()         {}
 
 // stage is what a client waits for.
 type stage uint8
@@ -119,7 +119,7 @@
 
 var _ btcore.Machine[ClientEvent, ClientEffect] = (*Client)(nil)
 
-// NewClient returns the flow of one request; its first event is Begun.
+// NewClient returns the flow of one request; its first event is ClientStarted.
 func NewClient(s ClientSettings) *Client {
 	home, _ := HomeOf(s.Epoch, s.Claim)
 	return &Client{settings: s, home: home}
@@ -132,20 +132,20 @@
 		return nil
 	}
 	switch e := event.(type) {
-	case Begun:
+	case ClientStarted:
 		return c.begin()
-	case Chosen:
+	case ExecutorChosen:
 		return c.chosen(e.Executor)
 	case AcquireReply:
 		return c.answered(e)
-	case HomeSilent:
+	case HomeTimedOut:
 		return c.homeSilent(e)
-	case Served:
-		return c.serving(e.Attempt, Ended{Outcome: btrequest.Done})
-	case Running:
-		return c.serving(e.Attempt, Ended{Outcome: btrequest.Unknown, Reason: InProgressElsewhere})
-	case ExecutorSilent:
-		return c.serving(e.Attempt, Ended{Outcome: btrequest.Unknown, Reason: ExecutorUnreachable})
+	case AnswerReceived:
+		return c.serving(e.Attempt, Result{Outcome: btrequest.Done})
+	case RunInProgress:
+		return c.serving(e.Attempt, Result{Outcome: btrequest.Unknown, Reason: InProgressElsewhere})
+	case ExecutorLost:
+		return c.serving(e.Attempt, Result{Outcome: btrequest.Unknown, Reason: ExecutorUnreachable})
 	case Refused:
 		return c.refused(e)
 	}
@@ -158,17 +158,17 @@
 	}
 	c.accepted = c.clock.wall
 	if c.home == "" {
-		return c.end(Ended{Outcome: btrequest.Unknown, Reason: NoHome})
+		return c.end(Result{Outcome: btrequest.Unknown, Reason: NoHome})
 	}
 	return c.choose()
 }
 
 func (c *Client) choose() []ClientEffect {
 	c.stage = stageChoosing
-	return []ClientEffect{Choose{Exclude: slices.Clone(c.exclude)}}
+	return []ClientEffect{ChooseExecutor{Exclude: slices.Clone(c.exclude)}}
 }
 
-func (c *Client) end(e Ended) []ClientEffect {
+func (c *Client) end(e Result) []ClientEffect {
 	c.stage = stageEnded
 	return []ClientEffect{e}
 }
@@ -184,7 +184,7 @@
 // send asks the home, with the seal of the last grant if there is one.
 func (c *Client) send() []ClientEffect {
 	if c.ask >= c.settings.MaxAsks {
-		return c.end(Ended{Outcome: btrequest.Unknown, Reason: HomeUnreachable, RetryAfter: time.Second})
+		return c.end(Result{Outcome: btrequest.Unknown, Reason: HomeUnreachable, RetryAfter: time.Second})
 	}
 	c.ask++
 	c.stage = stageAsking
@@ -208,7 +208,7 @@
 	}}}
 }
 
-func (c *Client) homeSilent(e HomeSilent) []ClientEffect {
+func (c *Client) homeSilent(e HomeTimedOut) []ClientEffect {
 	if c.stage != stageAsking || e.Ask != c.ask {
 		return nil
 	}
@@ -232,21 +232,21 @@
 
 func (c *Client) granted(g Grant) []ClientEffect {
 	if g.Claim != c.settings.Claim || g.Content != c.settings.Content {
-		return c.end(Ended{Outcome: btrequest.Unknown, Reason: KeyReused})
+		return c.end(Result{Outcome: btrequest.Unknown, Reason: KeyReused})
 	}
 	if c.attempts >= c.settings.MaxAttempts {
-		return c.end(Ended{Outcome: btrequest.Unknown, Reason: c.refusal, RetryAfter: c.retryAfter})
+		return c.end(Result{Outcome: btrequest.Unknown, Reason: c.refusal, RetryAfter: c.retryAfter})
 	}
 	c.attempts++
 	c.grant = g
 	c.stage = stageServing
-	return []ClientEffect{Serve{Grant: g}}
+	return []ClientEffect{SendRequest{Grant: g}}
 }
 
 // conclude tells the home's refusal on. Its not_run is good for the time of its
 // hold, counted from before the ask.
 func (c *Client) conclude(r AcquireReply) []ClientEffect {
-	e := Ended{Outcome: r.Outcome, Reason: r.Reason, RetryAfter: max(r.RetryAfter, c.retryAfter)}
+	e := Result{Outcome: r.Outcome, Reason: r.Reason, RetryAfter: max(r.RetryAfter, c.retryAfter)}
 	if e.Reason == NoExecutor && c.refusal != "" {
 		e.Reason = c.refusal
 	}
@@ -257,7 +257,7 @@
 	return c.end(e)
 }
 
-func (c *Client) serving(attempt uint32, e Ended) []ClientEffect {
+func (c *Client) serving(attempt uint32, e Result) []ClientEffect {
 	if c.stage != stageServing || attempt != c.grant.Attempt {
 		return nil
 	}
@@ -275,7 +275,7 @@
 	c.refusal = r.Reason
 	c.retryAfter = r.RetryAfter
 	if r.Sealed == nil || !r.Sealed.matches(c.grant) {
-		return c.end(Ended{Outcome: btrequest.Unknown, Reason: r.Reason, RetryAfter: r.RetryAfter})
+		return c.end(Result{Outcome: btrequest.Unknown, Reason: r.Reason, RetryAfter: r.RetryAfter})
 	}
 	c.sealed = r.Sealed
 	if r.Sealed.By == c.grant.Executor {
--- a/core/btclaim/client_test.go
+++ b/core/btclaim/client_test.go
@@ -24,14 +24,14 @@
 
 // TestNotRunIsToldOnlyWhileItHolds: the home's word counts from before the ask.
 func TestNotRunIsToldOnlyWhileItHolds(t *testing.T) {
-	cases := map[time.Duration]btclaim.Ended{
+	cases := map[time.Duration]btclaim.Result{
 		1800 * time.Millisecond: {Outcome: btrequest.NotRun, Reason: btclaim.Held, RetryAfter: time.Second},
 		1900 * time.Millisecond: {Outcome: btrequest.Unknown, Reason: btclaim.EvidenceStale, RetryAfter: time.Second},
 	}
 	for late, want := range cases {
 		c, s := newClient()
-		c.Step(epoch, btclaim.Begun{})
-		c.Step(epoch, btclaim.Chosen{Executor: self})
+		c.Step(epoch, btclaim.ClientStarted{})
+		c.Step(epoch, btclaim.ExecutorChosen{Executor: self})
 		reply := btclaim.AcquireReply{
 			Request:    s.Request,
 			Ask:        1,
@@ -48,36 +48,36 @@
 // next executor, the last one with none.
 func TestSealedGrantsAreReleased(t *testing.T) {
 	c, s := newClient()
-	c.Step(epoch, btclaim.Begun{})
+	c.Step(epoch, btclaim.ClientStarted{})
 	for attempt := uint32(1); attempt <= 2; attempt++ {
-		c.Step(epoch, btclaim.Chosen{Executor: self})
+		c.Step(epoch, btclaim.ExecutorChosen{Executor: self})
 		g := grantAt("k", epoch)
 		g.Attempt = attempt
 		reply := btclaim.AcquireReply{Request: s.Request, Ask: attempt, Grant: &g}
-		assert.DeepEqual(t, c.Step(epoch, reply), []btclaim.ClientEffect{btclaim.Serve{Grant: g}})
+		assert.DeepEqual(t, c.Step(epoch, reply), []btclaim.ClientEffect{btclaim.SendRequest{Grant: g}})
 		refused := btclaim.Refused{Claim: s.Claim, Attempt: attempt, Reason: "queue_full"}
 		refused.Sealed = &btclaim.Sealed{Claim: s.Claim, Attempt: attempt, Executor: self, By: self}
 		next := c.Step(epoch, refused)[0]
 		if attempt == 1 {
-			assert.DeepEqual(t, next, btclaim.Choose{Exclude: []btid.Target{"t1"}})
+			assert.DeepEqual(t, next, btclaim.ChooseExecutor{Exclude: []btid.Target{"t1"}})
 			continue
 		}
 		assert.Equal(t, next.(btclaim.SendRelease).Message.Next, btid.Executor{})
 	}
 	reply := btclaim.AcquireReply{Request: s.Request, Ask: 3, Outcome: btrequest.NotRun, Reason: btclaim.NoExecutor, Hold: time.Second}
-	want := btclaim.Ended{Outcome: btrequest.NotRun, Reason: "queue_full"}
+	want := btclaim.Result{Outcome: btrequest.NotRun, Reason: "queue_full"}
 	assert.DeepEqual(t, c.Step(epoch, reply), []btclaim.ClientEffect{want})
 }
 
 // TestSilenceIsUnknown: nothing is concluded from a home that doesn't answer.
 func TestSilenceIsUnknown(t *testing.T) {
 	c, s := newClient()
-	c.Step(epoch, btclaim.Begun{})
-	c.Step(epoch, btclaim.Chosen{})
+	c.Step(epoch, btclaim.ClientStarted{})
+	c.Step(epoch, btclaim.ExecutorChosen{})
 	for ask := uint32(1); ask < s.MaxAsks; ask++ {
-		assert.Equal(t, len(c.Step(epoch, btclaim.HomeSilent{Ask: ask})), 1)
+		assert.Equal(t, len(c.Step(epoch, btclaim.HomeTimedOut{Ask: ask})), 1)
 	}
-	ended := c.Step(epoch, btclaim.HomeSilent{Ask: s.MaxAsks})[0].(btclaim.Ended)
+	ended := c.Step(epoch, btclaim.HomeTimedOut{Ask: s.MaxAsks})[0].(btclaim.Result)
 	assert.Equal(t, ended.Outcome, btrequest.Unknown)
 	assert.Equal(t, ended.Reason, btclaim.HomeUnreachable)
 }
--- a/core/btclaim/cut_test.go
+++ b/core/btclaim/cut_test.go
@@ -24,9 +24,9 @@
 }
 
 // ask sends a claim by an entry and waits for the outcome.
-func (w *world) ask(e *entry, c btclaim.Claim) btclaim.Ended {
-	var ended btclaim.Ended
-	e.take(c, func(m btclaim.Ended) {
+func (w *world) ask(e *entry, c btclaim.Claim) btclaim.Result {
+	var ended btclaim.Result
+	e.take(c, func(m btclaim.Result) {
 		w.told(c, m)
 		ended = m
 	})
@@ -68,7 +68,7 @@
 	start := w.now
 	done := false
 	for !done && w.now.Sub(start) < time.Minute {
-		e.take(w.movedKey(), func(m btclaim.Ended) { done = done || m.Outcome == btrequest.Done })
+		e.take(w.movedKey(), func(m btclaim.Result) { done = done || m.Outcome == btrequest.Done })
 		w.run(100 * time.Millisecond)
 	}
 	return w.now.Sub(start)
@@ -163,7 +163,7 @@
 	for _, naive := range []bool{false, true} {
 		w := quiet(variant{home: chosen, noIncarnation: naive})
 		key := w.movedKey()
-		w.entries[1].take(key, func(btclaim.Ended) {})
+		w.entries[1].take(key, func(btclaim.Result) {})
 		for w.ran[key] == 0 {
 			w.run(time.Millisecond)
 		}
@@ -197,7 +197,7 @@
 		Executor: btid.Executor{Target: "t5", Incarnation: executor.incarnation},
 		Accepted: w.now,
 	})[0].(btclaim.AcquireReply)
-	executor.stepLedger(btclaim.SealAsked{Grant: *reply.Grant, Reason: "queue_full"}, func(btclaim.ClientEvent) {})
+	executor.stepLedger(btclaim.SealRequested{Grant: *reply.Grant, Reason: "queue_full"}, func(btclaim.ClientEvent) {})
 
 	w.published = 2
 	for _, p := range w.processes() {
--- a/core/btclaim/example_test.go
+++ b/core/btclaim/example_test.go
@@ -43,7 +43,7 @@
 	for range 2 {
 		reply := home.Step(now, ask)[0].(btclaim.AcquireReply)
 		fmt.Printf("attempt %d at %s: ", reply.Grant.Attempt, reply.Grant.Executor)
-		fmt.Printf("%T\n", ledger.Step(now, btclaim.RunAsked{Grant: *reply.Grant})[0])
+		fmt.Printf("%T\n", ledger.Step(now, btclaim.RunRequested{Grant: *reply.Grant})[0])
 	}
 	// Output:
 	// attempt 1 at t1@1: btclaim.Start
--- a/core/btclaim/home.go
+++ b/core/btclaim/home.go
@@ -28,8 +28,8 @@
 	// MaxLease is the longest lease that any bundle may state; all homes of a
 	// service must agree on it. A voter stays silent for as long after a start.
 	MaxLease time.Duration
-	// LookupWait is how long requests wait for the answers of earlier homes.
-	LookupWait time.Duration
+	// LookupTimeout is how long requests wait for the answers of earlier homes.
+	LookupTimeout time.Duration
 	// Hold is how long a claim isn't granted after not_run was told of it.
 	Hold time.Duration
 	// MaxRecords and MaxWaiting bound the memory.
@@ -40,15 +40,15 @@
 // DefaultHomeSettings returns the settings of a home with usual limits.
 func DefaultHomeSettings(self btid.Executor, s btid.Service, since time.Time) HomeSettings {
 	return HomeSettings{
-		Self:        self.Target,
-		Incarnation: self.Incarnation,
-		Service:     s,
-		Since:       since,
-		MaxLease:    btbundle.MaxLease,
-		LookupWait:  500 * time.Millisecond,
-		Hold:        2 * time.Second,
-		MaxRecords:  200_000,
-		MaxWaiting:  1_000,
+		Self:          self.Target,
+		Incarnation:   self.Incarnation,
+		Service:       s,
+		Since:         since,
+		MaxLease:      btbundle.MaxLease,
+		LookupTimeout: 500 * time.Millisecond,
+		Hold:          2 * time.Second,
+		MaxRecords:    200_000,
+		MaxWaiting:    1_000,
 	}
 }
 
@@ -94,18 +94,18 @@
 // Tick tells a machine the time; it is an event of Home, Ledger and Client.
 type Tick struct{}
 
-// Configured puts another bundle's rules in force. The caller hands in rules
+// RulesChanged puts another bundle's rules in force. The caller hands in rules
 // only of higher bundles, validated.
-type Configured struct{ Rules Rules }
+type RulesChanged struct{ Rules Rules }
 
-func (Tick) homeEvent()        {}
-func (Configured) homeEvent()  {}
-func (Acquire) homeEvent()     {}
-func (Release) homeEvent()     {}
-func (Lookup) homeEvent()      {}
-func (LookupReply) homeEvent() {}
-func (LeaseAsk) homeEvent()    {}
-func (LeaseVote) homeEvent()   {}
+func (Tick) homeEvent()         {}
+func (RulesChanged) homeEvent() {}
+func (Acquire) homeEvent()      {}
+func (Release) homeEvent()      {}
+func (Lookup) homeEvent()       {}
+func (LookupReply) homeEvent()  {}
+func (LeaseAsk) homeEvent()     {}
+func (LeaseVote) homeEvent()    {}
 
 // HomeEffect is a message that a Home wants sent: an AcquireReply to the entry
 // that its Request names, any other to the target in its field To.
@@ -180,7 +180,7 @@
 
 func (h *Home) apply(event HomeEvent) []HomeEffect {
 	switch e := event.(type) {
-	case Configured:
+	case RulesChanged:
 		return h.configure(e.Rules)
 	case Acquire:
 		return h.acquire(e)
--- a/core/btclaim/home_test.go
+++ b/core/btclaim/home_test.go
@@ -125,17 +125,17 @@
 	keep(home, epoch.Add(time.Second), made)
 	granted := askKey(home, made, made)
 	assert.Assert(t, granted.Grant != nil)
-	ledger := newLedger(func(s *btclaim.LedgerSettings) { s.Memory = 5 * time.Second })
+	ledger := newLedger(func(s *btclaim.LedgerSettings) { s.Retention = 5 * time.Second })
 	run := grantAt("k", made)
-	ledger.Step(made, btclaim.RunAsked{Grant: run})
+	ledger.Step(made, btclaim.RunRequested{Grant: run})
 
 	later := made.Add(20 * time.Second)
 	keep(home, made, later)
 	rules := loneRules()
 	rules.Lease = time.Second
-	home.Step(later, btclaim.Configured{Rules: rules})
-	ledger.Step(later, btclaim.Configured{Rules: rules})
+	home.Step(later, btclaim.RulesChanged{Rules: rules})
+	ledger.Step(later, btclaim.RulesChanged{Rules: rules})
 	assert.Equal(t, askKey(home, later, made).Reason, btclaim.HistoryLost)
-	refused := ledger.Step(later, btclaim.RunAsked{Grant: run})[0].(btclaim.Refused)
+	refused := ledger.Step(later, btclaim.RunRequested{Grant: run})[0].(btclaim.Refused)
 	assert.Equal(t, refused.Reason, btclaim.GrantForgotten)
 }
--- a/core/btclaim/ledger.go
+++ b/core/btclaim/ledger.go
@@ -13,8 +13,8 @@
 // LedgerSettings are one ledger's own limits.
 type LedgerSettings struct {
 	Self btid.Executor
-	// Memory is how long runs and seals are remembered: the bundle's retention.
-	Memory time.Duration
+	// Retention is how long runs and seals are remembered: the bundle's retention.
+	Retention time.Duration
 	// ClockError is the bundle's.
 	ClockError time.Duration
 	// MaxRecords bounds the number of runs and seals remembered.
@@ -28,7 +28,7 @@
 func DefaultLedgerSettings(self btid.Executor, r Rules) LedgerSettings {
 	return LedgerSettings{
 		Self:        self,
-		Memory:      r.Retention,
+		Retention:   r.Retention,
 		ClockError:  r.ClockError,
 		MaxRecords:  200_000,
 		AnswerBytes: 32 << 20,
@@ -39,12 +39,12 @@
 // LedgerEvent is what happens to a Ledger.
 type LedgerEvent interface{ ledgerEvent() }
 
-// RunAsked asks to run a grant.
-type RunAsked struct{ Grant Grant }
+// RunRequested asks to run a grant.
+type RunRequested struct{ Grant Grant }
 
-// SealAsked asks never to run a grant, since the agent can't: its queue is full
+// SealRequested asks never to run a grant, since the agent can't: its queue is full
 // or it drains.
-type SealAsked struct {
+type SealRequested struct {
 	Grant  Grant
 	Reason btrequest.Reason
 }
@@ -68,13 +68,13 @@
 	Reason btrequest.Reason
 }
 
-func (Tick) ledgerEvent()        {}
-func (Configured) ledgerEvent()  {}
-func (RunAsked) ledgerEvent()    {}
-func (SealAsked) ledgerEvent()   {}
-func (RunFinished) ledgerEvent() {}
-func (RunLost) ledgerEvent()     {}
-func (RunNotSent) ledgerEvent()  {}
+func (Tick) ledgerEvent()          {}
+func (RulesChanged) ledgerEvent()  {}
+func (RunRequested) ledgerEvent()  {}
+func (SealRequested) ledgerEvent() {}
+func (RunFinished) ledgerEvent()   {}
+func (RunLost) ledgerEvent()       {}
+func (RunNotSent) ledgerEvent()    {}
 
 // LedgerEffect is what a Ledger wants done.
 type LedgerEffect interface{ ledgerEffect() }
@@ -176,7 +176,7 @@
 	l := &Ledger{settings: s, assert: a}
 	l.clock.read(now)
 	l.start = l.clock.wall
-	l.runs = newExpiring[Claim, *run](s.Memory+s.ClockError, s.MaxRecords)
+	l.runs = newExpiring[Claim, *run](s.Retention+s.ClockError, s.MaxRecords)
 	return l
 }
 
@@ -185,9 +185,9 @@
 	l.clock.read(now)
 	effects := l.expire()
 	switch e := event.(type) {
-	case RunAsked:
+	case RunRequested:
 		effects = append(effects, l.take(e.Grant, "")...)
-	case SealAsked:
+	case SealRequested:
 		effects = append(effects, l.take(e.Grant, e.Reason)...)
 	case RunFinished:
 		effects = append(effects, l.finish(e)...)
@@ -195,7 +195,7 @@
 		l.lose(e.Claim)
 	case RunNotSent:
 		effects = append(effects, l.unsend(e)...)
-	case Configured:
+	case RulesChanged:
 		l.configure(e.Rules)
 	}
 	l.assert.That(l.runs.bounded(l.clock.wall) && l.keptBytes <= l.settings.AnswerBytes,
@@ -205,13 +205,13 @@
 
 // configure follows the bundle's retention and clock error.
 func (l *Ledger) configure(r Rules) {
-	old := l.clock.wall.Add(-l.settings.Memory)
-	if r.Retention > l.settings.Memory && old.After(l.forgotten) {
+	old := l.clock.wall.Add(-l.settings.Retention)
+	if r.Retention > l.settings.Retention && old.After(l.forgotten) {
 		l.forgotten = old
 	}
-	l.settings.Memory = r.Retention
+	l.settings.Retention = r.Retention
 	l.settings.ClockError = max(l.settings.ClockError, r.ClockError)
-	l.runs.ttl = l.settings.Memory + l.settings.ClockError
+	l.runs.ttl = l.settings.Retention + l.settings.ClockError
 }
 
 func (l *Ledger) expire() []LedgerEffect {
@@ -272,7 +272,7 @@
 		return WrongIncarnation
 	case g.IssuedAt.Sub(l.clock.wall) > l.settings.ClockError:
 		return GrantInFuture
-	case l.clock.wall.Sub(g.IssuedAt) > l.settings.Memory, g.IssuedAt.Before(l.forgotten):
+	case l.clock.wall.Sub(g.IssuedAt) > l.settings.Retention, g.IssuedAt.Before(l.forgotten):
 		return GrantForgotten
 	}
 	return ""
--- a/core/btclaim/ledger_test.go
+++ b/core/btclaim/ledger_test.go
@@ -17,7 +17,7 @@
 func newLedger(change func(*btclaim.LedgerSettings)) *btclaim.Ledger {
 	s := btclaim.LedgerSettings{
 		Self:        self,
-		Memory:      time.Hour,
+		Retention:   time.Hour,
 		ClockError:  clockError,
 		MaxRecords:  3,
 		AnswerBytes: 100,
@@ -61,7 +61,7 @@
 			l := newLedger(nil)
 			g := grantAt("k", now)
 			c.change(&g)
-			refused := l.Step(c.at, btclaim.RunAsked{Grant: g})[0].(btclaim.Refused)
+			refused := l.Step(c.at, btclaim.RunRequested{Grant: g})[0].(btclaim.Refused)
 			assert.Equal(t, refused.Reason, c.reason)
 			assert.Equal(t, refused.Sealed != nil, c.sealed)
 			assert.NilError(t, refused.Validate())
@@ -72,21 +72,21 @@
 func TestLedgerRunsOnceAndReplays(t *testing.T) {
 	l := newLedger(nil)
 	g := grantAt("k", epoch)
-	assert.DeepEqual(t, l.Step(epoch, btclaim.RunAsked{Grant: g}), []btclaim.LedgerEffect{btclaim.Start{Grant: g}})
-	assert.DeepEqual(t, l.Step(epoch, btclaim.RunAsked{Grant: g}), []btclaim.LedgerEffect{btclaim.InProgress{Grant: g}})
+	assert.DeepEqual(t, l.Step(epoch, btclaim.RunRequested{Grant: g}), []btclaim.LedgerEffect{btclaim.Start{Grant: g}})
+	assert.DeepEqual(t, l.Step(epoch, btclaim.RunRequested{Grant: g}), []btclaim.LedgerEffect{btclaim.InProgress{Grant: g}})
 	assert.Equal(t, len(l.Step(epoch, btclaim.RunFinished{Claim: g.Claim, Bytes: 60})), 0)
-	sealed := l.Step(epoch, btclaim.SealAsked{Grant: g, Reason: "queue_full"})
+	sealed := l.Step(epoch, btclaim.SealRequested{Grant: g, Reason: "queue_full"})
 	assert.DeepEqual(t, sealed, []btclaim.LedgerEffect{btclaim.Replay{Grant: g, Bytes: 60}})
 	other := grantAt("k2", epoch)
-	l.Step(epoch, btclaim.RunAsked{Grant: other})
+	l.Step(epoch, btclaim.RunRequested{Grant: other})
 	dropped := l.Step(epoch, btclaim.RunFinished{Claim: other.Claim, Bytes: 50})
 	assert.DeepEqual(t, dropped, []btclaim.LedgerEffect{btclaim.DropAnswer{Claim: g.Claim}})
-	refused := l.Step(epoch, btclaim.RunAsked{Grant: g})[0].(btclaim.Refused)
+	refused := l.Step(epoch, btclaim.RunRequested{Grant: g})[0].(btclaim.Refused)
 	assert.Equal(t, refused.Reason, btclaim.AnswerDropped)
 	assert.Assert(t, refused.Sealed == nil)
 	changed := g
 	changed.Content[0] = 1
-	refused = l.Step(epoch, btclaim.RunAsked{Grant: changed})[0].(btclaim.Refused)
+	refused = l.Step(epoch, btclaim.RunRequested{Grant: changed})[0].(btclaim.Refused)
 	assert.Equal(t, refused.Reason, btclaim.KeyReused)
 }
 
@@ -96,22 +96,22 @@
 func TestLedgerSealBinds(t *testing.T) {
 	l := newLedger(func(s *btclaim.LedgerSettings) { s.MaxRecords = 1 })
 	first, second := grantAt("k", epoch), grantAt("k2", epoch.Add(time.Millisecond))
-	l.Step(epoch, btclaim.RunAsked{Grant: first})
+	l.Step(epoch, btclaim.RunRequested{Grant: first})
 	unsent := l.Step(epoch, btclaim.RunNotSent{Grant: first, Reason: "target_unreachable"})[0].(btclaim.Refused)
 	assert.Assert(t, unsent.Sealed != nil && unsent.Reason == "target_unreachable")
-	full := l.Step(epoch, btclaim.RunAsked{Grant: second})[0].(btclaim.Refused)
+	full := l.Step(epoch, btclaim.RunRequested{Grant: second})[0].(btclaim.Refused)
 	assert.Equal(t, full.Reason, btclaim.LedgerFull)
 	assert.Assert(t, full.Sealed != nil)
 	for _, g := range []btclaim.Grant{first, second} {
-		again := l.Step(epoch, btclaim.RunAsked{Grant: g})[0].(btclaim.Refused)
+		again := l.Step(epoch, btclaim.RunRequested{Grant: g})[0].(btclaim.Refused)
 		assert.Equal(t, again.Reason, btclaim.GrantSealed)
 	}
 	next := grantAt("k", epoch.Add(time.Second))
 	next.Attempt = 2
-	assert.DeepEqual(t, l.Step(epoch.Add(time.Second), btclaim.RunAsked{Grant: next}),
+	assert.DeepEqual(t, l.Step(epoch.Add(time.Second), btclaim.RunRequested{Grant: next}),
 		[]btclaim.LedgerEffect{btclaim.Start{Grant: next}})
 	expired := epoch.Add(time.Hour + 2*clockError)
-	assert.DeepEqual(t, l.Step(expired, btclaim.RunAsked{Grant: next}),
+	assert.DeepEqual(t, l.Step(expired, btclaim.RunRequested{Grant: next}),
 		[]btclaim.LedgerEffect{btclaim.InProgress{Grant: next}})
 	l.Step(expired, btclaim.RunLost{Claim: next.Claim})
 	defer func() {
--- a/core/btclaim/lookup.go
+++ b/core/btclaim/lookup.go
@@ -37,7 +37,7 @@
 // inquire asks the earlier homes, once for all who wait for the same claim.
 func (h *Home) inquire(q question) []HomeEffect {
 	if h.waiting >= h.settings.MaxWaiting {
-		return []HomeEffect{q.unknown(WaitingFull, h.settings.LookupWait)}
+		return []HomeEffect{q.unknown(WaitingFull, h.settings.LookupTimeout)}
 	}
 	homes := h.earlierHomes(q.claim)
 	if len(homes) == 0 {
@@ -65,7 +65,7 @@
 	i := &inquiry{
 		term:    h.lease.term,
 		number:  h.lookups,
-		until:   h.clock.now.Add(h.settings.LookupWait),
+		until:   h.clock.now.Add(h.settings.LookupTimeout),
 		replies: make(map[btid.Target]*LookupReply),
 		waiting: []question{q},
 	}
--- a/core/btclaim/naive_test.go
+++ b/core/btclaim/naive_test.go
@@ -38,7 +38,7 @@
 
 func (n *naiveHome) Step(now time.Time, e btclaim.HomeEvent) []btclaim.HomeEffect {
 	switch m := e.(type) {
-	case btclaim.Configured:
+	case btclaim.RulesChanged:
 		n.rules = m.Rules
 	case btclaim.Lookup:
 		if n.home(m.Claim) != n.self {
--- a/core/btclaim/node_test.go
+++ b/core/btclaim/node_test.go
@@ -20,7 +20,7 @@
 	case a.home == nil:
 		a.home = a.w.variant.home(a.w, a, rules)
 	default:
-		a.stepHome(btclaim.Configured{Rules: rules})
+		a.stepHome(btclaim.RulesChanged{Rules: rules})
 	}
 }
 
@@ -82,10 +82,10 @@
 		g.Executor.Incarnation = a.incarnation
 	}
 	if !a.w.calm && a.w.rng.Float64() < 0.15 {
-		a.stepLedger(btclaim.SealAsked{Grant: g, Reason: "queue_full"}, answer)
+		a.stepLedger(btclaim.SealRequested{Grant: g, Reason: "queue_full"}, answer)
 		return
 	}
-	a.stepLedger(btclaim.RunAsked{Grant: g}, answer)
+	a.stepLedger(btclaim.RunRequested{Grant: g}, answer)
 }
 
 func (a *agent) stepLedger(e btclaim.LedgerEvent, answer func(btclaim.ClientEvent)) {
@@ -95,9 +95,9 @@
 		case btclaim.Start:
 			a.execute(m.Grant, answer)
 		case btclaim.Replay:
-			answer(btclaim.Served{Attempt: m.Grant.Attempt})
+			answer(btclaim.AnswerReceived{Attempt: m.Grant.Attempt})
 		case btclaim.InProgress:
-			answer(btclaim.Running{Attempt: m.Grant.Attempt})
+			answer(btclaim.RunInProgress{Attempt: m.Grant.Attempt})
 		case btclaim.Refused:
 			answer(m)
 		}
@@ -128,12 +128,12 @@
 			return
 		}
 		a.stepLedger(btclaim.RunFinished{Claim: g.Claim, Bytes: 100}, answer)
-		answer(btclaim.Served{Attempt: g.Attempt})
+		answer(btclaim.AnswerReceived{Attempt: g.Attempt})
 	})
 }
 
 // take starts a request at the entry; ended hears its final outcome.
-func (e *entry) take(c btclaim.Claim, ended func(btclaim.Ended)) {
+func (e *entry) take(c btclaim.Claim, ended func(btclaim.Result)) {
 	if e.down {
 		return
 	}
@@ -155,23 +155,23 @@
 		}
 	}
 	e.w.clients[r] = func(event btclaim.ClientEvent) { e.alive(life, func() { step(event) }) }
-	e.at(0, func() { step(btclaim.Begun{}) })
+	e.at(0, func() { step(btclaim.ClientStarted{}) })
 }
 
-func (e *entry) perform(r btid.Request, f btclaim.ClientEffect, step func(btclaim.ClientEvent), ended func(btclaim.Ended)) {
+func (e *entry) perform(r btid.Request, f btclaim.ClientEffect, step func(btclaim.ClientEvent), ended func(btclaim.Result)) {
 	switch m := f.(type) {
-	case btclaim.Choose:
-		step(btclaim.Chosen{Executor: e.choose(m.Exclude)})
+	case btclaim.ChooseExecutor:
+		step(btclaim.ExecutorChosen{Executor: e.choose(m.Exclude)})
 	case btclaim.SendAcquire:
 		e.askHome(m.To, m.Message.Ask, m.Message, step)
 	case btclaim.SendRelease:
 		e.askHome(m.To, m.Message.Ask, m.Message, step)
-	case btclaim.Serve:
+	case btclaim.SendRequest:
 		a := e.w.agent(m.Grant.Executor.Target)
 		answer := func(event btclaim.ClientEvent) { e.w.reply(a.process, r, event) }
 		e.w.send(e.process, a.process, func() { a.serve(m.Grant, answer) })
-		e.at(5*time.Second, func() { step(btclaim.ExecutorSilent{Attempt: m.Grant.Attempt}) })
-	case btclaim.Ended:
+		e.at(5*time.Second, func() { step(btclaim.ExecutorLost{Attempt: m.Grant.Attempt}) })
+	case btclaim.Result:
 		delete(e.w.clients, r)
 		ended(m)
 	}
@@ -180,7 +180,7 @@
 func (e *entry) askHome(to btid.Target, ask uint32, m btclaim.HomeEvent, step func(btclaim.ClientEvent)) {
 	a := e.w.agent(to)
 	e.w.send(e.process, a.process, func() { a.stepHome(m) })
-	e.at(700*time.Millisecond, func() { step(btclaim.HomeSilent{Ask: ask}) })
+	e.at(700*time.Millisecond, func() { step(btclaim.HomeTimedOut{Ask: ask}) })
 }
 
 // choose picks a target as routing would, sometimes by an old life of it.
@@ -200,7 +200,7 @@
 }
 
 // told checks each outcome against what has run.
-func (w *world) told(c btclaim.Claim, e btclaim.Ended) {
+func (w *world) told(c btclaim.Claim, e btclaim.Result) {
 	w.outcomes[e.Outcome]++
 	w.reasons[e.Reason]++
 	if e.Outcome == btrequest.NotRun && w.ran[c] > 0 {
--- a/core/btclaim/random_test.go
+++ b/core/btclaim/random_test.go
@@ -49,7 +49,7 @@
 	}
 	again := func() { w.try(c, last, tries-1) }
 	heard := false
-	w.entries[w.rng.IntN(len(w.entries))].take(c, func(e btclaim.Ended) {
+	w.entries[w.rng.IntN(len(w.entries))].take(c, func(e btclaim.Result) {
 		w.told(c, e)
 		heard = true
 		if e.Outcome != btrequest.Done {
@@ -165,7 +165,7 @@
 	done := 0
 	for range n {
 		claim := btclaim.Claim{Service: service, Account: "families", Key: w.newKey(w.now)}
-		w.entries[w.rng.IntN(len(w.entries))].take(claim, func(e btclaim.Ended) {
+		w.entries[w.rng.IntN(len(w.entries))].take(claim, func(e btclaim.Result) {
 			w.told(claim, e)
 			if e.Outcome == btrequest.Done {
 				done++
--- a/core/btclaim/voter_test.go
+++ b/core/btclaim/voter_test.go
@@ -58,7 +58,7 @@
 	rules := loneRules()
 	rules.Epochs = epochs[:1]
 	rules.Destroyed = []btid.Target{"t1", "t2"}
-	home.Step(later, btclaim.Configured{Rules: rules})
+	home.Step(later, btclaim.RulesChanged{Rules: rules})
 	keep(home, later, later.Add(time.Second-1))
 	assert.Assert(t, !home.Status().Leased)
 	home.Step(later.Add(time.Second), btclaim.Tick{})
--- a/io/btagent/configure.go
+++ b/io/btagent/configure.go
@@ -50,7 +50,7 @@
 		a.forgetRate()
 	}
 	queue.loop.Post(btqueue.Resize{Slots: target.Slots, QueueLimit: target.Queue})
-	ledger.ask(btclaim.Configured{Rules: RulesOf(approved, service)})
+	ledger.ask(btclaim.RulesChanged{Rules: RulesOf(approved, service)})
 }
 
 // begin makes what needs the first bundle's values.
--- a/io/btagent/homes.go
+++ b/io/btagent/homes.go
@@ -107,7 +107,7 @@
 	}
 	h.mu.Unlock()
 	if !fresh {
-		h.post(btclaim.Configured{Rules: rules})
+		h.post(btclaim.RulesChanged{Rules: rules})
 	}
 }
 
--- a/io/btagent/serve.go
+++ b/io/btagent/serve.go
@@ -128,7 +128,7 @@
 	if v.grant == nil {
 		return v.refuse(btrequest.NotRun, refusal.Reason, refusal.RetryAfter, nil)
 	}
-	word := v.place.ledger.ask(btclaim.SealAsked{Grant: *v.grant, Reason: refusal.Reason})
+	word := v.place.ledger.ask(btclaim.SealRequested{Grant: *v.grant, Reason: refusal.Reason})
 	refused, ok := word.(btclaim.Refused)
 	if !ok {
 		return v.answerWord(word)
@@ -170,7 +170,7 @@
 // serveOnce runs a request that may run only once, under its grant. The run
 // goes on when the entry goes away, so that its answer is there for a repeat.
 func (v *serving) serveOnce(ctx context.Context) error {
-	word := v.place.ledger.ask(btclaim.RunAsked{Grant: *v.grant})
+	word := v.place.ledger.ask(btclaim.RunRequested{Grant: *v.grant})
 	if _, start := word.(btclaim.Start); !start {
 		return v.answerWord(word)
 	}
--- a/io/btentry/claim.go
+++ b/io/btentry/claim.go
@@ -47,9 +47,9 @@
 
 func (c *claimFlow) run(ctx context.Context) *btrequest.Refusal {
 	clock := c.dispatch.entry.options.Clock
-	effects := c.client.Step(clock(), btclaim.Begun{})
+	effects := c.client.Step(clock(), btclaim.ClientStarted{})
 	for len(effects) > 0 {
-		if end, ended := effects[0].(btclaim.Ended); ended {
+		if end, ended := effects[0].(btclaim.Result); ended {
 			return c.end(end)
 		}
 		event := c.carryOut(ctx, effects[0])
@@ -61,34 +61,34 @@
 // carryOut does one thing and returns what came of it.
 func (c *claimFlow) carryOut(ctx context.Context, effect btclaim.ClientEffect) btclaim.ClientEvent {
 	switch e := effect.(type) {
-	case btclaim.Choose:
+	case btclaim.ChooseExecutor:
 		return c.choose(e)
 	case btclaim.SendAcquire:
 		return askHome(ctx, c, e.To, btprocess.KindAcquire, e.Message, e.Message.Ask)
 	case btclaim.SendRelease:
 		return askHome(ctx, c, e.To, btprocess.KindRelease, e.Message, e.Message.Ask)
-	case btclaim.Serve:
+	case btclaim.SendRequest:
 		return c.serve(ctx, e.Grant)
 	}
-	return btclaim.HomeSilent{}
+	return btclaim.HomeTimedOut{}
 }
 
-func (c *claimFlow) choose(e btclaim.Choose) btclaim.ClientEvent {
+func (c *claimFlow) choose(e btclaim.ChooseExecutor) btclaim.ClientEvent {
 	if c.x.limited != nil {
-		return btclaim.Chosen{}
+		return btclaim.ExecutorChosen{}
 	}
 	c.request.Tried = e.Exclude
 	p, err := c.dispatch.entry.fleet.pick(c.request)
 	if err != nil {
-		return btclaim.Chosen{}
+		return btclaim.ExecutorChosen{}
 	}
 	c.picked = p
-	return btclaim.Chosen{Executor: p.executor}
+	return btclaim.ExecutorChosen{Executor: p.executor}
 }
 
 // askHome sends a question to a key home, but for one that is known to be gone.
 func askHome[Q any](ctx context.Context, c *claimFlow, to btid.Target, kind btpeer.Kind, message Q, number uint32) btclaim.ClientEvent {
-	silent := btclaim.HomeSilent{Ask: number}
+	silent := btclaim.HomeTimedOut{Ask: number}
 	endpoint, found := btprocess.AgentEndpoint(c.x.bundle.Index, to)
 	if !found || c.dispatch.entry.fleet.stopped(to) {
 		return silent
@@ -115,20 +115,20 @@
 	result := c.dispatch.try(ctx, c.x, &p, c.request, order{grant: &grant})
 	switch {
 	case result.outcome == btrequest.Done:
-		return btclaim.Served{Attempt: grant.Attempt}
+		return btclaim.AnswerReceived{Attempt: grant.Attempt}
 	case result.refused != nil:
 		if result.refused.Sealed != nil {
 			c.dispatch.entry.options.Meter.Retried(result.reason)
 		}
 		return *result.refused
 	case result.reason == btclaim.InProgressElsewhere:
-		return btclaim.Running{Attempt: grant.Attempt}
+		return btclaim.RunInProgress{Attempt: grant.Attempt}
 	}
 	c.silent = result.reason
-	return btclaim.ExecutorSilent{Attempt: grant.Attempt}
+	return btclaim.ExecutorLost{Attempt: grant.Attempt}
 }
 
-func (c *claimFlow) end(e btclaim.Ended) *btrequest.Refusal {
+func (c *claimFlow) end(e btclaim.Result) *btrequest.Refusal {
 	switch e.Outcome {
 	case btrequest.Done:
 		return nil
