--- a/io/btdirect/attempt.go
+++ b/io/btdirect/attempt.go
@@ -136,7 +136,7 @@
 // send writes the request to the target and waits for the answer's head.
 func (x *exchange) send(ctx context.Context, t *target) (*bttarget.Response, error) {
 	header := x.caller.Header.Clone()
-	forward := Forward{
+	forward := ForwardInfo{
 		Account:   x.account,
 		Target:    t.info.ID,
 		Remaining: x.deadline.Sub(x.entry.options.Clock()),
@@ -145,7 +145,7 @@
 	if x.stream != nil {
 		forward.LastEvent = x.stream.last()
 	}
-	x.entry.options.Headers.Forward(header, forward)
+	x.entry.options.Headers.SetForward(header, forward)
 	client := t.kept
 	if !x.route.Repeatable() {
 		client = t.fresh
@@ -174,7 +174,7 @@
 
 // receive reads the answer to a request that was sent then and passes it on.
 func (x *exchange) receive(ctx context.Context, cancel context.CancelFunc, t *target, answer *bttarget.Response, sent time.Time, tokens *promptTokens) attemptResult {
-	said := x.entry.options.Headers.Answer(answer.Status, answer.Header)
+	said := x.entry.options.Headers.ParseAnswer(answer.Status, answer.Header)
 	if said.ID != x.call.ID {
 		x.attempts++
 		x.mayHaveRun = true
@@ -193,7 +193,7 @@
 	if said.Encoded {
 		return attemptResult{reason: ReasonMalformedAnswer}
 	}
-	if success(answer.Status) && !said.Stamped {
+	if success(answer.Status) && !said.FromTarget {
 		return attemptResult{reason: ReasonMalformedAnswer}
 	}
 	if x.route.Kind == btcatalog.Stream && success(answer.Status) && isEvents(answer.Header) {
--- a/io/btdirect/exchange.go
+++ b/io/btdirect/exchange.go
@@ -25,7 +25,7 @@
 	entry    *Entry
 	writer   http.ResponseWriter
 	caller   *http.Request
-	call     Call
+	call     RequestInfo
 	body     []byte
 	index    *btcatalog.Index
 	route    *btcatalog.Route
@@ -80,7 +80,7 @@
 		entry:    e,
 		writer:   w,
 		caller:   r,
-		call:     e.options.Headers.Call(r.Header),
+		call:     e.options.Headers.ParseRequest(r.Header),
 		received: e.options.Clock(),
 		tried:    make(map[btinventory.Instance]bool),
 	}
@@ -357,7 +357,7 @@
 	e.meter.Refused(r.reason)
 	e.refusedLine(x, r)
 	h := x.writer.Header()
-	e.options.Headers.Refuse(h, x.call.ID, r.retryAfter)
+	e.options.Headers.SetRefusal(h, x.call.ID, r.retryAfter)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	x.writer.WriteHeader(r.status)
 	// The caller that left is the only error, and hears nothing more.
--- a/io/btdirect/group.go
+++ b/io/btdirect/group.go
@@ -111,7 +111,7 @@
 
 // hear takes a lead's report on its group in, and has streams leave members that have
 // turned slow or are unresponsive. It tells whether the group was broken until now.
-func (f *fleet) applyLoadReport(l Load) (opened bool) {
+func (f *fleet) applyLoadReport(l LoadReport) (opened bool) {
 	f.mu.Lock()
 	now := f.clock()
 	paces := make(map[int]float64, len(l.Paces))
@@ -145,7 +145,7 @@
 
 // markUnresponsive notes the members whose agents don't answer the lead while most others
 // do.
-func (s *service) markUnresponsive(l Load, now time.Time) {
+func (s *service) markUnresponsive(l LoadReport, now time.Time) {
 	known := make([]bool, len(l.Requests))
 	for rank, requests := range l.Requests {
 		known[rank] = requests != LoadUnknown
@@ -166,7 +166,7 @@
 // heard notes a group's epoch, and that the group is open where its lead says so of
 // another epoch than that in which it was found broken. An entry that waits for its
 // own probe learns it a quarter of a second and a first event later.
-func (s *service) heard(l Load) bool {
+func (s *service) heard(l LoadReport) bool {
 	s.epochs[l.Group] = l.Epoch
 	s.seenOpen[l.Group] = s.seenOpen[l.Group] || l.Open
 	g, broken := s.broken[l.Group]
--- a/io/btdirect/peer.go
+++ b/io/btdirect/peer.go
@@ -209,7 +209,7 @@
 }
 
 // roster answers an agent.
-func (p *peers) roster(_ context.Context, q RosterQuestion) (btinventory.Roster, error) {
+func (p *peers) roster(_ context.Context, q RosterRequest) (btinventory.Roster, error) {
 	r, err := p.entry.knowledge.rosterOf(q.Service)
 	if err != nil {
 		return r, err
@@ -223,7 +223,7 @@
 }
 
 // load takes a group's load in.
-func (p *peers) load(_ context.Context, l Load) (Strain, error) {
+func (p *peers) load(_ context.Context, l LoadReport) (Strain, error) {
 	if p.entry.fleet.applyLoadReport(l) {
 		p.entry.log.Info("group open", "service", l.Service, "epoch", l.Epoch, "evidence", "lead")
 	}
--- a/io/btdirect/peer_message.go
+++ b/io/btdirect/peer_message.go
@@ -14,8 +14,8 @@
 	"bilberrytide/core/btrate"
 )
 
-// RosterQuestion asks an entry for a service's targets.
-type RosterQuestion struct {
+// RosterRequest asks an entry for a service's targets.
+type RosterRequest struct {
 	Service btid.Service `cbor:"service"`
 	// Known is the digest of the roster that the agent has.
 	Known uint64 `cbor:"known"`
@@ -25,7 +25,7 @@
 var errQuestion = errors.New("question without a service")
 
 // Validate reports a question that names no service.
-func (q RosterQuestion) Validate() error {
+func (q RosterRequest) Validate() error {
 	if q.Service == "" {
 		return errQuestion
 	}
@@ -35,10 +35,10 @@
 // LoadUnknown stands for a rank of which nothing was heard of late.
 const LoadUnknown = 255
 
-// Load is what entries are told of a group. Ranks are told by their number, a byte
+// LoadReport is what entries are told of a group. Ranks are told by their number, a byte
 // each, as a word with their addresses takes fourteen times as much: 2,726 B for
 // 192 ranks.
-type Load struct {
+type LoadReport struct {
 	Service btid.Service `cbor:"service"`
 	Group   string       `cbor:"group"`
 	Epoch   uint64       `cbor:"epoch"`
@@ -60,7 +60,7 @@
 }
 
 // Validate reports a load of no service, or with a pace that none has.
-func (l Load) Validate() error {
+func (l LoadReport) Validate() error {
 	if l.Service == "" {
 		return errQuestion
 	}
--- a/io/btdirect/source.go
+++ b/io/btdirect/source.go
@@ -60,19 +60,19 @@
 
 // Headers reads and writes the header fields that the platform defines.
 type Headers interface {
-	// Call reads a caller's request.
-	Call(h http.Header) Call
-	// Forward sets the fields of a request to a target and removes the
+	// ParseRequest reads a caller's request.
+	ParseRequest(h http.Header) RequestInfo
+	// SetForward sets the fields of a request to a target and removes the
 	// caller's credentials.
-	Forward(h http.Header, f Forward)
-	// Answer reads a target's answer.
-	Answer(status int, h http.Header) Answer
-	// Refuse sets the fields of an answer of the entry's own.
-	Refuse(h http.Header, id string, retryAfter time.Duration)
+	SetForward(h http.Header, f ForwardInfo)
+	// ParseAnswer reads a target's answer.
+	ParseAnswer(status int, h http.Header) AnswerInfo
+	// SetRefusal sets the fields of an answer of the entry's own.
+	SetRefusal(h http.Header, id string, retryAfter time.Duration)
 }
 
-// Call is what a caller's request says of itself.
-type Call struct {
+// RequestInfo is what a caller's request says of itself.
+type RequestInfo struct {
 	// ID is the caller's identifier of this attempt.
 	ID  string
 	Key string
@@ -85,8 +85,8 @@
 	PromptTokens, OutputTokens int
 }
 
-// Forward is what the entry says in a request to a target.
-type Forward struct {
+// ForwardInfo is what the entry says in a request to a target.
+type ForwardInfo struct {
 	Account btid.Account
 	// Target is the target that is meant.
 	Target    btinventory.ID
@@ -96,16 +96,16 @@
 	LastEvent string
 }
 
-// Answer is what a target's answer says of itself.
-type Answer struct {
+// AnswerInfo is what a target's answer says of itself.
+type AnswerInfo struct {
 	// ID is the request that the answer belongs to.
 	ID string
 	// NotRun is the target's word that it did not run the request.
 	NotRun bool
 	// Misdirected tells that another target has the address.
 	Misdirected bool
-	// Stamped tells that the answer is the target's own.
-	Stamped bool
+	// FromTarget tells that the answer is the target's own.
+	FromTarget bool
 	// Encoded tells that the body isn't the target's.
 	Encoded bool
 	// AtFault is the group member that the answer blames, if any.
--- a/io/btrank/budget_test.go
+++ b/io/btrank/budget_test.go
@@ -112,8 +112,8 @@
 	return b
 }
 
-func (f fleet) load() btdirect.Load {
-	return btdirect.Load{Service: "wave-assistant", Group: "group-of-the-service", Epoch: 1 << 20, Open: true, Requests: make([]byte, f.ranks)}
+func (f fleet) load() btdirect.LoadReport {
+	return btdirect.LoadReport{Service: "wave-assistant", Group: "group-of-the-service", Epoch: 1 << 20, Open: true, Requests: make([]byte, f.ranks)}
 }
 
 // tellers returns how many agents tell entries, and how many entries each.
--- a/io/btrank/directory.go
+++ b/io/btrank/directory.go
@@ -67,7 +67,7 @@
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, rosterTime)
 	defer cancel()
-	question := btdirect.RosterQuestion{Service: d.options.Settings.Service, Known: known}
+	question := btdirect.RosterRequest{Service: d.options.Settings.Service, Known: known}
 	roster, err := btcall.Call[btinventory.Roster](ctx, d.calls, entry, btdirect.PathRoster, question)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/btrank/message.go
+++ b/io/btrank/message.go
@@ -214,8 +214,8 @@
 
 // Notice has an agent tell some entries of the group's load.
 type Notice struct {
-	Load    btdirect.Load    `cbor:"load"`
-	Entries []netip.AddrPort `cbor:"entries"`
+	Load    btdirect.LoadReport `cbor:"load"`
+	Entries []netip.AddrPort    `cbor:"entries"`
 }
 
 // Validate reports a notice without entries, or of no load.
--- a/io/btrank/message_test.go
+++ b/io/btrank/message_test.go
@@ -26,10 +26,10 @@
 		"bundle of a bad report":   btrank.Bundle{From: relayAddress, Reports: []btrank.AgedReport{{Report: outside}}},
 		"counts without a unit":    btrank.Bundle{From: relayAddress, Counts: &btrank.Sample{Values: []byte{1}}},
 		"batch for nobody":         btrank.Batch{},
-		"notice for nobody":        btrank.Notice{Load: btdirect.Load{Service: "s"}},
+		"notice for nobody":        btrank.Notice{Load: btdirect.LoadReport{Service: "s"}},
 		"notice of no service":     btrank.Notice{Entries: []netip.AddrPort{relayAddress}},
-		"pace that is no number":   btdirect.Load{Service: "s", Paces: []btdirect.RankPace{{Pace: float32(math.NaN())}}},
-		"pace without an end":      btdirect.Load{Service: "s", Paces: []btdirect.RankPace{{Pace: float32(math.Inf(1))}}},
+		"pace that is no number":   btdirect.LoadReport{Service: "s", Paces: []btdirect.RankPace{{Pace: float32(math.NaN())}}},
+		"pace without an end":      btdirect.LoadReport{Service: "s", Paces: []btdirect.RankPace{{Pace: float32(math.Inf(1))}}},
 		"answer without a verdict": btrank.BatchAnswer{Results: fleets()[0].results("")},
 	} {
 		assert.Assert(t, message.Validate() != nil, name)
@@ -53,7 +53,7 @@
 		again[btrank.Batch](t, data)
 		again[btrank.BatchAnswer](t, data)
 		again[btrank.Notice](t, data)
-		again[btdirect.Load](t, data)
+		again[btdirect.LoadReport](t, data)
 	})
 }
 
--- a/io/btrank/tell.go
+++ b/io/btrank/tell.go
@@ -54,8 +54,8 @@
 }
 
 // load returns the group's load. The lock is held.
-func (l *lead) load(now time.Time) btdirect.Load {
-	load := btdirect.Load{
+func (l *lead) load(now time.Time) btdirect.LoadReport {
+	load := btdirect.LoadReport{
 		Service:  l.options.Settings.Service,
 		Group:    l.machine.Group(),
 		Epoch:    l.machine.Epoch(),
@@ -90,7 +90,7 @@
 }
 
 // tellEntry tells one entry.
-func (l *lead) tellEntry(ctx context.Context, load btdirect.Load, entry netip.AddrPort) {
+func (l *lead) tellEntry(ctx context.Context, load btdirect.LoadReport, entry netip.AddrPort) {
 	strain, err := tellOne(ctx, l.calls, load, entry)
 	if err != nil {
 		l.options.Meter.Counter("load_untold").Inc(1)
@@ -100,7 +100,7 @@
 }
 
 // tellOne tells one entry, and returns what it says of the service's answers.
-func tellOne(ctx context.Context, calls *btcall.Client, load btdirect.Load, entry netip.AddrPort) (btdirect.Strain, error) {
+func tellOne(ctx context.Context, calls *btcall.Client, load btdirect.LoadReport, entry netip.AddrPort) (btdirect.Strain, error) {
 	bounded, cancel := context.WithTimeout(ctx, tellEvery)
 	defer cancel()
 	return btcall.Call[btdirect.Strain](bounded, calls, entry, btdirect.PathLoad, load)
