--- a/io/btdirect/admission.go
+++ b/io/btdirect/admission.go
@@ -12,54 +12,54 @@
 )
 
 const (
-	// leastShare is the part of a group's places that is always admitted.
-	leastShare = 0.25
-	// queuePerSlot is how many requests beyond its slots a plain target is sent:
-	// its own short queue keeps it busy.
+	// minLimitFraction is the lowest limit, as a fraction of a group's slots.
+	minLimitFraction = 0.25
+	// queuePerSlot is how many requests per slot a plain target is sent beyond its
+	// slots: a short queue of its own keeps it busy.
 	queuePerSlot = 1.0
-	// maxRoutes bounds the routes whose callers' deadlines are remembered: routes come
-	// and go with catalogs, and a deadline is learned anew from the next caller.
+	// maxRoutes limits the routes for which callers' deadlines are kept. Routes come
+	// and go with catalogs, and a deadline is learned again from the next callers.
 	maxRoutes = 4096
 )
 
-// admission bounds the requests at work by service.
+// admission limits the concurrent requests of each service.
 type admission struct {
 	clock btloop.Clock
 	fleet *fleet
-	// entries estimates how many entries share the targets.
-	entries func() int
+	// estimatedEntries returns the estimated number of entries that share the targets.
+	estimatedEntries func() int
 
 	mu sync.Mutex
-	// refused is when a caller was last turned away who may come back; at first it is
-	// the process's start, as callers come back whom the one before has left.
-	refused time.Time
-	gates   map[btid.Service]*serviceGate
-	// usual is the deadline of callers' first tries by route.
-	usual map[string]*btgate.DeadlineEstimator
+	// lastRefusal is when a caller that may retry was last refused or cut off. It
+	// starts as the start of the process, as callers of the previous process retry.
+	lastRefusal time.Time
+	gates       map[btid.Service]*serviceGate
+	// deadlines estimates the deadlines of first attempts, by route.
+	deadlines map[string]*btgate.DeadlineEstimator
 }
 
-// serviceGate is a gate with what callers of its service see.
+// serviceGate is a service's gate and the latencies that its callers see.
 type serviceGate struct {
 	gate *btgate.Gate[chan struct{}]
-	// pauses and firsts measure the pauses and the first events of streams.
-	pauses, firsts btgate.LatencyRatio
+	// pauseRatio and firstEventRatio measure the pauses between the events of streams
+	// and the time to the first event, as fractions of the promised times.
+	pauseRatio, firstEventRatio btgate.LatencyRatio
 }
 
-func newAdmission(o Options, f *fleet, entries func() int) *admission {
-	return &admission{refused: o.Clock(), clock: o.Clock, fleet: f, entries: entries, gates: make(map[btid.Service]*serviceGate), usual: make(map[string]*btgate.DeadlineEstimator)}
+func newAdmission(o Options, f *fleet, estimatedEntries func() int) *admission {
+	return &admission{lastRefusal: o.Clock(), clock: o.Clock, fleet: f, estimatedEntries: estimatedEntries, gates: make(map[btid.Service]*serviceGate), deadlines: make(map[string]*btgate.DeadlineEstimator)}
 }
 
-// of returns the service's gate with its bounds brought up to date. The lock is
-// held.
-func (a *admission) of(s *btcatalog.Service) *serviceGate {
+// gateOf returns the service's gate with its limits updated. a.mu must be held.
+func (a *admission) gateOf(s *btcatalog.Service) *serviceGate {
 	slots, targets := a.fleet.slots(s.Name)
-	most := max(float64(slots), 1)
-	config := btgate.Config{MinLimit: max(most*leastShare, 1), MaxLimit: most, InitialLimit: most, Entries: a.entries()}
+	maxLimit := max(float64(slots), 1)
+	config := btgate.Config{MinLimit: max(maxLimit*minLimitFraction, 1), MaxLimit: maxLimit, InitialLimit: maxLimit, Entries: a.estimatedEntries()}
 	if s.Engine == nil || s.Engine.Group == nil {
-		// Plain targets bound themselves: the gate only keeps a burst from
-		// filling their queues beyond what they answer in time.
-		most = float64(slots) * (1 + queuePerSlot)
-		config = btgate.Config{MinLimit: most, MaxLimit: most, InitialLimit: most, Entries: 1}
+		// Plain targets limit themselves. The gate only keeps a burst from filling
+		// their queues with more than they can answer in time.
+		maxLimit = float64(slots) * (1 + queuePerSlot)
+		config = btgate.Config{MinLimit: maxLimit, MaxLimit: maxLimit, InitialLimit: maxLimit, Entries: 1}
 	}
 	g, found := a.gates[s.Name]
 	if !found {
@@ -72,57 +72,56 @@
 	return g
 }
 
-// request returns how a request waits.
-func (a *admission) request(x *exchange) btgate.Request {
+// queueParams returns the queueing parameters of a request.
+func (a *admission) queueParams(x *exchange) btgate.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock()
-	usual := a.usualOf(x.route.Name)
+	estimator := a.deadlinesOf(x.route.Name)
 	caller := btgate.Caller{
-		Remaining:    x.call.Deadline,
-		FirstAttempt: usual.Add(now, x.call.Deadline, a.refused),
+		Remaining:    x.info.Deadline,
+		FirstAttempt: estimator.Add(now, x.info.Deadline, a.lastRefusal),
 		Objective:    x.route.Objective,
 		Timeout:      x.route.Timeout,
 	}
-	return caller.Request(now, x.priority, a.of(x.service).gate.StartLatency())
+	return caller.Request(now, x.priority, a.gateOf(x.service).gate.StartLatency())
 }
 
-// turnedAway notes that a caller was refused or cut off.
-func (a *admission) turnedAway() {
+// recordRefusal records that a caller was refused or cut off.
+func (a *admission) recordRefusal() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refused = a.clock()
+	a.lastRefusal = a.clock()
 }
 
-// usualOf returns what is known of the deadlines of a route's callers. The lock is
-// held.
-func (a *admission) usualOf(route string) *btgate.DeadlineEstimator {
-	usual, found := a.usual[route]
+// deadlinesOf returns the deadline estimator of a route. a.mu must be held.
+func (a *admission) deadlinesOf(route string) *btgate.DeadlineEstimator {
+	estimator, found := a.deadlines[route]
 	if found {
-		return usual
+		return estimator
 	}
-	if len(a.usual) >= maxRoutes {
-		clear(a.usual)
+	if len(a.deadlines) >= maxRoutes {
+		clear(a.deadlines)
 	}
-	usual = &btgate.DeadlineEstimator{}
-	a.usual[route] = usual
-	return usual
+	estimator = &btgate.DeadlineEstimator{}
+	a.deadlines[route] = estimator
+	return estimator
 }
 
-// enter admits a request, after a wait where that promises to help. It returns
-// false where the request is refused.
-func (a *admission) enter(ctx context.Context, s *btcatalog.Service, r btgate.Request) bool {
+// acquire takes a slot for a request. If none is free the request is queued, provided
+// that it is likely to get one in time. It returns false if the request is refused.
+func (a *admission) acquire(ctx context.Context, s *btcatalog.Service, r btgate.Request) bool {
 	a.mu.Lock()
-	g := a.of(s)
+	g := a.gateOf(s)
 	now := a.clock()
 	if g.gate.TryAcquire(now) {
 		a.mu.Unlock()
 		return true
 	}
 	admitted := make(chan struct{})
-	ticket := g.gate.Enqueue(now, r, admitted)
+	waiter := g.gate.Enqueue(now, r, admitted)
 	a.mu.Unlock()
-	if ticket == nil {
+	if waiter == nil {
 		return false
 	}
 	timer := time.NewTimer(r.WaitUntil.Sub(now))
@@ -135,67 +134,69 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !g.gate.Cancel(ticket)
+	return !g.gate.Cancel(waiter)
 }
 
-// comeBack is when a caller should come back that finds no place, at the most the
-// given time.
-func (a *admission) comeBack(s *btcatalog.Service, most time.Duration) time.Duration {
+// retryAfter returns the time after which a caller that got no slot should retry, at
+// most the given one.
+func (a *admission) retryAfter(s *btcatalog.Service, longest time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.of(s).gate.RetryAfter(a.clock(), most)
+	return a.gateOf(s).gate.RetryAfter(a.clock(), longest)
 }
 
-// leave gives back a request's place.
-func (a *admission) leave(x *exchange) {
+// release returns a request's slot.
+func (a *admission) release(x *exchange) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock()
 	held := time.Duration(0)
-	if x.whole {
-		held = now.Sub(x.admitted)
+	if x.answered {
+		held = now.Sub(x.admittedAt)
 	}
-	wake(a.of(x.service).gate.Release(now, held))
+	admitWaiters(a.gateOf(x.service).gate.Release(now, held))
 }
 
-// hear takes in how many requests of all entries the service's targets have.
-func (a *admission) hear(name btid.Service, total int) {
+// observeTotal records the number of requests that all entries have at the service's
+// targets.
+func (a *admission) observeTotal(name btid.Service, total int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if g, found := a.gates[name]; found {
-		wake(g.gate.ObserveTotal(a.clock(), total))
+		admitWaiters(g.gate.ObserveTotal(a.clock(), total))
 	}
 }
 
-// wake lets admitted requests go on.
-func wake(admitted []*btgate.Waiter[chan struct{}]) {
-	for _, t := range admitted {
-		close(t.Value)
+// admitWaiters wakes the queued requests that were admitted.
+func admitWaiters(admitted []*btgate.Waiter[chan struct{}]) {
+	for _, w := range admitted {
+		close(w.Value)
 	}
 }
 
-// pause takes a pause between two events of a stream in.
-func (a *admission) pause(s *btcatalog.Service, pause, allowed time.Duration) {
+// observePause records a pause between two events of a stream, and the longest allowed
+// pause.
+func (a *admission) observePause(s *btcatalog.Service, pause, allowed time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if g, found := a.gates[s.Name]; found {
 		g.gate.ObservePause(a.clock(), pause, allowed)
-		g.pauses.Add(pause, allowed)
+		g.pauseRatio.Add(pause, allowed)
 	}
 }
 
-// first takes in how long after its admission a stream's first event came, and the
-// time that is aimed at.
-func (a *admission) first(s *btcatalog.Service, took, objective time.Duration) {
+// observeFirstEvent records the time from admission to a stream's first event, and the
+// objective for it.
+func (a *admission) observeFirstEvent(s *btcatalog.Service, took, objective time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if g, found := a.gates[s.Name]; found {
-		g.firsts.Add(took, objective)
+		g.firstEventRatio.Add(took, objective)
 		g.gate.ObserveStartLatency(took)
 	}
 }
 
-// strain tells how near a service's answers come to what callers are promised.
+// strain returns how close a service's latencies come to the promised ones.
 func (a *admission) strain(name btid.Service) Strain {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -203,19 +204,19 @@
 	if !found {
 		return Strain{}
 	}
-	return Strain{Value: max(g.pauses.Value(), g.firsts.Value()), Streams: g.gate.Running()}
+	return Strain{Value: max(g.pauseRatio.Value(), g.firstEventRatio.Value()), Streams: g.gate.Running()}
 }
 
-// gateLoad describes a service's gate for logs.
+// gateLoad is the state of a service's gate, for logs.
 type gateLoad struct {
-	// running and waiting are this entry's requests, places how many it may have at
-	// work, limit how many all entries may.
-	running, waiting, places, limit int
-	// pause is the mean pause between events as a share of the allowed one.
-	pause float64
+	// running and waiting count this entry's requests. entryLimit is the number that
+	// this entry may have at work, limit the number for all entries together.
+	running, waiting, entryLimit, limit int
+	// pauseRatio is the mean pause between events as a fraction of the allowed one.
+	pauseRatio float64
 }
 
-// load returns what a service's gate has.
+// load returns the state of a service's gate.
 func (a *admission) load(name btid.Service) gateLoad {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -224,10 +225,10 @@
 		return gateLoad{}
 	}
 	return gateLoad{
-		running: g.gate.Running(),
-		waiting: g.gate.Waiting(),
-		places:  g.gate.EntryLimit(a.clock()),
-		limit:   g.gate.Limit(),
-		pause:   g.gate.PauseRatio(),
+		running:    g.gate.Running(),
+		waiting:    g.gate.Waiting(),
+		entryLimit: g.gate.EntryLimit(a.clock()),
+		limit:      g.gate.Limit(),
+		pauseRatio: g.gate.PauseRatio(),
 	}
 }
--- a/io/btdirect/attempt.go
+++ b/io/btdirect/attempt.go
@@ -15,127 +15,129 @@
 	"bilberrytide/io/bttarget"
 )
 
-// attemptResult is how one attempt at one target ended.
+// attemptResult is the outcome of one attempt at one target.
 type attemptResult struct {
 	target btinventory.ID
-	// done tells that the caller has its whole answer.
-	done   bool
-	reason btrequest.Reason
-	// notRun tells that the target did not run the request, by its own word or
-	// because nothing was sent.
+	// complete reports that the caller has the complete answer.
+	complete bool
+	reason   btrequest.Reason
+	// notRun reports that the target did not run the request: it said so, or nothing
+	// was sent.
 	notRun bool
-	// moved tells that the stream left a slow target; its place in the retry
-	// budget is taken.
+	// moved reports that the stream moved away from its target. The move has been taken
+	// from the retry budget.
 	moved bool
-	// groupBroken tells that the whole group can't serve, so that another
-	// member can't either.
+	// groupBroken reports that the whole group can't serve, so that its other members
+	// need not be tried.
 	groupBroken bool
 	status      int
-	// held is a whole answer that is passed on unless another attempt follows.
-	held   *heldAnswer
-	detail error
-	// began tells that the target had begun to answer, ended that its process was
+	// buffered is a complete answer that is relayed if there is no further attempt.
+	buffered *bufferedAnswer
+	err      error
+	// began reports that the target had begun to answer, crashed that its process was
 	// gone when the answer broke off.
-	began, ended bool
+	began, crashed bool
 }
 
-// heldAnswer is a target's whole answer, not yet passed on.
-type heldAnswer struct {
+// bufferedAnswer is a target's complete answer, not yet relayed.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// bufferBytes is how much of an answer is read before any of it is passed on,
-// so that one that breaks off can be asked for again elsewhere.
+// bufferBytes is how much of an answer is read before any of it is relayed. An answer
+// that breaks off within it can be requested again from another target.
 const bufferBytes = 256 << 10
 
-// attempt sends the request to one target and passes its answer on.
+// attempt sends the request to one target and relays the answer.
 func (x *exchange) attempt(ctx context.Context, t *target) attemptResult {
 	e := x.entry
-	tokens := &promptTokens{fleet: e.fleet, target: t, count: x.call.PromptTokens}
-	defer e.fleet.done(t)
-	defer tokens.read()
+	tokens := &promptTokens{fleet: e.fleet, target: t, count: x.info.PromptTokens}
+	defer e.fleet.requestDone(t)
+	defer tokens.markRead()
 	x.tried[t.info.Instance()] = true
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer e.quarantine.attempting(x, cancel)()
-	moving := x.movable(t, cancel)
-	defer moving.done()
-	x.move = moving.move
-	sent := e.options.Clock()
+	defer e.quarantine.trackAttempt(x, cancel)()
+	moveState := x.startMove(t, cancel)
+	defer moveState.remove()
+	x.move = moveState.move
+	sentAt := e.options.Clock()
 	answer, err := x.send(ctx, t)
 	if err != nil {
-		result := x.ended(ctx, t, moving.result(x.sendFailed(t, err)))
-		if !x.gone() {
-			e.judge(t, result)
+		result := x.detectCrash(ctx, t, moveState.result(x.sendFailed(t, err)))
+		if !x.callerGone() {
+			e.recordResult(t, result)
 		}
 		return result
 	}
 	defer func() { _ = answer.Body.Close() }()
-	result := moving.result(x.receive(ctx, cancel, t, answer, sent, tokens))
+	result := moveState.result(x.receive(ctx, cancel, t, answer, sentAt, tokens))
 	result.target = t.info.ID
 	result.status = answer.Status
 	result.began = true
-	result = x.ended(ctx, t, result)
-	e.judge(t, result)
+	result = x.detectCrash(ctx, t, result)
+	e.recordResult(t, result)
 	return result
 }
 
-// ended adds whether the target's process was gone when the attempt broke off. One that
-// was withdrawn broke off for that.
-func (x *exchange) ended(ctx context.Context, t *target, result attemptResult) attemptResult {
-	if x.withdrawn.Load() && !result.done {
+// detectCrash adds to the result whether the target's process was gone when the attempt
+// broke off. A withdrawn attempt was cancelled by this entry and says nothing about the
+// target.
+func (x *exchange) detectCrash(ctx context.Context, t *target, result attemptResult) attemptResult {
+	if x.withdrawn.Load() && !result.complete {
 		result.reason = ReasonQuarantined
 		return result
 	}
-	// A connection to a caller that has left breaks off alike.
-	if result.done || result.notRun || result.reason == ReasonCallerGone || !bttarget.BrokeOff(result.detail) {
+	// A connection to a caller that has disconnected breaks off in the same way.
+	if result.complete || result.notRun || result.reason == ReasonCallerGone || !bttarget.BrokeOff(result.err) {
 		return result
 	}
-	ended, first := x.entry.endings.ended(ctx, t)
+	crashed, first := x.entry.crashes.targetCrashed(ctx, t)
 	if first {
-		x.entry.endedLine(t)
+		x.entry.logCrash(t)
 	}
-	if ended {
-		x.entry.memberEnded(t)
+	if crashed {
+		x.entry.memberCrashed(t)
 	}
-	if ended {
-		x.entry.quarantine.Ended(x.fingerprint(), t.info.Instance().String(), x.progress(t, result), "account", x.account, "path", x.caller.RequestURI)
+	if crashed {
+		x.entry.quarantine.Ended(x.fingerprint(), t.info.Instance().String(), x.progress(t, result), "account", x.account, "path", x.request.RequestURI)
 	}
-	result.ended = ended
+	result.crashed = crashed
 	return result
 }
 
-// progress is how far a target had come when it ended. A stream of which events came, from
-// this target or another, is no longer beginning.
+// progress returns how far a target had come when it crashed. A stream of which any
+// target has sent events is past its beginning.
 func (x *exchange) progress(t *target, result attemptResult) btquarantine.Progress {
 	switch {
 	case !result.began:
 		return btquarantine.Sent
-	case t.info.Member == nil || x.route.Kind != btcatalog.Stream || x.answering.Load():
+	case t.info.Member == nil || x.route.Kind != btcatalog.Stream || x.partlySent.Load():
 		return btquarantine.Answering
 	}
 	return btquarantine.BegunWithoutOutput
 }
 
-// promptTokens counts a prompt at a target until it has been read there.
+// promptTokens counts a request's prompt tokens as pending at a target until the target
+// has read the prompt.
 type promptTokens struct {
 	fleet  *fleet
 	target *target
 	count  int
 }
 
-func (p *promptTokens) read() {
+func (p *promptTokens) markRead() {
 	if p.count > 0 {
-		p.fleet.read(p.target, p.count)
+		p.fleet.promptRead(p.target, p.count)
 		p.count = 0
 	}
 }
 
-// send writes the request to the target and waits for the answer's head.
+// send sends the request to the target and waits for the header of the answer.
 func (x *exchange) send(ctx context.Context, t *target) (*bttarget.Response, error) {
-	header := x.caller.Header.Clone()
+	header := x.request.Header.Clone()
 	forward := ForwardInfo{
 		Account:   x.account,
 		Target:    t.info.ID,
@@ -143,25 +145,25 @@
 		Priority:  x.priority,
 	}
 	if x.stream != nil {
-		forward.LastEvent = x.stream.last()
+		forward.LastEvent = x.stream.lastEventID()
 	}
 	x.entry.options.Headers.SetForward(header, forward)
-	client := t.kept
+	client := t.pooled
 	if !x.route.Repeatable() {
-		client = t.fresh
+		client = t.unpooled
 	}
 	return client.Do(ctx, bttarget.Request{
-		Method: x.caller.Method,
-		Host:   x.caller.Host,
-		URI:    x.caller.RequestURI,
+		Method: x.request.Method,
+		Host:   x.request.Host,
+		URI:    x.request.RequestURI,
 		Header: header,
 		Body:   x.body,
 	})
 }
 
-// sendFailed ends an attempt that got no answer's head.
+// sendFailed returns the result of an attempt that got no header.
 func (x *exchange) sendFailed(t *target, err error) attemptResult {
-	result := attemptResult{target: t.info.ID, reason: ReasonTargetLost, detail: err}
+	result := attemptResult{target: t.info.ID, reason: ReasonTargetLost, err: err}
 	if errors.Is(err, bttarget.ErrNotSent) || errors.Is(err, bttarget.ErrRequest) {
 		result.reason = ReasonNotSent
 		result.notRun = true
@@ -172,28 +174,28 @@
 	return result
 }
 
-// receive reads the answer to a request that was sent then and passes it on.
-func (x *exchange) receive(ctx context.Context, cancel context.CancelFunc, t *target, answer *bttarget.Response, sent time.Time, tokens *promptTokens) attemptResult {
-	said := x.entry.options.Headers.ParseAnswer(answer.Status, answer.Header)
-	if said.ID != x.call.ID {
+// receive reads and relays the answer to a request that was sent at sentAt.
+func (x *exchange) receive(ctx context.Context, cancel context.CancelFunc, t *target, answer *bttarget.Response, sentAt time.Time, tokens *promptTokens) attemptResult {
+	info := x.entry.options.Headers.ParseAnswer(answer.Status, answer.Header)
+	if info.ID != x.info.ID {
 		x.attempts++
 		x.mayHaveRun = true
 		return attemptResult{reason: ReasonForeignAnswer}
 	}
-	if said.Misdirected {
+	if info.Misdirected {
 		return attemptResult{reason: ReasonMisdirected, notRun: true}
 	}
-	x.entry.hearRate(x, t, sent, answer.Status, said.Rate)
-	if said.NotRun {
-		broken := answer.Status == http.StatusServiceUnavailable && said.AtFault != "" && t.info.Member != nil
+	x.entry.observeRate(x, t, sentAt, answer.Status, info.Rate)
+	if info.NotRun {
+		broken := answer.Status == http.StatusServiceUnavailable && info.AtFault != "" && t.info.Member != nil
 		return attemptResult{reason: ReasonTargetRefused, notRun: true, groupBroken: broken}
 	}
 	x.attempts++
 	x.mayHaveRun = true
-	if said.Encoded {
+	if info.Encoded {
 		return attemptResult{reason: ReasonMalformedAnswer}
 	}
-	if success(answer.Status) && !said.FromTarget {
+	if success(answer.Status) && !info.FromTarget {
 		return attemptResult{reason: ReasonMalformedAnswer}
 	}
 	if x.route.Kind == btcatalog.Stream && success(answer.Status) && isEvents(answer.Header) {
@@ -208,30 +210,31 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// relayWhole reads an answer to its end before it is passed on; only what is
-// larger than the buffer is passed on as it arrives.
+// relayWhole reads an answer to its end before relaying it. An answer larger than the
+// buffer is relayed as it arrives.
 func (x *exchange) relayWhole(answer *bttarget.Response) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, bufferBytes))
 	if err != nil {
-		return attemptResult{reason: ReasonAnswerCut, detail: err}
+		return attemptResult{reason: ReasonAnswerCut, err: err}
 	}
-	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
+	buffered := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) == bufferBytes {
-		return x.relayLong(answer, held)
+		return x.relayLarge(answer, buffered)
 	}
 	if promisesNotRun(answer.Status) && !x.route.Repeatable() {
-		// The status promises what the target has not said.
+		// Callers would take the status to mean that the request did not run, which the
+		// target has not said.
 		return attemptResult{reason: ReasonTargetError}
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		return attemptResult{reason: ReasonTargetError, held: held}
+		return attemptResult{reason: ReasonTargetError, buffered: buffered}
 	}
-	x.relayHeld(held)
-	return attemptResult{done: true}
+	x.relayBuffered(buffered)
+	return attemptResult{complete: true}
 }
 
-// promisesNotRun tells whether callers take the status for a promise that the
-// request was not run.
+// promisesNotRun reports whether callers take the status to mean that the request did
+// not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -240,66 +243,69 @@
 	return false
 }
 
-// relayHeld passes a whole answer on.
-func (x *exchange) relayHeld(held *heldAnswer) {
-	x.copyHeader(held.header)
-	x.writer.WriteHeader(held.status)
-	// The caller that left is the only error, and hears nothing more.
-	_, _ = x.writer.Write(held.body)
+// relayBuffered relays a complete answer.
+func (x *exchange) relayBuffered(buffered *bufferedAnswer) {
+	x.copyHeader(buffered.header)
+	x.writer.WriteHeader(buffered.status)
+	// Writing fails only if the caller has disconnected.
+	_, _ = x.writer.Write(buffered.body)
 }
 
-// relayLong passes on an answer that is larger than the buffer.
-func (x *exchange) relayLong(answer *bttarget.Response, held *heldAnswer) attemptResult {
-	x.relayHeld(held)
+// relayLarge relays an answer that is larger than the buffer.
+func (x *exchange) relayLarge(answer *bttarget.Response, buffered *bufferedAnswer) attemptResult {
+	x.relayBuffered(buffered)
 	_, err := io.Copy(x.writer, answer.Body)
 	if err != nil {
-		x.entry.logFailure(x, ReasonAnswerCut, attemptResult{reason: ReasonAnswerCut, detail: err})
+		x.entry.logFailure(x, ReasonAnswerCut, attemptResult{reason: ReasonAnswerCut, err: err})
 		x.abort()
 	}
-	return attemptResult{done: true}
+	return attemptResult{complete: true}
 }
 
-// copyHeader sets the fields of a target's answer.
-func (x *exchange) copyHeader(from http.Header) {
+// copyHeader copies the header of a target's answer. It keeps the entry's own
+// Connection field.
+func (x *exchange) copyHeader(header http.Header) {
 	h := x.writer.Header()
-	closing := h.Get("Connection")
-	for name, values := range from {
+	connection := h.Get("Connection")
+	for name, values := range header {
 		h[name] = values
 	}
-	if closing != "" {
-		h.Set("Connection", closing)
+	if connection != "" {
+		h.Set("Connection", connection)
 	}
 }
 
-// judge notes what an attempt tells of its target.
-func (e *Entry) judge(t *target, result attemptResult) {
+// recordResult updates the state of the target and its group from the result of an
+// attempt.
+func (e *Entry) recordResult(t *target, result attemptResult) {
 	switch {
-	case result.done:
-		e.succeeded(t, "answer")
+	case result.complete:
+		e.recordSuccess(t, "answer")
 	case result.groupBroken:
-		if e.fleet.closed(t) {
+		if e.fleet.markBroken(t) {
 			e.log.Warn("group broken", "service", t.info.Service, "target", t.info.ID, "evidence", result.reason, "status", result.status)
 		}
 	case result.reason == ReasonMisdirected:
-		e.targetLine(t, result, e.fleet.misdirected(t))
+		e.logTargetFailure(t, result, e.fleet.recordMisdirected(t))
 	case result.reason == ReasonCallerGone, result.reason == ReasonTimeout, result.reason == ReasonQuarantined, result.moved:
 	default:
-		wait := e.fleet.failed(t)
-		e.targetLine(t, result, wait)
+		wait := e.fleet.recordFailure(t)
+		e.logTargetFailure(t, result, wait)
 	}
 }
 
-// memberEnded notes that a group has lost a member: the others stall until it is back, and
-// whoever is sent there waits a second or more to hear it.
-func (e *Entry) memberEnded(t *target) {
-	if t.info.Member != nil && e.fleet.closed(t) {
+// memberCrashed marks the group of a crashed member as broken. The other members stall
+// until it is back, and a request sent to them would wait a second or more for their
+// refusal.
+func (e *Entry) memberCrashed(t *target) {
+	if t.info.Member != nil && e.fleet.markBroken(t) {
 		e.log.Warn("group broken", "service", t.info.Service, "target", t.info.ID, "evidence", "target ended")
 	}
 }
 
-// succeeded notes that a target serves.
-func (e *Entry) succeeded(t *target, evidence string) {
-	if e.fleet.succeeded(t) {
+// recordSuccess records that a target serves.
+func (e *Entry) recordSuccess(t *target, evidence string) {
+	if e.fleet.recordSuccess(t) {
 		e.log.Info("group open", "service", t.info.Service, "target", t.info.ID, "evidence", evidence)
 	}
 }
--- a/io/btdirect/broken.go
+++ b/io/btdirect/broken.go
@@ -7,47 +7,48 @@
 	"bilberrytide/core/btinventory"
 )
 
-// probeEvery is how often a request is sent to a group that is known to be
-// broken, to learn when it is open again.
-const probeEvery = 250 * time.Millisecond
+// probeInterval is how often one request is sent to a broken group, to find out whether
+// it serves again.
+const probeInterval = 250 * time.Millisecond
 
 // brokenGroup is an engine group that can't serve.
 type brokenGroup struct {
-	// probeAt is when the next request may be sent to it.
-	probeAt time.Time
-	// epoch is the last that its lead had told of when it was found broken; it forms
-	// anew in another.
+	// nextProbe is when the next request may be sent to it.
+	nextProbe time.Time
+	// epoch is the last one that its lead had reported when it was found broken. The
+	// group re-forms in a later epoch.
 	epoch uint64
 }
 
-// group returns the name of the target's group; empty without one.
-func (t *target) group() string {
+// groupName returns the name of the target's group, or "" for a plain target.
+func (t *target) groupName() string {
 	if t.info.Member == nil {
 		return ""
 	}
 	return t.info.Member.Group
 }
 
-// closed tells whether a target's group is broken and isn't to be probed now.
-func (s *service) closed(t *target, now time.Time) bool {
+// skipsGroup reports whether the target's group is broken and not due for a probe.
+func (s *service) skipsGroup(t *target, now time.Time) bool {
 	if t.info.Member == nil {
 		return false
 	}
-	g, found := s.broken[t.group()]
-	return found && now.Before(g.probeAt)
+	g, found := s.broken[t.groupName()]
+	return found && now.Before(g.nextProbe)
 }
 
-// probed notes that a request is sent to a target.
-func (s *service) probed(t *target, now time.Time) {
-	if g, found := s.broken[t.group()]; found && t.info.Member != nil {
-		g.probeAt = now.Add(probeEvery)
+// recordProbe records that a request is sent to the target, which probes its group if
+// that is broken.
+func (s *service) recordProbe(t *target, now time.Time) {
+	if g, found := s.broken[t.groupName()]; found && t.info.Member != nil {
+		g.nextProbe = now.Add(probeInterval)
 	}
 }
 
-// open notes that a group serves, and tells whether that is new; those who wait for
-// it go on.
-func (s *service) open(group string) bool {
-	s.seenOpen[group] = true
+// markOpen records that a group serves, and reports whether it was broken until now. It
+// wakes the requests that wait for a group.
+func (s *service) markOpen(group string) bool {
+	s.observedGroups[group] = true
 	if _, found := s.broken[group]; !found {
 		return false
 	}
@@ -57,67 +58,69 @@
 	return true
 }
 
-// closed notes that a target's group is broken; it tells whether that is new.
-func (f *fleet) closed(t *target) bool {
+// markBroken records that the target's group is broken, and reports whether that is
+// new.
+func (f *fleet) markBroken(t *target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.service(t.info.Service)
 	now := f.clock()
-	s.seenOpen[t.group()] = true
-	g, found := s.broken[t.group()]
+	s.observedGroups[t.groupName()] = true
+	g, found := s.broken[t.groupName()]
 	if !found {
-		g = &brokenGroup{epoch: s.epochs[t.group()]}
-		s.broken[t.group()] = g
+		g = &brokenGroup{epoch: s.epochs[t.groupName()]}
+		s.broken[t.groupName()] = g
 	}
-	g.probeAt = now.Add(probeEvery)
+	g.nextProbe = now.Add(probeInterval)
 	return !found
 }
 
-// believe goes by what the ranks' records say of groups of which this entry has not learned
-// anything itself. An entry that started while its group was broken sent all that came to
-// it, was told so by each rank, and spent the budget for retries: 162 requests in 0.6 s.
-// The first request is sent all the same, to learn whether the group is open by now.
-func (f *fleet) believe(list []btinventory.Target) (closed []btinventory.Group) {
+// adoptReportedBroken marks groups as broken by the records of their ranks, if this
+// entry has observed nothing about the group itself. An entry that started while its
+// group was broken sent it every request, was refused by each rank, and used up the
+// retry budget: 162 requests in 0.6 s. The first request is still sent, to find out
+// whether the group serves by now.
+func (f *fleet) adoptReportedBroken(list []btinventory.Target) (newlyBroken []btinventory.Group) {
 	for group, broken := range btinventory.Broken(list) {
 		s := f.service(group.Service)
 		_, known := s.broken[group.Name]
-		if !broken || known || s.seenOpen[group.Name] {
+		if !broken || known || s.observedGroups[group.Name] {
 			continue
 		}
 		s.broken[group.Name] = &brokenGroup{epoch: s.epochs[group.Name]}
-		closed = append(closed, group)
+		newlyBroken = append(newlyBroken, group)
 	}
-	return closed
+	return newlyBroken
 }
 
-// open tells whether a request may be sent to the service: it has a group that is not
-// known to be broken, or one that is to be probed, which this request does then. Else it
-// returns what is closed once a group is open again.
-func (f *fleet) open(name btid.Service) (bool, <-chan struct{}) {
+// openOrProbe reports whether a request may be sent to the service: one of its groups
+// isn't broken, or one is due for a probe, which this request then is. It also returns
+// a channel that is closed when a broken group serves again.
+func (f *fleet) openOrProbe(name btid.Service) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.service(name)
 	now := f.clock()
-	open, probe := s.usable(now)
+	open, probe := s.groupUsable(now)
 	if probe != nil && !open {
-		probe.probeAt = now.Add(probeEvery)
+		probe.nextProbe = now.Add(probeInterval)
 	}
 	return open || probe != nil, s.opened
 }
 
-// mayOpen tells whether the service has a group that is not known to be broken, or one
-// that is to be probed.
-func (f *fleet) mayOpen(name btid.Service) bool {
+// mayServe reports whether the service has a group that isn't broken or is due for a
+// probe.
+func (f *fleet) mayServe(name btid.Service) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	open, probe := f.service(name).usable(f.clock())
+	open, probe := f.service(name).groupUsable(f.clock())
 	return open || probe != nil
 }
 
-// usable tells whether the service has a target whose group is not known to be broken,
-// and returns a group that is to be probed, if any. Without targets nothing is known to
-// be broken.
-func (s *service) usable(now time.Time) (open bool, probe *brokenGroup) {
+// groupUsable reports whether the service has a target whose group isn't broken, and
+// returns a broken group that is due for a probe, if any. If no group is marked broken,
+// the result is true, even without targets.
+func (s *service) groupUsable(now time.Time) (usable bool, probe *brokenGroup) {
 	if len(s.broken) == 0 {
 		return true, nil
 	}
@@ -125,34 +128,34 @@
 		if t.state != btinventory.Ready {
 			continue
 		}
-		g, broken := s.broken[t.group()]
+		g, broken := s.broken[t.groupName()]
 		switch {
 		case !broken || t.info.Member == nil:
 			return true, nil
-		case !now.Before(g.probeAt):
+		case !now.Before(g.nextProbe):
 			probe = g
 		}
 	}
 	return false, probe
 }
 
-// absent tells whether nobody should wait for the service: each of its groups is known to
-// be broken and has not all of its ranks.
-func (f *fleet) absent(name btid.Service) bool {
+// groupsAbsent reports whether requests should not wait for the service: every group is
+// broken and has lacked ranks for some time.
+func (f *fleet) groupsAbsent(name btid.Service) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.service(name)
 	now := f.clock()
-	found := false
+	anyReady := false
 	for _, t := range s.targets {
 		if t.state != btinventory.Ready {
 			continue
 		}
-		found = true
-		_, broken := s.broken[t.group()]
-		if !broken || !f.completeness.Absent(now, name, t.group()) {
+		anyReady = true
+		_, broken := s.broken[t.groupName()]
+		if !broken || !f.completeness.Absent(now, name, t.groupName()) {
 			return false
 		}
 	}
-	return found
+	return anyReady
 }
--- a/io/btdirect/budget.go
+++ b/io/btdirect/budget.go
@@ -8,13 +8,13 @@
 	"bilberrytide/core/btretry"
 )
 
-// budget is the retry budget of one service, safe for concurrent use.
+// budget is the retry budget of one service. It is safe for concurrent use.
 type budget struct {
 	mu     sync.Mutex
 	window *btretry.Window
 }
 
-func (b *budget) request(now time.Time) {
+func (b *budget) countRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window.CountRequest(now)
@@ -33,27 +33,28 @@
 }
 
 const (
-	// budgetShare is the part of this entry's own share that it uses: what it
-	// counts as sent may be counted by others a little earlier or later.
-	budgetShare = 0.85
-	// slackEntries is the number of entries that the slack is divided by beside
-	// those that are known, as some may not be.
-	slackEntries = 2
+	// ownBudgetShare is the part of its share that this entry uses. The margin is
+	// needed because others may count a request that this entry sent a little earlier
+	// or later.
+	ownBudgetShare = 0.85
+	// extraEntries is added to the number of known entries when the slack is divided,
+	// as some entries may not be known.
+	extraEntries = 2
 )
 
-// budget returns the service's retry budget, with the slack that this entry has
-// of it now. An entry that has only just started knows few others, and one that is
-// gone may have used its part: so the most that were ever known count, and the
-// part shrinks as more become known.
+// budget returns the service's retry budget, with this entry's present share of the
+// slack. An entry that has just started knows few of the others, and one that has left
+// may have used its share. So the slack is divided by the largest number of entries
+// ever known, and the share shrinks as more become known.
 func (e *Entry) budget(name btid.Service) *budget {
-	known := e.entries()
+	estimated := e.estimatedEntries()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.mostEntries = max(e.mostEntries, known)
+	e.peakEntries = max(e.peakEntries, estimated)
 	r := e.options.Settings.Retry
 	config := btretry.WindowConfig{
-		Share:  r.Share * budgetShare,
-		Slack:  r.Slack * budgetShare / float64(e.mostEntries+slackEntries),
+		Share:  r.Share * ownBudgetShare,
+		Slack:  r.Slack * ownBudgetShare / float64(e.peakEntries+extraEntries),
 		Window: r.Window,
 	}
 	b, found := e.budgets[name]
--- a/io/btdirect/entry.go
+++ b/io/btdirect/entry.go
@@ -21,65 +21,66 @@
 	"bilberrytide/io/btmetric"
 )
 
-// Options are an entry's dependencies.
+// Options holds the dependencies of an entry.
 type Options struct {
 	Settings Settings
 	Source   Source
 	Headers  Headers
-	// Decode decodes a catalog as it was published.
+	// Decode decodes a catalog from its published form.
 	Decode func([]byte) (*btcatalog.Catalog, error)
-	// ReadyPath is where the balancer asks whether the entry takes requests.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
 	Meter     *btmetric.Meter
 	Log       *slog.Logger
 	Clock     btloop.Clock
-	// Listen listens at an address of this host.
+	// Listen opens a listener at an address of this host.
 	Listen func(netip.AddrPort) (net.Listener, error)
 }
 
-// Entry takes callers' requests and sends them to targets directly.
+// Entry accepts callers' requests and sends them directly to targets.
 type Entry struct {
 	options   Options
 	log       *slog.Logger
 	meter     *btmetric.Meter
-	knowledge *knowledge
+	cache     *sourceCache
 	fleet     *fleet
 	admission *admission
 	peers     *peers
-	endings   *endings
-	// quarantine keeps requests that end targets from them.
+	crashes   *crashDetector
+	// quarantine keeps requests that crash targets away from targets.
 	quarantine *quarantine
 
-	servedCount atomic.Uint64
-	stopping    atomic.Bool
-	// stopPhase is that of a planned stop; streams counts the streams at work.
-	stopPhase atomic.Pointer[btstop.Phase]
-	streams   atomic.Int64
-	stop      chan struct{}
-	stopOnce  sync.Once
+	served   atomic.Uint64
+	stopping atomic.Bool
+	// shutdownPhase is nil until the entry shuts down. openStreams counts the open
+	// streams.
+	shutdownPhase atomic.Pointer[btstop.Phase]
+	openStreams   atomic.Int64
+	stopRequested chan struct{}
+	stopOnce      sync.Once
 
 	mu      sync.Mutex
 	budgets map[btid.Service]*budget
-	// mostEntries is the largest number of entries known so far.
-	mostEntries int
+	// peakEntries is the largest number of entries estimated so far.
+	peakEntries int
 }
 
-// New returns an entry; it learns everything once it runs.
+// New returns an entry without a catalog or targets. Run reads them.
 func New(o Options) *Entry {
 	e := &Entry{
-		options:    o,
-		log:        o.Log,
-		meter:      o.Meter,
-		fleet:      newFleet(o),
-		endings:    newEndings(o.Clock),
-		quarantine: newQuarantine(o),
-		stop:       make(chan struct{}),
-		budgets:    make(map[btid.Service]*budget),
+		options:       o,
+		log:           o.Log,
+		meter:         o.Meter,
+		fleet:         newFleet(o),
+		crashes:       newCrashDetector(o.Clock),
+		quarantine:    newQuarantine(o),
+		stopRequested: make(chan struct{}),
+		budgets:       make(map[btid.Service]*budget),
 	}
-	e.knowledge = newKnowledge(o, e.configure)
+	e.cache = newSourceCache(o, e.configure)
 	e.peers = newPeers(e)
-	e.knowledge.reads = e.peers.reads
-	e.admission = newAdmission(o, e.fleet, e.entries)
+	e.cache.isReader = e.peers.isReader
+	e.admission = newAdmission(o, e.fleet, e.estimatedEntries)
 	return e
 }
 
@@ -89,41 +90,42 @@
 	}
 }
 
-// entries estimates how many entries share the fleet: those that are known, and
-// at least those that the settings name.
-func (e *Entry) entries() int { return max(len(e.options.Settings.Seeds), e.peers.count()+1) }
+// estimatedEntries returns the estimated number of entries that share the targets: the
+// known ones, and at least as many as there are seeds.
+func (e *Entry) estimatedEntries() int { return max(len(e.options.Settings.Seeds), e.peers.count()+1) }
 
-// Reload puts changed settings in force: the seeds. Addresses stay until the
-// process starts anew.
-func (e *Entry) Reload(s Settings) { e.peers.reseed(s.Seeds) }
+// Reload applies changed settings. Only the seeds can change; new addresses need a
+// restart of the process.
+func (e *Entry) Reload(s Settings) { e.peers.setSeeds(s.Seeds) }
 
-// Ready tells whether the entry takes requests.
+// Ready reports whether the entry accepts requests.
 func (e *Entry) Ready() bool {
-	return !e.stopping.Load() && e.knowledge.index.Load() != nil && e.fleet.ready()
+	return !e.stopping.Load() && e.cache.index.Load() != nil && e.fleet.ready()
 }
 
-// Stop begins the planned stop; a second call changes nothing.
+// Stop begins the graceful shutdown. Further calls do nothing.
 func (e *Entry) Stop() {
 	e.stopOnce.Do(func() {
 		e.stopping.Store(true)
 		e.log.Info("stop begun", "grace_ms", e.options.Settings.StopGrace.Milliseconds())
-		close(e.stop)
+		close(e.stopRequested)
 	})
 }
 
 const (
-	// headerWait bounds the reading of a request's header, headerBytes its size:
-	// above what any catalog is known to allow.
-	headerWait  = 10 * time.Second
-	headerBytes = 64 << 10
-	// idleWait is how long a caller's connection is kept without a request:
-	// longer than callers reuse one, so that no request crosses its close.
-	idleWait = 75 * time.Second
-	// stopPoll is how often a planned stop looks which phase it is in.
-	stopPoll = 20 * time.Millisecond
+	// headerTimeout limits the time to read a request's header, and maxHeaderBytes its
+	// size. Both are above what any known catalog allows.
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	// callerIdleTimeout is how long an idle connection of a caller is kept. It is
+	// longer than callers reuse one, so that no request is sent on a connection that is
+	// just being closed.
+	callerIdleTimeout = 75 * time.Second
+	// stopPollInterval is how often the phase of a shutdown is updated.
+	stopPollInterval = 20 * time.Millisecond
 )
 
-// Run serves until a planned stop is complete or the context ends.
+// Run serves until a graceful shutdown is complete or the context ends.
 func (e *Entry) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -133,9 +135,9 @@
 	}
 	server := &http.Server{
 		Handler:           http.HandlerFunc(e.serveHTTP),
-		ReadHeaderTimeout: headerWait,
-		MaxHeaderBytes:    headerBytes,
-		IdleTimeout:       idleWait,
+		ReadHeaderTimeout: headerTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		IdleTimeout:       callerIdleTimeout,
 		ErrorLog:          slog.NewLogLogger(e.log.Handler(), slog.LevelDebug),
 	}
 	ready, err := e.serveReady()
@@ -143,15 +145,15 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { e.knowledge.run(ctx); return nil })
+	group.Go(func() error { e.cache.run(ctx); return nil })
 	group.Go(func() error { return serve(server, front) })
 	group.Go(func() error { return e.peers.serve(ctx) })
 	group.Go(func() error { e.peers.run(ctx); return nil })
-	group.Go(func() error { e.quarantine.Run(ctx, e.peers.tellQuarantine); return nil })
+	group.Go(func() error { e.quarantine.Run(ctx, e.peers.sendQuarantine); return nil })
 	group.Go(func() error {
 		defer cancel()
 		defer ready.Close()
-		e.finish(ctx, server)
+		e.shutDown(ctx, server)
 		return nil
 	})
 	return group.Wait()
@@ -166,7 +168,7 @@
 	return err
 }
 
-// serveReady answers the balancer's readiness check.
+// serveReady answers the load balancer's readiness check.
 func (e *Entry) serveReady() (*http.Server, error) {
 	listener, err := e.options.Listen(e.options.Settings.Ready)
 	if err != nil {
@@ -178,7 +180,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerWait}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	go func() {
 		if err := serve(server, listener); err != nil {
 			e.log.Error("readiness check ended", "error", err)
@@ -187,28 +189,29 @@
 	return server, nil
 }
 
-// finish waits for the stop and carries it out. Streams are taken until the
-// balancer has turned away; where no other entry is ready it sends callers here
-// all the same, who are told when to come back until the last stream has ended.
-// With all entries stopped within five seconds, three times, 198 of 2,650 requests
-// failed where they found no listener instead, and 49 with this. Before the end
-// nothing more is taken for a while, so that what was read last is answered.
-func (e *Entry) finish(ctx context.Context, server *http.Server) {
+// shutDown waits for Stop and shuts the server down. Streams are accepted until the
+// load balancer has stopped sending connections. If no other entry is ready, the
+// balancer keeps sending callers here; they are refused with a time to retry until the
+// last stream has ended. Without this, 198 of 2,650 requests failed because nothing
+// listened any more, when all entries stopped within five seconds, three times; with it
+// 49 did. At the end every request is refused for a while, so that those accepted last
+// are still answered.
+func (e *Entry) shutDown(ctx context.Context, server *http.Server) {
 	select {
 	case <-ctx.Done():
 		_ = server.Close()
 		return
-	case <-e.stop:
+	case <-e.stopRequested:
 	}
 	began := e.options.Clock()
 	plan := btstop.New(e.options.Settings.StopGrace)
 	for ctx.Err() == nil {
-		phase := plan.Phase(e.options.Clock().Sub(began), e.streams.Load() > 0)
-		e.stopPhase.Store(&phase)
+		phase := plan.Phase(e.options.Clock().Sub(began), e.openStreams.Load() > 0)
+		e.shutdownPhase.Store(&phase)
 		if phase == btstop.Refusing || phase == btstop.Ended {
 			break
 		}
-		sleep(ctx, stopPoll)
+		sleep(ctx, stopPollInterval)
 	}
 	bounded, cancel := context.WithTimeout(ctx, max(plan.End-e.options.Clock().Sub(began), 0))
 	defer cancel()
@@ -219,9 +222,9 @@
 	e.log.Info("stopped", "took_ms", e.options.Clock().Sub(began).Milliseconds())
 }
 
-// phase returns that of the planned stop, Serving without one.
-func (e *Entry) phase() btstop.Phase {
-	if p := e.stopPhase.Load(); p != nil {
+// currentPhase returns the phase of the shutdown, or Serving before it.
+func (e *Entry) currentPhase() btstop.Phase {
+	if p := e.shutdownPhase.Load(); p != nil {
 		return *p
 	}
 	return btstop.Serving
--- a/io/btdirect/exchange.go
+++ b/io/btdirect/exchange.go
@@ -20,69 +20,70 @@
 	"bilberrytide/core/btstop"
 )
 
-// exchange is one caller's request on its way.
+// exchange is the handling of one request of a caller.
 type exchange struct {
-	entry    *Entry
-	writer   http.ResponseWriter
-	caller   *http.Request
-	call     RequestInfo
-	body     []byte
-	index    *btcatalog.Index
-	route    *btcatalog.Route
-	service  *btcatalog.Service
-	account  btid.Account
-	priority int
-	received time.Time
-	deadline time.Time
-	// admitted is when the request got its place, began when its first event went out.
-	admitted, began time.Time
-	// stages is where its time went.
+	entry      *Entry
+	writer     http.ResponseWriter
+	request    *http.Request
+	info       RequestInfo
+	body       []byte
+	index      *btcatalog.Index
+	route      *btcatalog.Route
+	service    *btcatalog.Service
+	account    btid.Account
+	priority   int
+	receivedAt time.Time
+	deadline   time.Time
+	// admittedAt is when the request got its slot, firstEventAt when its first event
+	// was sent.
+	admittedAt, firstEventAt time.Time
+	// stages holds the time spent in each stage.
 	stages stages
-	// wait is how the request waits for an open group and for a place.
-	wait btgate.Request
+	// queueing controls how long the request waits for a serving group and for a slot.
+	queueing btgate.Request
 
 	tried map[btinventory.Instance]bool
-	// attempts are those that a target may have begun to work on, turnedAway those
-	// that none has.
-	attempts   int
-	turnedAway int
-	// stream is the part of a streamed answer that went out.
+	// attempts counts the attempts that a target may have run. notRunAttempts counts
+	// those that certainly did not run.
+	attempts       int
+	notRunAttempts int
+	// stream is set once an answer is streamed.
 	stream *streamWriter
-	// move is that of the attempt in progress; nil where it may not move.
+	// move lets the attempt in progress move to another target; nil if it must not.
 	move *move
-	// mayHaveRun is set once a target may have begun to work on the request.
+	// mayHaveRun is set once a target may have begun to run the request.
 	mayHaveRun bool
-	// whole tells that the caller has its whole answer.
-	whole bool
-	// fingerprint stands for the request's content; it is computed when first asked for.
+	// answered reports that the caller has the complete answer.
+	answered bool
+	// fingerprint returns the fingerprint of the content, computed on the first call.
 	fingerprint func() btquarantine.Fingerprint
-	// withdrawn is set when its attempt was cancelled as it is kept from targets.
+	// withdrawn is set when an attempt is cancelled because the request is quarantined.
 	withdrawn atomic.Bool
-	// answering is set once a part of a streamed answer has gone out.
-	answering atomic.Bool
-	// logged tells that the request's failure was logged.
+	// partlySent is set once a part of a streamed answer has been sent.
+	partlySent atomic.Bool
+	// logged reports that the request's failure has been logged.
 	logged bool
 }
 
-// refusal is an answer of the entry's own.
+// refusal is an answer that the entry itself gives.
 type refusal struct {
 	status     int
 	reason     btrequest.Reason
 	retryAfter time.Duration
 }
 
-// defaultDeadline is for callers that state none.
+// defaultDeadline applies to callers that set none.
 const defaultDeadline = time.Minute
 
-// serveHTTP answers a caller's request.
+// serveHTTP handles a caller's request.
 func (e *Entry) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{
-		entry:    e,
-		writer:   w,
-		caller:   r,
-		call:     e.options.Headers.ParseRequest(r.Header),
-		received: e.options.Clock(),
-		tried:    make(map[btinventory.Instance]bool),
+		entry:      e,
+		writer:     w,
+		request:    r,
+		info:       e.options.Headers.ParseRequest(r.Header),
+		receivedAt: e.options.Clock(),
+		tried:      make(map[btinventory.Instance]bool),
 	}
 	x.fingerprint = sync.OnceValue(x.computeFingerprint)
 	e.meter.Counter(metricRequests).Inc(1)
@@ -93,29 +94,30 @@
 		x.refuse(refused)
 		return
 	}
-	// A timer goes by the steady clock, the deadline by one that runs on while the host
-	// is suspended: only the time between two of its readings can be handed over.
+	// Timers use the monotonic clock, while the deadline is on a clock that continues
+	// while the host is suspended. So only the remaining time can be used for the
+	// timer.
 	ctx, cancel := context.WithTimeout(r.Context(), x.deadline.Sub(e.options.Clock()))
 	defer cancel()
 	x.serve(ctx)
 }
 
-// patience is how long the caller waits.
-func (x *exchange) patience() time.Duration {
-	if x.call.HasDeadline {
-		return x.call.Deadline
+// callerTimeout returns how long the caller waits.
+func (x *exchange) callerTimeout() time.Duration {
+	if x.info.HasDeadline {
+		return x.info.Deadline
 	}
 	return defaultDeadline
 }
 
-// identify finds the route and the account, and reads the body.
+// identify finds the route and the client account, and reads the body.
 func (x *exchange) identify() *refusal {
 	x.index = x.awaitCatalog()
 	if x.index == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonNoCatalog, retryAfter: share(x.patience(), retryShare)}
+		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonNoCatalog, retryAfter: scaleDuration(x.callerTimeout(), maxRetryFraction)}
 	}
-	path, _, _ := strings.Cut(x.caller.RequestURI, "?")
-	route, found := x.index.Route(x.caller.Host, path)
+	path, _, _ := strings.Cut(x.request.RequestURI, "?")
+	route, found := x.index.Route(x.request.Host, path)
 	if !found {
 		return &refusal{status: http.StatusNotFound, reason: ReasonNoRoute}
 	}
@@ -124,21 +126,21 @@
 	if refused := x.authenticate(); refused != nil {
 		return refused
 	}
-	x.deadline = x.received.Add(min(x.patience(), route.Timeout))
+	x.deadline = x.receivedAt.Add(min(x.callerTimeout(), route.Timeout))
 	service, found := x.index.Service(route.Split(rand.Float64()))
 	if !found {
-		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonNoTarget, retryAfter: x.later()}
+		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonNoTarget, retryAfter: x.defaultRetryAfter()}
 	}
 	x.service = service
 	return x.readBody()
 }
 
-// authenticate finds the account that holds the caller's key.
+// authenticate finds the client account of the caller's key.
 func (x *exchange) authenticate() *refusal {
 	if !x.index.Keyed() {
 		return nil
 	}
-	account, found := x.index.Account(x.call.Key)
+	account, found := x.index.Account(x.info.Key)
 	if found {
 		x.account = account.Name
 		if account.Priority != nil {
@@ -152,20 +154,20 @@
 	return &refusal{status: http.StatusUnauthorized, reason: ReasonKeyUnknown}
 }
 
-// readBody reads the whole body, so that an attempt can be repeated and a
-// caller that leaves is noticed.
+// readBody reads the whole body, so that an attempt can be repeated and the server
+// notices a caller that disconnects.
 func (x *exchange) readBody() *refusal {
 	limit := x.index.Limits().BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
-	if x.caller.ContentLength > limit {
+	if x.request.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: ReasonBodyTooBig}
 	}
-	if x.caller.ContentLength == 0 {
+	if x.request.ContentLength == 0 {
 		return nil
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.caller.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, limit))
 	var tooBig *http.MaxBytesError
 	if errors.As(err, &tooBig) {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: ReasonBodyTooBig}
@@ -177,115 +179,115 @@
 	return nil
 }
 
-// defaultBodyBytes is the body limit of a catalog that states none.
+// defaultBodyBytes is the body limit if the catalog sets none.
 const defaultBodyBytes = 4 << 20
 
-// serve admits the request and has it answered.
+// serve admits the request and makes attempts until it has an answer.
 func (x *exchange) serve(ctx context.Context) {
 	e := x.entry
 	streams := x.route.Kind == btcatalog.Stream
-	if phase := e.phase(); phase != btstop.Serving && (streams || phase != btstop.NoStreams) {
-		x.refuse(&refusal{status: http.StatusServiceUnavailable, reason: ReasonStopping, retryAfter: x.elsewhere()})
+	if phase := e.currentPhase(); phase != btstop.Serving && (streams || phase != btstop.NoStreams) {
+		x.refuse(&refusal{status: http.StatusServiceUnavailable, reason: ReasonStopping, retryAfter: x.otherEntryRetryAfter()})
 		return
 	}
 	if streams {
-		e.streams.Add(1)
-		defer e.streams.Add(-1)
+		e.openStreams.Add(1)
+		defer e.openStreams.Add(-1)
 	}
-	x.wait = e.admission.request(x)
-	e.budget(x.service.Name).request(e.options.Clock())
-	for x.turn(ctx) {
-		e.meter.Counter(metricWaitsAnew).Inc(1)
+	x.queueing = e.admission.queueParams(x)
+	e.budget(x.service.Name).countRequest(e.options.Clock())
+	for x.serveOnce(ctx) {
+		e.meter.Counter(metricGroupWaitsAgain).Inc(1)
 	}
 }
 
-// run makes attempts until the request has its final answer, and returns false, or
-// until it had better wait for a group to open.
-func (x *exchange) run(ctx context.Context) (waits bool) {
+// makeAttempts makes attempts until the request has its final answer. It returns true
+// if the request should wait for a group to serve instead.
+func (x *exchange) makeAttempts(ctx context.Context) (again bool) {
 	e := x.entry
 	for {
-		// Looked at before each attempt: while the request waited, targets may have
-		// ended under another copy of it.
-		if x.quarantined() {
+		// Checked before each attempt: while the request waited, another copy of it may
+		// have crashed targets.
+		if x.refuseQuarantined() {
 			return false
 		}
-		if x.overdue() {
+		if x.refuseOverdue() {
 			return false
 		}
-		c := e.fleet.pick(x.service.Name, x.call.PromptTokens, x.tried, x.wait.WaitUntil.Sub(e.options.Clock()))
-		if c.limited > 0 {
-			e.meter.Counter(metricRatesPassedOver).Inc(int64(c.limited))
+		c := e.fleet.pick(x.service.Name, x.info.PromptTokens, x.tried, x.queueing.WaitUntil.Sub(e.options.Clock()))
+		if c.skipped > 0 {
+			e.meter.Counter(metricRatesSkipped).Inc(int64(c.skipped))
 		}
 		if c.target == nil && c.wait > 0 {
-			x.turnDown(ReasonTargetLimited, min(c.wait, x.later()))
+			x.endUnserved(ReasonTargetLimited, min(c.wait, x.defaultRetryAfter()))
 			return false
 		}
 		if c.target == nil {
-			x.giveUp(&refusal{status: http.StatusServiceUnavailable, reason: ReasonNoTarget, retryAfter: x.later()})
+			x.refuseOrAbort(&refusal{status: http.StatusServiceUnavailable, reason: ReasonNoTarget, retryAfter: x.defaultRetryAfter()})
 			return false
 		}
-		if !x.awaitPlace(ctx, c) {
+		if !x.awaitRate(ctx, c) {
 			return false
 		}
 		result := x.attempt(ctx, c.target)
-		if result.done {
-			x.whole = true
-			x.served(result)
+		if result.complete {
+			x.answered = true
+			x.recordServed(result)
 			return false
 		}
-		if x.waitsAnew(result) {
+		if x.waitsAgain(result) {
 			e.meter.Retried(result.reason)
-			e.retryLine(x, result)
+			e.logRetry(x, result)
 			clear(x.tried)
 			return true
 		}
-		if !x.again(ctx, result) {
+		if !x.retryOrEnd(ctx, result) {
 			return false
 		}
 	}
 }
 
-// overdue ends a request that waited until after its deadline, and tells whether it is
-// one: the timers of a host that was suspended are late by as much.
-func (x *exchange) overdue() bool {
+// refuseOverdue refuses a request whose deadline has passed, and reports whether it
+// did. The timers of a host that was suspended fire late by the time of the suspension.
+func (x *exchange) refuseOverdue() bool {
 	if x.entry.options.Clock().Before(x.deadline) {
 		return false
 	}
-	x.turnDown(ReasonTimeout, 0)
+	x.endUnserved(ReasonTimeout, 0)
 	return true
 }
 
-// again decides on another attempt; where there is none it gives the final
+// retryOrEnd reports whether the request may be tried again. If not, it gives the final
 // answer.
-func (x *exchange) again(ctx context.Context, result attemptResult) bool {
+func (x *exchange) retryOrEnd(ctx context.Context, result attemptResult) bool {
 	e := x.entry
 	now := e.options.Clock()
-	if x.gone() {
+	if x.callerGone() {
 		e.logFailure(x, ReasonCallerGone, result)
 		x.abort()
 		return false
 	}
 	if ctx.Err() != nil || !now.Before(x.deadline) {
 		e.logFailure(x, ReasonTimeout, result)
-		x.giveUp(&refusal{status: http.StatusGatewayTimeout, reason: ReasonTimeout})
+		x.refuseOrAbort(&refusal{status: http.StatusGatewayTimeout, reason: ReasonTimeout})
 		return false
 	}
-	reason := x.mayRetry(result, now)
+	reason := x.retryDenied(result, now)
 	if reason == "" {
 		e.meter.Retried(result.reason)
-		e.retryLine(x, result)
+		e.logRetry(x, result)
 		return true
 	}
-	x.failed(result, reason)
+	x.answerFailure(result, reason)
 	return false
 }
 
-// maxTurnedAway is how many targets may turn a request away, by their own word or
-// as they take no connection: it has run at none of them.
-const maxTurnedAway = 3
+// maxNotRunAttempts limits the attempts that did not run, because the target refused
+// the request or the connection.
+const maxNotRunAttempts = 3
 
-// mayRetry returns why the request is not tried again, or "".
-func (x *exchange) mayRetry(result attemptResult, now time.Time) btrequest.Reason {
+// retryDenied returns the reason for which the request must not be retried, or "".
+func (x *exchange) retryDenied(result attemptResult, now time.Time) btrequest.Reason {
 	if _, held := x.entry.quarantine.Left(x.fingerprint); held {
 		return ReasonQuarantined
 	}
@@ -293,8 +295,8 @@
 		return ""
 	}
 	if result.notRun {
-		x.turnedAway++
-		if x.turnedAway >= maxTurnedAway {
+		x.notRunAttempts++
+		if x.notRunAttempts >= maxNotRunAttempts {
 			return result.reason
 		}
 		if result.reason == ReasonNotSent {
@@ -303,7 +305,7 @@
 	} else if !x.route.Repeatable() {
 		return result.reason
 	}
-	if result.groupBroken && !x.otherGroup() || x.attempts >= x.route.Attempts {
+	if result.groupBroken && !x.groupAvailable() || x.attempts >= x.route.Attempts {
 		return result.reason
 	}
 	if !x.entry.budget(x.service.Name).take(now) {
@@ -312,30 +314,30 @@
 	return ""
 }
 
-// otherGroup tells whether a group of the service is left that is not broken.
-func (x *exchange) otherGroup() bool {
-	return x.entry.fleet.mayOpen(x.service.Name)
+// groupAvailable reports whether the service has a group that isn't broken.
+func (x *exchange) groupAvailable() bool {
+	return x.entry.fleet.mayServe(x.service.Name)
 }
 
-// failed gives the final answer after the last attempt.
-func (x *exchange) failed(result attemptResult, reason btrequest.Reason) {
-	x.entry.admission.turnedAway()
+// answerFailure gives the final answer after the last attempt.
+func (x *exchange) answerFailure(result attemptResult, reason btrequest.Reason) {
+	x.entry.admission.recordRefusal()
 	x.entry.logFailure(x, reason, result)
-	if result.held != nil && !x.streaming() {
-		x.relayHeld(result.held)
+	if result.buffered != nil && !x.streamStarted() {
+		x.relayBuffered(result.buffered)
 		return
 	}
 	if x.mayHaveRun {
-		x.giveUp(&refusal{status: http.StatusBadGateway, reason: reason})
+		x.refuseOrAbort(&refusal{status: http.StatusBadGateway, reason: reason})
 		return
 	}
-	x.giveUp(&refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: x.later()})
+	x.refuseOrAbort(&refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: x.defaultRetryAfter()})
 }
 
-// giveUp ends the request with an answer of the entry's own; a stream of which
-// a part went out is cut off visibly.
-func (x *exchange) giveUp(r *refusal) {
-	if x.streaming() {
+// refuseOrAbort ends the request with a refusal. A stream of which a part was sent is
+// cut off instead, so that the caller notices.
+func (x *exchange) refuseOrAbort(r *refusal) {
+	if x.streamStarted() {
 		x.entry.logFailure(x, r.reason, attemptResult{reason: r.reason})
 		x.abort()
 		return
@@ -343,23 +345,24 @@
 	x.refuse(r)
 }
 
-func (x *exchange) streaming() bool { return x.stream != nil && x.stream.begun }
+func (x *exchange) streamStarted() bool { return x.stream != nil && x.stream.begun }
 
-// gone tells whether the caller has left.
-func (x *exchange) gone() bool { return x.caller.Context().Err() != nil }
+// callerGone reports whether the caller has disconnected.
+func (x *exchange) callerGone() bool { return x.request.Context().Err() != nil }
 
-// abort closes the caller's connection so that its answer can't look whole.
+// abort closes the caller's connection, so that the answer can't be taken for a
+// complete one.
 func (x *exchange) abort() { panic(http.ErrAbortHandler) }
 
-// refuse answers at once.
+// refuse sends a refusal.
 func (x *exchange) refuse(r *refusal) {
 	e := x.entry
 	e.meter.Refused(r.reason)
-	e.refusedLine(x, r)
+	e.logRefusal(x, r)
 	h := x.writer.Header()
-	e.options.Headers.SetRefusal(h, x.call.ID, r.retryAfter)
+	e.options.Headers.SetRefusal(h, x.info.ID, r.retryAfter)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	x.writer.WriteHeader(r.status)
-	// The caller that left is the only error, and hears nothing more.
+	// Writing fails only if the caller has disconnected.
 	_, _ = io.WriteString(x.writer, string(r.reason)+"\n")
 }
--- a/io/btdirect/fleet.go
+++ b/io/btdirect/fleet.go
@@ -15,106 +15,110 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a target. Data centres of a region are a
-	// few milliseconds apart; a target that takes longer is better passed over.
+	// dialTimeout limits the time to connect to a target. The data centres of a region
+	// are a few milliseconds apart; a target that takes longer is better skipped.
 	dialTimeout = 250 * time.Millisecond
-	// connectionIdle is how long a connection to a target is kept: shorter than
-	// any target's own timeout, as a request that crosses its close is lost.
-	connectionIdle = 2 * time.Second
-	// silenceTimeout ends connections to hosts that have gone dark.
+	// idleTimeout is how long an idle connection to a target is kept. It is shorter
+	// than any target's own timeout, as a request sent on a connection that the target
+	// is just closing is lost.
+	idleTimeout = 2 * time.Second
+	// silenceTimeout ends connections to hosts that no longer answer.
 	silenceTimeout = 3 * time.Second
-	// suspendFirst and suspendMost bound the time for which a target that failed
-	// is passed over; it doubles with each failure.
-	suspendFirst = 150 * time.Millisecond
-	suspendMost  = 3 * time.Second
+	// minSuspension and maxSuspension limit the time for which a target that failed is
+	// avoided. It doubles with each failure.
+	minSuspension = 150 * time.Millisecond
+	maxSuspension = 3 * time.Second
 )
 
-// target is one target as this entry uses it.
+// target is the state of one target at this entry.
 type target struct {
-	// info is the record that the target was first known by. Its state and slots
+	// info is the record with which the target was first listed. Its state and slots
 	// may change and are kept below.
 	info btinventory.Target
-	// kept reuses connections, fresh makes one for each request.
-	kept, fresh *bttarget.Client
-	// The fields below belong to the fleet's lock.
-	state     btinventory.State
-	slots     int
-	requests  int
-	tokens    int
-	failures  int
-	suspended time.Time
-	// replaced is until when the target is taken for gone, as another one has its
-	// address.
-	replaced time.Time
-	// reported is how many requests of all entries the group's lead saw here at
-	// reportedAt, when own of them were this entry's.
-	reported, own int
-	reportedAt    time.Time
-	pace          float64
-	// slow tells that the target is among the slowest of its group.
+	// pooled reuses connections; unpooled opens one for each request.
+	pooled, unpooled *bttarget.Client
+	// The fields below are guarded by the fleet's mutex.
+	state    btinventory.State
+	slots    int
+	requests int
+	// pendingTokens counts the prompt tokens that the target has not read yet.
+	pendingTokens int
+	// failures counts the consecutive failures.
+	failures       int
+	suspendedUntil time.Time
+	// replacedUntil is until when the target is treated as gone, because another target
+	// has its address.
+	replacedUntil time.Time
+	// reportedRequests is the number of requests of all entries that the group's lead
+	// reported for the target at reportedAt; ownAtReport of them were this entry's.
+	reportedRequests, ownAtReport int
+	reportedAt                    time.Time
+	pace                          float64
+	// slow reports that the target is among the slowest of its group.
 	slow bool
-	// unresponsiveAt is when a lead last said that the member's agent doesn't answer it; zero
-	// where it does.
+	// unresponsiveAt is when a lead last reported that the member's agent doesn't
+	// answer it; zero if it does.
 	unresponsiveAt time.Time
-	// liveness is what its streams show.
-	liveness liveness
-	// rateMalformed tells that the target has named a rate that can't be read.
-	rateMalformed bool
-	// moves are the streams at the target that can go on elsewhere.
+	// streams is the activity of this entry's streams at the target.
+	streams streamActivity
+	// malformedRateLogged reports that a malformed rate of the target has been logged.
+	malformedRateLogged bool
+	// moves holds the attempts at the target that can move to another one.
 	moves map[*move]struct{}
 }
 
-// loadFresh is how long a lead's word on a target's load counts: the lead sends
-// one a few times a second.
-const loadFresh = time.Second
+// loadTTL is how long a lead's report of a target's load is used. The lead sends one
+// several times a second.
+const loadTTL = time.Second
 
-// heardOf tells whether a lead's word on the target's load is fresh.
-func (t *target) heardOf(now time.Time) bool {
-	return !t.reportedAt.IsZero() && now.Sub(t.reportedAt) <= loadFresh
+// loadFresh reports whether the last report of the target's load is still used.
+func (t *target) loadFresh(now time.Time) bool {
+	return !t.reportedAt.IsZero() && now.Sub(t.reportedAt) <= loadTTL
 }
 
-// others returns how many requests of other entries are believed to be at the
+// otherRequests returns the estimated number of requests of other entries at the
 // target.
-func (t *target) others(now time.Time) float64 {
-	if !t.heardOf(now) {
+func (t *target) otherRequests(now time.Time) float64 {
+	if !t.loadFresh(now) {
 		return 0
 	}
-	return float64(max(t.reported-t.own, 0))
+	return float64(max(t.reportedRequests-t.ownAtReport, 0))
 }
 
-// passedOver tells whether the target is to get no requests, as its own work
-// makes its whole group slow.
-func (t *target) passedOver(now time.Time) bool { return t.slow && t.heardOf(now) }
+// skippedAsSlow reports whether the target should get no new requests because it slows
+// down its whole group.
+func (t *target) skippedAsSlow(now time.Time) bool { return t.slow && t.loadFresh(now) }
 
-// fleet chooses targets and keeps count of what is at each.
+// fleet holds the state of all targets and chooses among them.
 type fleet struct {
-	near  btid.DataCentre
-	clock btloop.Clock
+	dataCentre btid.DataCentre
+	clock      btloop.Clock
 
 	mu       sync.Mutex
 	targets  map[btinventory.Instance]*target
 	services map[btid.Service]*service
-	// completeness tells which groups are not all there.
+	// completeness tracks which groups lack ranks.
 	completeness *btinventory.Completeness
-	// shares are this entry's parts of the rates that targets name, rates what it knows
-	// of these and keeps to.
+	// shares holds this entry's shares of the rates that targets advertise. rates holds
+	// the rates and enforces them.
 	shares *btrate.Shares
 	rates  *btrate.Register
 }
 
-// service is what the entry keeps for one service.
+// service is the state of one service.
 type service struct {
 	name    btid.Service
 	targets []*target
-	// broken are the groups that are known to be broken, by name.
+	// broken holds the groups that are known to be broken, by name.
 	broken map[string]*brokenGroup
-	// opened is closed when one of them is open again.
+	// opened is closed when a broken group serves again, and is then replaced.
 	opened chan struct{}
-	// epochs are those that the groups' leads told of last.
+	// epochs holds the epoch that each group's lead reported last.
 	epochs map[string]uint64
-	// seenOpen are the groups of which this entry has learned itself whether they are open.
-	seenOpen map[string]bool
-	// watches know the pace of the groups' streams.
+	// observedGroups holds the groups of which this entry itself has observed whether
+	// they serve.
+	observedGroups map[string]bool
+	// watches tracks the pace of each group's streams.
 	watches map[string]*btquiet.Watch
 }
 
@@ -123,7 +127,7 @@
 	return &fleet{
 		shares:       shares,
 		rates:        btrate.New(shares, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		near:         o.Settings.DataCentre,
+		dataCentre:   o.Settings.DataCentre,
 		clock:        o.Clock,
 		targets:      make(map[btinventory.Instance]*target),
 		services:     make(map[btid.Service]*service),
@@ -131,8 +135,8 @@
 	}
 }
 
-// configure takes the list of targets in. It returns the groups that are taken for broken
-// from now on, as their ranks' records say so.
+// configure applies a list of targets. It returns the groups that are newly marked as
+// broken because the records of their ranks say so.
 func (f *fleet) configure(_ *btcatalog.Index, list []btinventory.Target) []btinventory.Group {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,11 +154,11 @@
 	for instance, t := range f.targets {
 		if !listed[instance] {
 			delete(f.targets, instance)
-			t.kept.Close()
+			t.pooled.Close()
 		}
 	}
 	f.rates.Retain(f.listed)
-	return f.believe(list)
+	return f.adoptReportedBroken(list)
 }
 
 func (f *fleet) target(info btinventory.Target) *target {
@@ -167,18 +171,18 @@
 	options := bttarget.Options{
 		Endpoint:       info.Address,
 		DialTimeout:    dialTimeout,
-		IdleTimeout:    connectionIdle,
+		IdleTimeout:    idleTimeout,
 		SilenceTimeout: silenceTimeout,
 	}
-	once := options
-	once.Fresh = true
+	unpooled := options
+	unpooled.Fresh = true
 	t = &target{
-		info:  info,
-		state: info.State,
-		slots: info.Slots,
-		kept:  bttarget.New(options),
-		fresh: bttarget.New(once),
-		moves: make(map[*move]struct{}),
+		info:     info,
+		state:    info.State,
+		slots:    info.Slots,
+		pooled:   bttarget.New(options),
+		unpooled: bttarget.New(unpooled),
+		moves:    make(map[*move]struct{}),
 	}
 	f.targets[info.Instance()] = t
 	return t
@@ -188,76 +192,76 @@
 	s, found := f.services[name]
 	if !found {
 		s = &service{
-			name:     name,
-			broken:   make(map[string]*brokenGroup),
-			opened:   make(chan struct{}),
-			epochs:   make(map[string]uint64),
-			seenOpen: make(map[string]bool),
-			watches:  make(map[string]*btquiet.Watch),
+			name:           name,
+			broken:         make(map[string]*brokenGroup),
+			opened:         make(chan struct{}),
+			epochs:         make(map[string]uint64),
+			observedGroups: make(map[string]bool),
+			watches:        make(map[string]*btquiet.Watch),
 		}
 		f.services[name] = s
 	}
 	return s
 }
 
-// ready tells whether any target is known.
+// ready reports whether any target is known.
 func (f *fleet) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.targets) > 0
 }
 
-// read notes that a target has read a prompt.
-func (f *fleet) read(t *target, tokens int) {
+// promptRead records that a target has read prompt tokens.
+func (f *fleet) promptRead(t *target, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t.tokens -= tokens
+	t.pendingTokens -= tokens
 }
 
-// done notes that a request is no longer at a target.
-func (f *fleet) done(t *target) {
+// requestDone records that a request has left a target.
+func (f *fleet) requestDone(t *target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.requests--
 }
 
-// succeeded notes an answer of a target, and tells whether the target's group was
-// broken until now.
-func (f *fleet) succeeded(t *target) (opened bool) {
+// recordSuccess records an answer of a target, and reports whether the target's group
+// was broken until now.
+func (f *fleet) recordSuccess(t *target) (opened bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.failures = 0
-	t.suspended = time.Time{}
-	return f.service(t.info.Service).open(t.group())
+	t.suspendedUntil = time.Time{}
+	return f.service(t.info.Service).markOpen(t.groupName())
 }
 
-// failed notes that a target failed, and returns for how long it is passed
-// over.
-func (f *fleet) failed(t *target) time.Duration {
+// recordFailure records that a target failed, and returns for how long it is avoided.
+func (f *fleet) recordFailure(t *target) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.failures++
-	wait := suspendFirst << min(t.failures-1, 10)
-	wait = min(wait, suspendMost)
-	t.suspended = f.clock().Add(wait)
+	wait := minSuspension << min(t.failures-1, 10)
+	wait = min(wait, maxSuspension)
+	t.suspendedUntil = f.clock().Add(wait)
 	return wait
 }
 
-// replacedFor is for how long a target whose address another one has is
-// passed over: by then the list no longer has it, as records lapse after three
-// missed renewals of some 1.2 s.
-const replacedFor = 5 * time.Second
+// replacedTime is how long a target is skipped after another one was found at its
+// address. By then it is no longer listed, as records expire after three missed
+// renewals of some 1.2 s.
+const replacedTime = 5 * time.Second
 
-// misdirected notes that another target has a target's address.
-func (f *fleet) misdirected(t *target) time.Duration {
+// recordMisdirected records that another target has the target's address, and returns
+// for how long the target is skipped.
+func (f *fleet) recordMisdirected(t *target) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t.replaced = f.clock().Add(replacedFor)
-	return replacedFor
+	t.replacedUntil = f.clock().Add(replacedTime)
+	return replacedTime
 }
 
-// slots returns how many requests the service's targets run at once, and how
-// many targets there are.
+// slots returns the total number of slots of the service's targets and the number of
+// targets.
 func (f *fleet) slots(name btid.Service) (slots, targets int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/btdirect/group.go
+++ b/io/btdirect/group.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	// slowPace is the relative step time from which on a member gets no new requests
-	// while there are others: each step waits for the slowest member's own requests.
+	// slowPace is the relative step time from which a member gets no new requests while
+	// there are others. Each step of the group waits for the slowest member.
 	slowPace = 1.5
-	// slowShare is the part of a group that may be skipped as slow: with more of them
-	// slow, the others could not carry the load.
-	slowShare = 0.34
-	// stalledAfter is how long a request's answer may take to begin at a member that is
-	// unresponsive before it moves to another.
-	stalledAfter = 300 * time.Millisecond
-	// usualPace is the pace of a member that isn't slow.
-	usualPace = 1
+	// maxSlowFraction is the largest part of a group that is skipped as slow. If more
+	// were, the others could not carry the load.
+	maxSlowFraction = 0.34
+	// unresponsiveTimeout is how long a request waits for its answer to begin at an
+	// unresponsive member before it moves to another one.
+	unresponsiveTimeout = 300 * time.Millisecond
+	// normalPace is the pace of a member that isn't slow.
+	normalPace = 1
 )
 
-// move lets a stream leave a target that has turned slow, or is unresponsive.
+// move lets an attempt move away from a target that has become slow or unresponsive.
 type move struct {
-	// permit takes the move from the service's retry budget.
-	permit func() bool
-	cancel context.CancelFunc
-	// asked is why the stream was asked to move; nil before.
-	asked atomic.Pointer[btrequest.Reason]
-	// since is when the request was sent, begun tells that its answer has begun.
-	since time.Time
-	begun atomic.Bool
+	// takeRetry takes the move from the service's retry budget.
+	takeRetry func() bool
+	cancel    context.CancelFunc
+	// reason is why the move was requested; nil before.
+	reason atomic.Pointer[btrequest.Reason]
+	// sentAt is when the request was sent. answerBegun reports that its answer has
+	// begun.
+	sentAt      time.Time
+	answerBegun atomic.Bool
 }
 
-// ask has the stream move, if it may.
-func (m *move) ask(reason btrequest.Reason) {
-	if m.asked.Load() != nil || !m.permit() {
+// request makes the attempt move, if the retry budget allows it.
+func (m *move) request(reason btrequest.Reason) {
+	if m.reason.Load() != nil || !m.takeRetry() {
 		return
 	}
-	if m.asked.CompareAndSwap(nil, &reason) {
+	if m.reason.CompareAndSwap(nil, &reason) {
 		m.cancel()
 	}
 }
 
-// movable notes that a stream at the target can go on elsewhere. The function
-// that it returns takes the note back.
-func (f *fleet) movable(t *target, m *move) (done func()) {
+// addMove registers an attempt at the target that can move to another one. The returned
+// function removes it.
+func (f *fleet) addMove(t *target, m *move) (remove func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.moves[m] = struct{}{}
@@ -62,16 +63,16 @@
 	}
 }
 
-// stalled lists the moves of a service's streams whose answers have not begun at members
-// that are unresponsive. The lock is held.
-func (f *fleet) stalled(s *service, now time.Time) []*move {
+// stalledMoves returns the attempts at unresponsive or silent members of a service
+// whose answers should have begun. f.mu must be held.
+func (f *fleet) stalledMoves(s *service, now time.Time) []*move {
 	var moves []*move
 	for _, t := range s.targets {
-		if !s.quiet(t, now) {
+		if !s.silent(t, now) {
 			continue
 		}
 		for m := range t.moves {
-			if !m.begun.Load() && now.Sub(m.since) >= stalledAfter {
+			if !m.answerBegun.Load() && now.Sub(m.sentAt) >= unresponsiveTimeout {
 				moves = append(moves, m)
 			}
 		}
@@ -79,38 +80,39 @@
 	return moves
 }
 
-// moving is an attempt's move, if it may have one.
-type moving struct {
-	move *move
-	done func()
+// attemptMove is the move of an attempt; move is nil if the attempt must not move.
+type attemptMove struct {
+	move   *move
+	remove func()
 }
 
-// movable lets an attempt at a group's member move, where the request may be
-// repeated and has another attempt.
-func (x *exchange) movable(t *target, cancel context.CancelFunc) moving {
+// startMove lets an attempt at a group member move, if the request may be repeated and
+// has another attempt left.
+func (x *exchange) startMove(t *target, cancel context.CancelFunc) attemptMove {
 	if t.info.Member == nil || !x.route.Repeatable() || x.attempts+1 >= x.route.Attempts {
-		return moving{done: func() {}}
+		return attemptMove{remove: func() {}}
 	}
 	e := x.entry
 	b := e.budget(x.service.Name)
-	m := &move{cancel: cancel, permit: func() bool { return b.take(e.options.Clock()) }, since: e.options.Clock()}
-	return moving{move: m, done: e.fleet.movable(t, m)}
+	m := &move{cancel: cancel, takeRetry: func() bool { return b.take(e.options.Clock()) }, sentAt: e.options.Clock()}
+	return attemptMove{move: m, remove: e.fleet.addMove(t, m)}
 }
 
-// result returns how the attempt ended, which is by its move if it was asked to.
-func (m moving) result(r attemptResult) attemptResult {
-	if m.move == nil || r.done || r.notRun || r.reason == ReasonCallerGone {
+// result returns the attempt's result, changed to a move if one was requested.
+func (m attemptMove) result(r attemptResult) attemptResult {
+	if m.move == nil || r.complete || r.notRun || r.reason == ReasonCallerGone {
 		return r
 	}
-	if reason := m.move.asked.Load(); reason != nil {
+	if reason := m.move.reason.Load(); reason != nil {
 		r.moved = true
 		r.reason = *reason
 	}
 	return r
 }
 
-// hear takes a lead's report on its group in, and has streams leave members that have
-// turned slow or are unresponsive. It tells whether the group was broken until now.
+// applyLoadReport applies a lead's report on its group, and moves streams away from
+// members that have become slow or unresponsive. It reports whether the group was
+// broken until now.
 func (f *fleet) applyLoadReport(l LoadReport) (opened bool) {
 	f.mu.Lock()
 	now := f.clock()
@@ -124,27 +126,27 @@
 		if m == nil || m.Group != l.Group || m.Rank >= len(l.Requests) || l.Requests[m.Rank] == LoadUnknown {
 			continue
 		}
-		t.reported = int(l.Requests[m.Rank])
-		t.own = t.requests
+		t.reportedRequests = int(l.Requests[m.Rank])
+		t.ownAtReport = t.requests
 		t.reportedAt = now
-		t.pace = max(paces[m.Rank], usualPace)
+		t.pace = max(paces[m.Rank], normalPace)
 	}
-	opened = s.heard(l)
+	opened = s.recordLoad(l)
 	s.markUnresponsive(l, now)
 	slowest := f.markSlow(l.Service)
-	stalled := f.stalled(s, now)
+	stalled := f.stalledMoves(s, now)
 	f.mu.Unlock()
 	for _, m := range stalled {
-		m.ask(ReasonUnresponsive)
+		m.request(ReasonUnresponsive)
 	}
 	for _, m := range slowest {
-		m.ask(ReasonTargetSlow)
+		m.request(ReasonTargetSlow)
 	}
 	return opened
 }
 
-// markUnresponsive notes the members whose agents don't answer the lead while most others
-// do.
+// markUnresponsive marks the members whose agents don't answer the lead while most
+// others do.
 func (s *service) markUnresponsive(l LoadReport, now time.Time) {
 	known := make([]bool, len(l.Requests))
 	for rank, requests := range l.Requests {
@@ -163,28 +165,28 @@
 	}
 }
 
-// heard notes a group's epoch, and that the group is open where its lead says so of
-// another epoch than that in which it was found broken. An entry that waits for its
-// own probe learns it a quarter of a second and a first event later.
-func (s *service) heard(l LoadReport) bool {
+// recordLoad records a group's epoch. A broken group is marked open if its lead says so
+// in another epoch than the one in which it was found broken. An entry that only relied
+// on its own probe would learn this a quarter of a second and a first event later.
+func (s *service) recordLoad(l LoadReport) bool {
 	s.epochs[l.Group] = l.Epoch
-	s.seenOpen[l.Group] = s.seenOpen[l.Group] || l.Open
+	s.observedGroups[l.Group] = s.observedGroups[l.Group] || l.Open
 	g, broken := s.broken[l.Group]
 	if !l.Open || !broken || g.epoch == l.Epoch {
 		return false
 	}
-	return s.open(l.Group)
+	return s.markOpen(l.Group)
 }
 
-// markSlow marks the slowest members of a service's group and lists the streams
-// that they have. The lock is held.
+// markSlow marks the slowest members of a service's group, and returns the attempts at
+// them that can move. f.mu must be held.
 func (f *fleet) markSlow(name btid.Service) []*move {
 	targets := slices.Clone(f.service(name).targets)
 	slices.SortFunc(targets, func(a, b *target) int { return cmp.Compare(b.pace, a.pace) })
-	most := int(slowShare * float64(len(targets)))
+	maxSlow := int(maxSlowFraction * float64(len(targets)))
 	var moves []*move
 	for i, t := range targets {
-		t.slow = i < most && t.pace >= slowPace
+		t.slow = i < maxSlow && t.pace >= slowPace
 		if !t.slow {
 			continue
 		}
@@ -195,30 +197,30 @@
 	return moves
 }
 
-// heardShare is the part of a service's targets whose load must be known for the
-// load of all to be told from it.
-const heardShare = 0.5
+// minReportedFraction is the smallest part of a service's targets with a recent load
+// report from which the total load is estimated.
+const minReportedFraction = 0.5
 
-// total returns how many requests of all entries the service's targets have, where
-// that is known; a target of which nothing was heard counts as the mean of the
-// others.
-func (f *fleet) total(name btid.Service) (total int, known bool) {
+// totalRequests estimates the number of requests of all entries at the service's
+// targets. A target without a recent report counts as the mean of the others. known is
+// false if there are too few reports.
+func (f *fleet) totalRequests(name btid.Service) (total int, enough bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	ready, heard, sum := 0, 0, 0
+	ready, reported, sum := 0, 0, 0
 	for _, t := range f.service(name).targets {
 		if t.state != btinventory.Ready {
 			continue
 		}
 		ready++
-		if t.heardOf(now) {
-			heard++
-			sum += t.reported
+		if t.loadFresh(now) {
+			reported++
+			sum += t.reportedRequests
 		}
 	}
-	if heard == 0 || float64(heard) < heardShare*float64(ready) {
+	if reported == 0 || float64(reported) < minReportedFraction*float64(ready) {
 		return 0, false
 	}
-	return sum * ready / heard, true
+	return sum * ready / reported, true
 }
--- a/io/btdirect/lines.go
+++ b/io/btdirect/log.go
@@ -8,33 +8,34 @@
 
 // Names of metrics.
 const (
-	metricRequests   = "requests"
-	metricServed     = "served"
-	metricFirstEvent = "first_event_us"
-	metricWhole      = "answer_us"
-	metricTargetFail = "target_failures"
-	// metricTargetEnds counts targets that ended with requests at work.
-	metricTargetEnds = "target_ends"
-	metricGroupWaits = "group_waits"
-	// metricCatalogWaits counts requests that came before the first catalog.
+	metricRequests       = "requests"
+	metricServed         = "served"
+	metricFirstEvent     = "first_event_us"
+	metricAnswer         = "answer_us"
+	metricTargetFailures = "target_failures"
+	// metricTargetCrashes counts targets that crashed with requests at work.
+	metricTargetCrashes = "target_ends"
+	metricGroupWaits    = "group_waits"
+	// metricCatalogWaits counts requests that arrived before the first catalog.
 	metricCatalogWaits = "catalog_waits"
-	metricWaitsAnew    = "group_waits_anew"
+	// metricGroupWaitsAgain counts requests that waited for a group again after an
+	// attempt.
+	metricGroupWaitsAgain = "group_waits_anew"
 )
 
-// servedSample is how many served requests there are for each that is logged:
-// a failure is looked into by its own line, and the sample shows what was usual
-// at the time.
+// servedSample is how many served requests there are for each one that is logged.
+// Failures are all logged; the sample shows what was normal at the time.
 const servedSample = 50
 
-// served notes that the caller has its whole answer.
-func (x *exchange) served(result attemptResult) {
+// recordServed records that the caller has the complete answer.
+func (x *exchange) recordServed(result attemptResult) {
 	e := x.entry
-	took := e.options.Clock().Sub(x.received)
+	took := e.options.Clock().Sub(x.receivedAt)
 	e.quarantine.Served(x.fingerprint())
 	e.meter.Ended(btrequest.Done)
-	e.meter.Duration(metricWhole, took)
-	number := e.servedCount.Add(1)
-	// One that needed several attempts stands for itself.
+	e.meter.Duration(metricAnswer, took)
+	number := e.served.Add(1)
+	// A request that needed several attempts is always logged.
 	sample := 1
 	if number%servedSample == 0 {
 		sample = servedSample
@@ -44,7 +45,7 @@
 	}
 }
 
-// logFailure notes why a request ends without its whole answer.
+// logFailure logs why a request ends without a complete answer.
 func (e *Entry) logFailure(x *exchange, reason btrequest.Reason, result attemptResult) {
 	if x.logged {
 		return
@@ -56,28 +57,29 @@
 	}
 	e.meter.Ended(outcome)
 	e.meter.Refused(reason)
-	e.log.Warn("request failed", x.attributes(result, "outcome", outcome, "cause", reason, "took_ms", e.options.Clock().Sub(x.received).Milliseconds())...)
+	e.log.Warn("request failed", x.attributes(result, "outcome", outcome, "cause", reason, "took_ms", e.options.Clock().Sub(x.receivedAt).Milliseconds())...)
 }
 
-// retryLine notes that a request is tried again.
-func (e *Entry) retryLine(x *exchange, result attemptResult) {
+// logRetry logs that a request is retried.
+func (e *Entry) logRetry(x *exchange, result attemptResult) {
 	e.log.Info("request retried", x.attributes(result)...)
 }
 
-// refusedLine notes an answer of the entry's own.
-func (e *Entry) refusedLine(x *exchange, r *refusal) {
+// logRefusal logs a refusal.
+func (e *Entry) logRefusal(x *exchange, r *refusal) {
 	var load gateLoad
 	if x.service != nil {
 		load = e.admission.load(x.service.Name)
 	}
 	e.log.Info("request refused", x.attributes(attemptResult{reason: r.reason, status: r.status},
 		"retry_after_ms", r.retryAfter.Milliseconds(),
-		"running", load.running, "waiting", load.waiting, "places", load.places, "limit", load.limit, "pause_share", load.pause)...)
+		"running", load.running, "waiting", load.waiting, "places", load.entryLimit, "limit", load.limit, "pause_share", load.pauseRatio)...)
 }
 
-// attributes are what every line about a request holds, and more.
+// attributes returns the attributes of every log line about a request, followed by
+// more.
 func (x *exchange) attributes(result attemptResult, more ...any) []any {
-	a := []any{"request", x.call.ID, "reason", result.reason, "attempts", x.attempts}
+	a := []any{"request", x.info.ID, "reason", result.reason, "attempts", x.attempts}
 	if x.index != nil {
 		a = append(a, "catalog", x.index.Version())
 	}
@@ -97,30 +99,30 @@
 		a = append(a, "status", result.status)
 	}
 	if x.stream != nil {
-		a = append(a, "last_event", x.stream.last())
+		a = append(a, "last_event", x.stream.lastEventID())
 	}
-	if result.detail != nil {
-		a = append(a, "error", result.detail.Error())
+	if result.err != nil {
+		a = append(a, "error", result.err.Error())
 	}
-	if result.ended {
+	if result.crashed {
 		a = append(a, "target_ended", true, "began", result.began)
 	}
-	if result.ended || result.reason == ReasonQuarantined {
+	if result.crashed || result.reason == ReasonQuarantined {
 		a = append(a, "fingerprint", x.fingerprint())
 	}
 	return append(append(a, x.stageAttributes()...), more...)
 }
 
-// endedLine notes that a target's process is gone though its leaving was not listed.
-// The requests that were at work there have its name and their fingerprints in their
-// own lines.
-func (e *Entry) endedLine(t *target) {
-	e.meter.Counter(metricTargetEnds).Inc(1)
+// logCrash logs that a target's process is gone although it was not listed as leaving.
+// The lines of the requests that were at work there have the target's name and their
+// fingerprints.
+func (e *Entry) logCrash(t *target) {
+	e.meter.Counter(metricTargetCrashes).Inc(1)
 	e.log.Warn("target ended", "target", t.info.Instance(), "service", t.info.Service, "address", t.info.Address)
 }
 
-// targetLine notes that a target failed a request.
-func (e *Entry) targetLine(t *target, result attemptResult, wait time.Duration) {
-	e.meter.Counter(metricTargetFail).Inc(1)
+// logTargetFailure logs that a target failed a request.
+func (e *Entry) logTargetFailure(t *target, result attemptResult, wait time.Duration) {
+	e.meter.Counter(metricTargetFailures).Inc(1)
 	e.log.Info("target passed over", "target", t.info.ID, "service", t.info.Service, "address", t.info.Address, "reason", result.reason, "status", result.status, "for_ms", wait.Milliseconds())
 }
--- a/io/btdirect/peer.go
+++ b/io/btdirect/peer.go
@@ -16,174 +16,176 @@
 
 // Paths of the calls to an entry.
 const (
-	// PathRoster is where an entry tells agents of the fleet.
+	// PathRoster is the path on which an entry gives agents the roster of a service.
 	PathRoster = "/v1/roster"
-	// PathLoad is where an entry hears of a group from the group's lead.
+	// PathLoad is the path on which an entry receives the load reports of group leads.
 	PathLoad = "/v1/load"
-	// pathHello is where entries hear of each other.
+	// pathHello is the path on which an entry receives the hellos of other entries.
 	pathHello = "/v1/hello"
 )
 
 const (
-	// helloEvery is how often an entry makes itself known; helloTime bounds the
-	// answer.
-	helloEvery = 500 * time.Millisecond
-	helloTime  = 400 * time.Millisecond
-	// readers is how many entries read the list of targets while all is well; the
-	// others hear it from them. More than one, so that a reader which is lost
-	// costs nothing.
-	readers = 3
-	// heardFresh is how old a list may be that another entry has read. An entry
-	// that hears none so fresh reads itself; so a change is known everywhere
-	// within two seconds at the most.
-	heardFresh = 1300 * time.Millisecond
+	// helloInterval is how often an entry sends hellos; helloTimeout limits the wait
+	// for the reply.
+	helloInterval = 500 * time.Millisecond
+	helloTimeout  = 400 * time.Millisecond
+	// listReaders is how many entries read the list of targets from the source. The
+	// others receive it from them. There are several, so that the loss of one causes no
+	// delay.
+	listReaders = 3
+	// peerListTTL is how old a list that another entry has read may be. An entry
+	// without one as recent as this reads the source itself, so a change is known
+	// everywhere within two seconds.
+	peerListTTL = 1300 * time.Millisecond
 )
 
-// peers knows the other entries.
+// peers exchanges state with the other entries.
 type peers struct {
 	entry *Entry
 	calls *btcall.Client
 
-	mu       sync.Mutex
-	register *btgossip.Membership
-	random   *rand.Rand
-	// seeds are those of the settings in force.
+	mu         sync.Mutex
+	membership *btgossip.Membership
+	random     *rand.Rand
+	// seeds are the seeds of the settings in force.
 	seeds []netip.AddrPort
 }
 
 func newPeers(e *Entry) *peers {
 	return &peers{
-		entry:    e,
-		calls:    btcall.NewClient(),
-		register: btgossip.New(e.options.Settings.Peer),
-		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		seeds:    e.options.Settings.Seeds,
+		entry:      e,
+		calls:      btcall.NewClient(),
+		membership: btgossip.New(e.options.Settings.Peer),
+		random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		seeds:      e.options.Settings.Seeds,
 	}
 }
 
-// serve answers the fleet's own processes until the context ends.
+// serve answers calls of the fleet's processes until the context ends.
 func (p *peers) serve(ctx context.Context) error {
 	listener, err := p.entry.options.Listen(p.entry.options.Settings.Peer)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle("POST "+PathRoster, btcall.Handle(p.roster))
-	mux.Handle("POST "+PathLoad, btcall.Handle(p.load))
-	mux.Handle("POST "+pathHello, btcall.Handle(p.hear))
-	mux.Handle("POST "+pathQuarantine, btcall.Handle(p.hearQuarantine))
+	mux.Handle("POST "+PathRoster, btcall.Handle(p.handleRoster))
+	mux.Handle("POST "+PathLoad, btcall.Handle(p.handleLoad))
+	mux.Handle("POST "+pathHello, btcall.Handle(p.handleHello))
+	mux.Handle("POST "+pathQuarantine, btcall.Handle(p.handleQuarantine))
 	return btcall.Serve(ctx, listener, mux)
 }
 
-// run makes the entry known until the context ends.
+// run sends hellos until the context ends.
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.entry.fleet.observe(p.list())
+		p.entry.fleet.observeEntries(p.list())
 		for _, to := range p.contacts() {
-			go p.greet(ctx, to)
+			go p.sendHello(ctx, to)
 		}
-		sleep(ctx, helloEvery)
+		sleep(ctx, helloInterval)
 	}
 }
 
-// reads tells whether this entry is one of those that read the list: the first
-// in order of addresses.
-func (p *peers) reads() bool {
+// isReader reports whether this entry is one of those that read the list: the first
+// ones by address.
+func (p *peers) isReader() bool {
 	before := 0
 	for _, a := range p.list() {
 		if a.Compare(p.entry.options.Settings.Peer) < 0 {
 			before++
 		}
 	}
-	return before < readers
+	return before < listReaders
 }
 
-// contacts is whom the entry greets.
+// contacts returns the entries to send a hello to.
 func (p *peers) contacts() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expire()
-	return p.register.Peers(p.seeds, readers, p.random)
+	return p.membership.Peers(p.seeds, listReaders, p.random)
 }
 
-// reseed puts other seeds in force.
-func (p *peers) reseed(seeds []netip.AddrPort) {
+// setSeeds replaces the seeds.
+func (p *peers) setSeeds(seeds []netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seeds = seeds
 }
 
-// greet sends one hello and takes the answer in.
-func (p *peers) greet(ctx context.Context, to netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(ctx, helloTime)
+// sendHello sends one hello and applies the reply.
+func (p *peers) sendHello(ctx context.Context, to netip.AddrPort) {
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	rates := p.entry.fleet.ratesSummary()
 	h := hello{
 		From:       p.entry.options.Settings.Peer,
-		Catalog:    p.entry.knowledge.version(),
-		Targets:    p.entry.knowledge.digest(),
+		Catalog:    p.entry.cache.version(),
+		Targets:    p.entry.cache.digest(),
 		Quarantine: p.entry.quarantine.Digest(),
 		Rates:      rates.Digest,
 		RateCells:  rates.Cells,
-		News:       p.entry.ratesNews(),
+		News:       p.entry.recentRates(),
 	}
-	asked := p.entry.options.Clock()
-	w, err := btcall.Call[welcome](ctx, p.calls, to, pathHello, h)
+	askedAt := p.entry.options.Clock()
+	reply, err := btcall.Call[helloReply](ctx, p.calls, to, pathHello, h)
 	if err != nil {
-		// An entry that is away is forgotten by its age.
-		p.entry.meter.Counter(metricGreetings + "failed").Inc(1)
+		// An entry that is gone is forgotten once no one has heard from it for a while.
+		p.entry.meter.Counter(metricHellos + "failed").Inc(1)
 		return
 	}
-	p.heard(asked, to, w.Entries)
-	if len(w.Catalog) > 0 {
-		p.entry.knowledge.learn(w.Catalog, to)
+	p.mergeSightings(askedAt, to, reply.Entries)
+	if len(reply.Catalog) > 0 {
+		p.entry.cache.mergeCatalog(reply.Catalog, to)
 	}
-	p.entry.knowledge.learnList(w.List, asked, to)
-	p.entry.quarantine.learn(w, to)
-	p.entry.learnRates(w.Rates, asked, to)
-}
-
-// metricGreetings counts what came of greetings.
-const metricGreetings = "peers.greetings_"
-
-// hear answers another entry's hello.
-func (p *peers) hear(_ context.Context, h hello) (welcome, error) {
-	// It may have been as long on its way, so that it is taken for that much older.
-	p.entry.learnRates(h.News, p.entry.options.Clock().Add(-helloTime), h.From)
-	return welcome{
-		Entries:    p.greeted(h.From),
-		Catalog:    p.entry.knowledge.newerThan(h.Catalog),
-		List:       p.entry.knowledge.readList(h.Targets),
+	p.entry.cache.mergeList(reply.List, askedAt, to)
+	p.entry.quarantine.mergeReply(reply, to)
+	p.entry.mergeRates(reply.Rates, askedAt, to)
+}
+
+// metricHellos is the prefix of the counters of hellos by result.
+const metricHellos = "peers.greetings_"
+
+// handleHello answers another entry's hello.
+func (p *peers) handleHello(_ context.Context, h hello) (helloReply, error) {
+	// The hello may have been in transit for this long, so its records count as that
+	// much older.
+	p.entry.mergeRates(h.News, p.entry.options.Clock().Add(-helloTimeout), h.From)
+	return helloReply{
+		Entries:    p.observeHello(h.From),
+		Catalog:    p.entry.cache.catalogAfter(h.Catalog),
+		List:       p.entry.cache.ownList(h.Targets),
 		Quarantine: p.entry.quarantine.NewerThan(h.Quarantine),
-		KnowsAll:   p.entry.quarantine.knowsAll(),
+		KnowsAll:   p.entry.quarantine.hasFullHistory(),
 		Suspects:   p.entry.quarantine.Suspects(),
-		Rates:      p.entry.tellRates(btrate.Summary{Digest: h.Rates, Cells: h.RateCells}),
+		Rates:      p.entry.ratesFor(btrate.Summary{Digest: h.Rates, Cells: h.RateCells}),
 	}, nil
 }
 
-// greeted notes that an entry has greeted, and returns what it is told of others.
-func (p *peers) greeted(from netip.AddrPort) []btgossip.Sighting {
+// observeHello records a hello, and returns the sightings for the reply.
+func (p *peers) observeHello(from netip.AddrPort) []btgossip.Sighting {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.entry.options.Clock()
-	p.note(p.register.Observe(now, from))
-	return p.register.Sample(now, p.random)
+	p.logChanges(p.membership.Observe(now, from))
+	return p.membership.Sample(now, p.random)
 }
 
-// heard notes that an entry has answered, and takes in what it tells of others.
-func (p *peers) heard(asked time.Time, from netip.AddrPort, told []btgossip.Sighting) {
+// mergeSightings records that an entry has replied, and merges the sightings that it
+// sent.
+func (p *peers) mergeSightings(askedAt time.Time, from netip.AddrPort, sightings []btgossip.Sighting) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.entry.options.Clock()
-	p.note(p.register.Observe(now, from))
-	p.note(p.register.Merge(now, asked, told))
+	p.logChanges(p.membership.Observe(now, from))
+	p.logChanges(p.membership.Merge(now, askedAt, sightings))
 }
 
-// expire forgets entries that nobody has heard from. The lock is held.
-func (p *peers) expire() { p.note(p.register.Expire(p.entry.options.Clock())) }
+// expire forgets entries that no one has heard from recently. p.mu must be held.
+func (p *peers) expire() { p.logChanges(p.membership.Expire(p.entry.options.Clock())) }
 
-// note logs who has become known or was forgotten.
-func (p *peers) note(changes []btgossip.Change) {
+// logChanges logs which entries became known or were forgotten.
+func (p *peers) logChanges(changes []btgossip.Change) {
 	for _, c := range changes {
 		if c.Known {
 			p.entry.log.Info("entry known", "entry", c.Address)
@@ -193,24 +195,24 @@
 	}
 }
 
-// count returns how many entries are known, without this one.
+// count returns the number of other entries known.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.register.Count()
+	return p.membership.Count()
 }
 
-// list lists the entries known, without this one, in order.
+// list returns the other entries known, ordered by address.
 func (p *peers) list() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expire()
-	return p.register.List()
+	return p.membership.List()
 }
 
-// roster answers an agent.
-func (p *peers) roster(_ context.Context, q RosterRequest) (btinventory.Roster, error) {
-	r, err := p.entry.knowledge.rosterOf(q.Service)
+// handleRoster answers an agent's request for a roster.
+func (p *peers) handleRoster(_ context.Context, q RosterRequest) (btinventory.Roster, error) {
+	r, err := p.entry.cache.roster(q.Service)
 	if err != nil {
 		return r, err
 	}
@@ -222,13 +224,13 @@
 	return r, nil
 }
 
-// load takes a group's load in.
-func (p *peers) load(_ context.Context, l LoadReport) (Strain, error) {
+// handleLoad applies a lead's load report and returns the service's strain.
+func (p *peers) handleLoad(_ context.Context, l LoadReport) (Strain, error) {
 	if p.entry.fleet.applyLoadReport(l) {
 		p.entry.log.Info("group open", "service", l.Service, "epoch", l.Epoch, "evidence", "lead")
 	}
-	if total, known := p.entry.fleet.total(l.Service); known {
-		p.entry.admission.hear(l.Service, total)
+	if total, known := p.entry.fleet.totalRequests(l.Service); known {
+		p.entry.admission.observeTotal(l.Service, total)
 	}
 	return p.entry.admission.strain(l.Service), nil
 }
--- a/io/btdirect/peer_list.go
+++ b/io/btdirect/peer_list.go
@@ -12,52 +12,52 @@
 	"bilberrytide/core/btwire"
 )
 
-// listedByPeer tells whether the list that is known is fresh though this entry
-// doesn't read it: another entry has.
-func (k *knowledge) listedByPeer(now time.Time) bool {
-	if k.reads() {
+// listedByPeer reports whether this entry need not read the source, because another
+// entry has passed on a recent list.
+func (sc *sourceCache) listedByPeer(now time.Time) bool {
+	if sc.isReader() {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.known && k.index.Load() != nil && now.Sub(k.listedAt) < heardFresh
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.hasList && sc.index.Load() != nil && now.Sub(sc.listedAt) < peerListTTL
 }
 
-// digest identifies the targets that are known.
-func (k *knowledge) digest() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.listDigest()
+// digest returns the digest of the cached targets.
+func (sc *sourceCache) digest() uint64 {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.listDigest()
 }
 
-// listDigest returns the digest of the targets, which is computed once for each
-// change: with 192 targets it takes a third of a millisecond, and an entry that
-// others greet is asked for it a hundred times a second. The lock is held.
-func (k *knowledge) listDigest() uint64 {
-	if !k.digested {
-		k.targetsDigest = digestOf(k.register.Targets())
-		k.digested = true
-	}
-	return k.targetsDigest
+// listDigest returns the digest of the cached targets, computed once per change: for
+// 192 targets it takes a third of a millisecond, and other entries ask for it a hundred
+// times a second. sc.mu must be held.
+func (sc *sourceCache) listDigest() uint64 {
+	if !sc.digestValid {
+		sc.targetsDigest = targetsDigest(sc.register.Targets())
+		sc.digestValid = true
+	}
+	return sc.targetsDigest
 }
 
-// errNothingKnown means that the entry has read no list yet.
-var errNothingKnown = errors.New("no list of targets read yet")
+// errNoList means that no list has been read yet.
+var errNoList = errors.New("no list of targets read yet")
 
-// rosterOf returns what agents are told of a service, but for the entries. It is put
-// together once for each change, as 192 agents ask each second.
-func (k *knowledge) rosterOf(name btid.Service) (btinventory.Roster, error) {
-	index := k.index.Load()
+// roster returns the roster of a service for its agents, without the entries. It is
+// built once per change, as 192 agents ask each second.
+func (sc *sourceCache) roster(name btid.Service) (btinventory.Roster, error) {
+	index := sc.index.Load()
 	if index == nil {
-		return btinventory.Roster{}, errNothingKnown
+		return btinventory.Roster{}, errNoList
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if r, found := k.rosters[name]; found {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if r, found := sc.rosters[name]; found {
 		return r, nil
 	}
 	var r btinventory.Roster
-	for _, t := range k.register.Targets() {
+	for _, t := range sc.register.Targets() {
 		if t.Service == name {
 			r.Targets = append(r.Targets, t)
 		}
@@ -70,86 +70,86 @@
 		return r, err
 	}
 	r.Digest = xxhash.Sum64(data)
-	if len(k.rosters) < maxRosters {
-		k.rosters[name] = r
+	if len(sc.rosters) < maxRosters {
+		sc.rosters[name] = r
 	}
 	return r, nil
 }
 
-// maxRosters bounds the services whose rosters are kept ready.
+// maxRosters limits the services whose rosters are kept.
 const maxRosters = 256
 
-// changed forgets what was computed of the targets and the catalog. The lock is
+// invalidate discards what was computed from the targets and the catalog. sc.mu must be
 // held.
-func (k *knowledge) changed() {
-	k.digested = false
-	clear(k.rosters)
+func (sc *sourceCache) invalidate() {
+	sc.digestValid = false
+	clear(sc.rosters)
 }
 
-func digestOf(list []btinventory.Target) uint64 {
+func targetsDigest(list []btinventory.Target) uint64 {
 	data, err := btwire.Encode(btinventory.Roster{Targets: list})
 	if err != nil {
-		// A list that can't be encoded is like no other.
+		// A list that can't be encoded equals no other.
 		return 0
 	}
 	return xxhash.Sum64(data)
 }
 
-// readList returns what this entry has read of the list, for one that knows the
-// targets of the digest. An entry that only heard of it says nothing, so that no
-// age grows on the way from one to the next.
-func (k *knowledge) readList(known uint64) ReadList {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.known || k.lost || k.readAt.IsZero() {
+// ownList returns the list for an entry that has the targets of the given digest, if
+// this entry has read it from the source itself. It doesn't pass on a list that it
+// received, so that the age can't grow from one entry to the next.
+func (sc *sourceCache) ownList(known uint64) ReadList {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if !sc.hasList || sc.storeLost || sc.readAt.IsZero() {
 		return ReadList{}
 	}
-	l := ReadList{Position: k.position, Age: max(k.clock().Sub(k.readAt), 0)}
-	if k.listDigest() == known {
+	l := ReadList{Position: sc.position, Age: max(sc.clock().Sub(sc.readAt), 0)}
+	if sc.listDigest() == known {
 		l.Same = true
 		return l
 	}
-	l.Targets = k.register.Targets()
+	l.Targets = sc.register.Targets()
 	return l
 }
 
-// learnList takes in what another entry has read. Asked is when it was asked, so
-// that the way counts towards the list's age.
-func (k *knowledge) learnList(l ReadList, asked time.Time, from netip.AddrPort) {
+// mergeList adopts a newer list that another entry has read. askedAt is when it was
+// asked, so that transit time counts towards the list's age.
+func (sc *sourceCache) mergeList(l ReadList, askedAt time.Time, from netip.AddrPort) {
 	if l.Position == 0 {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	readAt := asked.Add(-l.Age)
-	if l.Position < k.position || !readAt.After(k.listedAt) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	readAt := askedAt.Add(-l.Age)
+	if l.Position < sc.position || !readAt.After(sc.listedAt) {
 		return
 	}
-	now := k.clock()
-	k.moved(now, l.Position, from.String())
-	k.listedAt = readAt
-	k.known = true
+	now := sc.clock()
+	sc.setPosition(now, l.Position, from.String())
+	sc.listedAt = readAt
+	sc.hasList = true
 	if l.Same {
 		return
 	}
-	changes := k.register.Adopt(now, l.Targets)
+	changes := sc.register.Adopt(now, l.Targets)
 	for _, c := range changes {
-		k.log.Info(c.What, "target", c.Target.Instance(), "service", c.Target.Service, "address", c.Target.Address, "position", l.Position.String(), "from", from, "age_ms", now.Sub(readAt).Milliseconds())
+		sc.log.Info(c.What, "target", c.Target.Instance(), "service", c.Target.Service, "address", c.Target.Address, "position", l.Position.String(), "from", from, "age_ms", now.Sub(readAt).Milliseconds())
 	}
 	if len(changes) > 0 {
-		k.publish()
+		sc.publish()
 	}
 }
 
-// moved notes up to where the list is known from now on. In another era the store has come
-// back from a copy. The lock is held.
-func (k *knowledge) moved(now time.Time, p btinventory.Position, from string) {
-	before := k.position
-	k.position = p
+// setPosition sets the position of the cached list. A change of era means that the
+// store was restored from a copy. sc.mu must be held.
+func (sc *sourceCache) setPosition(now time.Time, p btinventory.Position, from string) {
+	before := sc.position
+	sc.position = p
 	if before == 0 || p.Era() == before.Era() {
 		return
 	}
-	k.register.Restored(now, p.Era())
-	k.meter.Counter(metricEras).Inc(1)
-	k.log.Warn("store era changed", "before", before.String(), "position", p.String(), "from", from, "age_ms", now.Sub(k.listedAt).Milliseconds(), "targets", len(k.register.Targets()), "catalog", k.version())
+	sc.register.Restored(now, p.Era())
+	sc.meter.Counter(metricEras).Inc(1)
+	sc.log.Warn("store era changed", "before", before.String(), "position", p.String(), "from", from, "age_ms", now.Sub(sc.listedAt).Milliseconds(), "targets", len(sc.register.Targets()), "catalog", sc.version())
 }
--- a/io/btdirect/peer_message.go
+++ b/io/btdirect/peer_message.go
@@ -14,40 +14,40 @@
 	"bilberrytide/core/btrate"
 )
 
-// RosterRequest asks an entry for a service's targets.
+// RosterRequest asks an entry for the targets of a service.
 type RosterRequest struct {
 	Service btid.Service `cbor:"service"`
-	// Known is the digest of the roster that the agent has.
+	// Known is the digest of the agent's present roster.
 	Known uint64 `cbor:"known"`
 }
 
-// errQuestion means that a question names no service.
-var errQuestion = errors.New("question without a service")
+// errNoService means that a message names no service.
+var errNoService = errors.New("question without a service")
 
-// Validate reports a question that names no service.
-func (q RosterRequest) Validate() error {
-	if q.Service == "" {
-		return errQuestion
+// Validate returns an error if no service is named.
+func (r RosterRequest) Validate() error {
+	if r.Service == "" {
+		return errNoService
 	}
 	return nil
 }
 
-// LoadUnknown stands for a rank of which nothing was heard of late.
+// LoadUnknown stands for a rank without a recent load.
 const LoadUnknown = 255
 
-// LoadReport is what entries are told of a group. Ranks are told by their number, a byte
-// each, as a word with their addresses takes fourteen times as much: 2,726 B for
-// 192 ranks.
+// LoadReport is the load of a group, as its lead reports it to entries. Each rank takes
+// one byte at the index of its number: with the ranks' addresses the message would be
+// fourteen times as large, 2,726 B for 192 ranks.
 type LoadReport struct {
 	Service btid.Service `cbor:"service"`
 	Group   string       `cbor:"group"`
 	Epoch   uint64       `cbor:"epoch"`
-	// Open tells that the group is whole.
+	// Open reports that the group serves with all its ranks.
 	Open bool `cbor:"open"`
-	// Requests are those that run and those that wait, by rank; LoadUnknown where
-	// that isn't known.
+	// Requests counts the running and waiting requests by rank; LoadUnknown if not
+	// known.
 	Requests []byte `cbor:"requests"`
-	// Paces are those of the ranks that are slower than usual.
+	// Paces lists the ranks that are slower than normal.
 	Paces []RankPace `cbor:"paces,omitempty"`
 }
 
@@ -55,14 +55,14 @@
 type RankPace struct {
 	_    struct{} `cbor:",toarray"`
 	Rank int      `cbor:"rank"`
-	// Pace is how many times as long as usual its work takes.
+	// Pace is the rank's step time as a multiple of the normal one.
 	Pace float32 `cbor:"pace"`
 }
 
-// Validate reports a load of no service, or with a pace that none has.
+// Validate returns an error if no service is named or a pace is out of range.
 func (l LoadReport) Validate() error {
 	if l.Service == "" {
-		return errQuestion
+		return errNoService
 	}
 	for _, p := range l.Paces {
 		if !(p.Pace >= 0) || math.IsInf(float64(p.Pace), 0) {
@@ -72,23 +72,23 @@
 	return nil
 }
 
-// errPace means that a pace is no number from zero on.
+// errPace means that a pace is negative, infinite or not a number.
 var errPace = errors.New("malformed pace")
 
-// Strain answers a lead: how near the service's answers come to what callers are
-// promised, as this entry sees it.
+// Strain is the answer to a load report: how close the latencies of the service come to
+// the promised ones at this entry.
 type Strain struct {
-	// Value is what nearly all pauses and first events stay below, as a share of
-	// the time that they may take. It is of no use without Streams.
+	// Value is the level below which nearly all pauses and first events stay, as a
+	// fraction of the promised time. It has no meaning if Streams is zero.
 	Value float64 `cbor:"value"`
-	// Streams is how many of the service's streams the entry relays.
+	// Streams is the number of the service's streams that the entry relays.
 	Streams int `cbor:"streams"`
 }
 
-// errStrain means that a strain is no share or counts no streams.
+// errStrain means that a strain is negative, infinite or not a number.
 var errStrain = errors.New("strain must be a number from zero on, and so must its streams")
 
-// Validate reports a strain that can't have been measured.
+// Validate returns an error if the strain is out of range.
 func (s Strain) Validate() error {
 	if !(s.Value >= 0) || math.IsInf(s.Value, 0) || s.Streams < 0 {
 		return errStrain
@@ -96,27 +96,28 @@
 	return nil
 }
 
-// hello makes an entry known to another and asks for others.
+// hello announces an entry to another one, and asks for what that one knows.
 type hello struct {
 	From netip.AddrPort `cbor:"from"`
-	// Catalog is the version in force at the sender, Targets the digest of the
-	// targets that it knows.
+	// Catalog is the version in force at the sender, Targets the digest of its list of
+	// targets.
 	Catalog uint64 `cbor:"catalog"`
 	Targets uint64 `cbor:"targets"`
-	// Quarantine is the digest of what the sender knows of requests that end targets.
+	// Quarantine is the digest of the sender's quarantine records.
 	Quarantine uint64 `cbor:"quarantine"`
-	// Rates is the digest of what the sender knows of the rates that targets name, and
-	// RateCells the digests of its parts.
+	// Rates is the digest of the rate limits that the sender knows, RateCells the
+	// digests of their partitions.
 	Rates     uint64       `cbor:"rates,omitempty"`
 	RateCells btrate.Cells `cbor:"rate_cells,omitempty"`
-	// News are the latest changes of them.
+	// News holds the sender's recent changes of rate limits.
 	News btrate.Records `cbor:"news,omitempty"`
 }
 
-// Validate reports a hello from nowhere, or with news that can't hold.
+// Validate returns an error if the sender's address is missing or a field is out of
+// range.
 func (h hello) Validate() error {
 	if !h.From.IsValid() {
-		return errNowhere
+		return errNoSender
 	}
 	if err := h.RateCells.Validate(); err != nil {
 		return err
@@ -124,60 +125,60 @@
 	return h.News.Validate()
 }
 
-// errNowhere means that a message doesn't say which entry it is from.
-var errNowhere = errors.New("message without its sender's address")
+// errNoSender means that a message lacks the address of its sender.
+var errNoSender = errors.New("message without its sender's address")
 
-// welcome answers a hello.
-type welcome struct {
+// helloReply answers a hello.
+type helloReply struct {
 	Entries []btgossip.Sighting `cbor:"entries"`
-	// Catalog is set where the sender of the hello has an older one.
+	// Catalog is set if the sender of the hello has an older one.
 	Catalog []byte `cbor:"catalog,omitempty"`
-	// List is what the entry has read itself.
+	// List is the list of targets, if the entry has read it from the source itself.
 	List ReadList `cbor:"list"`
-	// Quarantine is left out where both know the same. KnowsAll tells that the sender
-	// has what was known before it started.
+	// Quarantine is omitted if both have the same records. KnowsAll reports that the
+	// sender has all records from before its start.
 	Quarantine btquarantine.Records `cbor:"quarantine,omitempty"`
 	KnowsAll   bool                 `cbor:"knows_all,omitempty"`
-	// Suspects are the requests that one end alone holds for a while.
+	// Suspects are the requests that are quarantined for a while after a single crash.
 	Suspects btquarantine.Suspects `cbor:"suspects,omitempty"`
-	// Rates are left out where both know the same.
+	// Rates is omitted if both know the same limits.
 	Rates btrate.Records `cbor:"rates,omitempty"`
 }
 
-// ReadList is what an entry has read of the list of targets.
+// ReadList is a list of targets that an entry has read from the source.
 type ReadList struct {
-	// Position is the list's, Age how long ago it was read; an entry that has not
-	// read it itself has no position.
+	// Position is the position of the list, zero if the entry has not read it itself.
+	// Age is how long ago it was read.
 	Position btinventory.Position `cbor:"revision"`
 	Age      time.Duration        `cbor:"age"`
-	// Targets are left out where the asking entry knows the same ones.
+	// Targets is omitted if the asking entry has the same ones, which Same reports.
 	Targets []btinventory.Target `cbor:"targets,omitempty"`
 	Same    bool                 `cbor:"same,omitempty"`
 }
 
-// Validate reports a welcome with too many entries.
-func (w welcome) Validate() error {
-	if len(w.Entries) > btgossip.MaxSightings {
-		return fmt.Errorf("welcome with %d entries", len(w.Entries))
+// Validate returns an error if there are too many entries or a field is out of range.
+func (r helloReply) Validate() error {
+	if len(r.Entries) > btgossip.MaxSightings {
+		return fmt.Errorf("welcome with %d entries", len(r.Entries))
 	}
-	for _, e := range w.Entries {
+	for _, e := range r.Entries {
 		if err := e.Validate(); err != nil {
 			return err
 		}
 	}
-	if err := w.Quarantine.Validate(); err != nil {
+	if err := r.Quarantine.Validate(); err != nil {
 		return err
 	}
-	if err := w.Suspects.Validate(); err != nil {
+	if err := r.Suspects.Validate(); err != nil {
 		return err
 	}
-	if err := w.Rates.Validate(); err != nil {
+	if err := r.Rates.Validate(); err != nil {
 		return err
 	}
-	if w.List.Age < 0 {
-		return fmt.Errorf("welcome with a list read in %s", -w.List.Age)
+	if r.List.Age < 0 {
+		return fmt.Errorf("welcome with a list read in %s", -r.List.Age)
 	}
-	for _, t := range w.List.Targets {
+	for _, t := range r.List.Targets {
 		if err := t.Validate(); err != nil {
 			return err
 		}
--- /dev/null
+++ b/io/btdirect/pick.go
@@ -0,0 +1,147 @@
+package btdirect
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"bilberrytide/core/btid"
+	"bilberrytide/core/btinventory"
+	"bilberrytide/core/btpick"
+)
+
+// choice is the result of choosing a target. target is nil if there is none.
+type choice struct {
+	target *target
+	// wait is how long to wait before the request is sent to the target, which
+	// advertises a rate. Without a target it is the wait until such a target may be
+	// sent a request, or zero if there is none either.
+	wait time.Duration
+	// skipped counts the targets that were skipped because their rate is used up.
+	skipped int
+}
+
+// candidates are the targets to which a request may be sent, in order of preference.
+type candidates struct {
+	usable, slow, silent, failing, broken, failingAndBroken []*target
+	// rateLimited holds those among them that advertise a rate.
+	rateLimited map[*target]bool
+	// exhausted holds the targets that may not be sent a request now because of their
+	// rate.
+	exhausted []*target
+}
+
+// best returns the most preferred targets that exist.
+func (c *candidates) best() []*target {
+	for _, list := range [][]*target{c.usable, c.slow, c.silent, c.failing, c.broken, c.failingAndBroken} {
+		if len(list) > 0 {
+			return list
+		}
+	}
+	return nil
+}
+
+// pick chooses a target for a request and assigns the request to it. It skips targets
+// that the request has tried, and those that advertise a rate of which this entry's
+// share is used up. It avoids targets that are slow, silent, have failed recently, are
+// in a broken group, or both of the last two, and uses them, in this order, only if
+// there are no others. If only rates are in the way, the request waits for the first
+// target that may be sent one, if that is within maxWait.
+func (f *fleet) pick(name btid.Service, tokens int, tried map[btinventory.Instance]bool, maxWait time.Duration) choice {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.clock()
+	s := f.service(name)
+	sorted := f.candidates(s, tried, now)
+	list := sorted.best()
+	if len(list) == 0 {
+		c := f.pickExhausted(s, sorted.exhausted, tokens, maxWait, now)
+		c.skipped = len(sorted.exhausted)
+		return c
+	}
+	compared := make([]btpick.Candidate, len(list))
+	for i, t := range list {
+		compared[i] = btpick.Candidate{
+			Requests:      t.requests,
+			PendingTokens: t.pendingTokens,
+			OtherRequests: t.otherRequests(now),
+			Local:         t.info.DataCentre == f.dataCentre,
+			Slowdown:      t.pace,
+			AlwaysCompare: sorted.rateLimited[t],
+		}
+	}
+	t := list[btpick.Pick(compared, rand.IntN)]
+	f.assign(s, t, tokens, now)
+	return choice{target: t, skipped: len(sorted.exhausted)}
+}
+
+// candidates sorts the service's targets by preference. f.mu must be held.
+func (f *fleet) candidates(s *service, tried map[btinventory.Instance]bool, now time.Time) candidates {
+	c := candidates{rateLimited: make(map[*target]bool, f.rates.ActiveLimits())}
+	for _, t := range s.targets {
+		if t.state != btinventory.Ready || tried[t.info.Instance()] || now.Before(t.replacedUntil) {
+			continue
+		}
+		// The rate that an overloaded target advertises is for all entries together.
+		// Entries that each sent that much would overload it further.
+		if f.rates.Limit(t.info.Instance()).Active {
+			if f.rates.Wait(now, t.info.Instance()) > 0 {
+				f.rates.CountSkipped(t.info.Instance())
+				c.exhausted = append(c.exhausted, t)
+				continue
+			}
+			c.rateLimited[t] = true
+		}
+		switch {
+		case s.skipsGroup(t, now) && now.Before(t.suspendedUntil):
+			c.failingAndBroken = append(c.failingAndBroken, t)
+		case s.skipsGroup(t, now):
+			c.broken = append(c.broken, t)
+		case now.Before(t.suspendedUntil):
+			c.failing = append(c.failing, t)
+		case s.silent(t, now):
+			c.silent = append(c.silent, t)
+		case t.skippedAsSlow(now):
+			c.slow = append(c.slow, t)
+		default:
+			c.usable = append(c.usable, t)
+		}
+	}
+	return c
+}
+
+// pickExhausted assigns a request to the target that is the first to accept another one
+// under its rate. f.mu must be held.
+func (f *fleet) pickExhausted(s *service, exhausted []*target, tokens int, maxWait time.Duration, now time.Time) choice {
+	var next choice
+	for _, t := range exhausted {
+		wait := f.rates.Wait(now, t.info.Instance())
+		if next.target == nil || wait < next.wait {
+			next = choice{target: t, wait: wait}
+		}
+	}
+	if next.target == nil {
+		return choice{}
+	}
+	if next.wait > maxWait {
+		return choice{wait: next.wait}
+	}
+	f.assign(s, next.target, tokens, now)
+	return next
+}
+
+// assign counts a request at a target. f.mu must be held.
+func (f *fleet) assign(s *service, t *target, tokens int, now time.Time) {
+	s.recordProbe(t, now)
+	f.rates.Take(t.info.Instance())
+	t.requests++
+	t.pendingTokens += tokens
+}
+
+// unassign undoes assign for a request that is not sent.
+func (f *fleet) unassign(t *target, tokens int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.rates.Refund(t.info.Instance())
+	t.requests--
+	t.pendingTokens -= tokens
+}
--- a/io/btdirect/quarantine.go
+++ b/io/btdirect/quarantine.go
@@ -15,33 +15,36 @@
 	"bilberrytide/io/btloop"
 )
 
-// pathQuarantine is where entries hear under which requests targets have ended.
+// pathQuarantine is the path on which entries receive quarantine updates.
 const pathQuarantine = "/v1/quarantine"
 
 const (
-	// tellTime bounds one telling; who misses it hears it with its next greeting.
-	tellTime = 400 * time.Millisecond
-	// tellMost is how many entries are told at once; they pass it on.
-	tellMost = 32
+	// noticeTimeout limits the time to send a notice. An entry that misses it gets the
+	// update with its next hello.
+	noticeTimeout = 400 * time.Millisecond
+	// maxNotified is how many entries one entry notifies; they pass the notice on.
+	maxNotified = 32
 )
 
-// quarantine keeps requests that end targets from them, and has the attempts at work by
-// which they are withdrawn.
+// quarantine keeps requests that crash targets away from targets. It tracks the
+// attempts in progress so that they can be withdrawn.
 type quarantine struct {
 	*btisolation.Isolation
 	clock btloop.Clock
 	log   *slog.Logger
-	// started is when the process did; whole tells that it knows what others knew then.
-	started time.Time
-	whole   atomic.Bool
+	// started is the start of the process. historyComplete reports that the records
+	// from before it are known.
+	started         time.Time
+	historyComplete atomic.Bool
 
 	mu sync.Mutex
-	// attempts are those at work, with what cancels each.
+	// attempts holds the cancel function of each attempt in progress.
 	attempts map[*exchange]context.CancelFunc
 }
 
-// newQuarantine returns one that is cautious until it knows what others know: with the
-// fleet's first start there is nothing to know.
+// newQuarantine returns a quarantine with the conservative policy, which applies until
+// the records of the other entries are known. When the fleet starts for the first time
+// there are none.
 func newQuarantine(o Options) *quarantine {
 	q := &quarantine{
 		Isolation: btisolation.New(btquarantine.ConservativePolicy(), o.Clock, o.Log),
@@ -52,40 +55,40 @@
 	}
 	q.OnHold(q.withdraw)
 	if o.Settings.FirstStart {
-		q.complete("first start")
+		q.markComplete("first start")
 	}
 	return q
 }
 
-// knowsAll tells whether this entry knows what any knew before it started. Where all
-// have started anew, what was known then is of no more use after its life.
-func (q *quarantine) knowsAll() bool {
-	if !q.whole.Load() && q.clock().Sub(q.started) >= btquarantine.TTL {
-		q.complete("age")
+// hasFullHistory reports whether this entry has all records from before its start. If
+// all entries have restarted these are lost, but they would have expired after their
+// TTL.
+func (q *quarantine) hasFullHistory() bool {
+	if !q.historyComplete.Load() && q.clock().Sub(q.started) >= btquarantine.TTL {
+		q.markComplete("age")
 	}
-	return q.whole.Load()
+	return q.historyComplete.Load()
 }
 
-// learn takes in what another entry knows, and that this is all where the other knows
-// all.
-func (q *quarantine) learn(w welcome, from netip.AddrPort) {
-	q.Hear(btquarantine.Update{Records: w.Quarantine, Suspects: w.Suspects}, from.String())
-	if w.KnowsAll && !q.whole.Load() {
-		q.complete(from.String())
+// mergeReply merges the records of another entry. If that one has the full history, so
+// does this one now.
+func (q *quarantine) mergeReply(reply helloReply, from netip.AddrPort) {
+	q.Hear(btquarantine.Update{Records: reply.Quarantine, Suspects: reply.Suspects}, from.String())
+	if reply.KnowsAll && !q.historyComplete.Load() {
+		q.markComplete(from.String())
 	}
 }
 
-// complete ends the caution.
-func (q *quarantine) complete(evidence string) {
-	if q.whole.CompareAndSwap(false, true) {
+// markComplete ends the conservative policy.
+func (q *quarantine) markComplete(evidence string) {
+	if q.historyComplete.CompareAndSwap(false, true) {
 		q.SetPolicy(btquarantine.DefaultPolicy())
 		q.log.Info("quarantine known", "evidence", evidence)
 	}
 }
 
-// attempting notes that a request is at a target. The function that it returns takes
-// the note back.
-func (q *quarantine) attempting(x *exchange, cancel context.CancelFunc) (done func()) {
+// trackAttempt registers an attempt in progress. The returned function removes it.
+func (q *quarantine) trackAttempt(x *exchange, cancel context.CancelFunc) (untrack func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.attempts[x] = cancel
@@ -96,14 +99,14 @@
 	}
 }
 
-// withdraw cancels the request's attempts, where it is only suspected those of which
-// nothing has gone out.
+// withdraw cancels the attempts of the requests with a fingerprint, and returns their
+// number. If the request is only suspected, streams of which a part was sent continue.
 func (q *quarantine) withdraw(f btquarantine.Fingerprint, suspected bool) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	withdrawn := 0
 	for x, cancel := range q.attempts {
-		if x.fingerprint() == f && !(suspected && x.answering.Load()) {
+		if x.fingerprint() == f && !(suspected && x.partlySent.Load()) {
 			x.withdrawn.Store(true)
 			cancel()
 			withdrawn++
@@ -112,80 +115,80 @@
 	return withdrawn
 }
 
-// heard answers a telling.
-type heard struct{}
+// emptyReply answers a quarantine notice.
+type emptyReply struct{}
 
-// Validate accepts every answer: it says nothing.
-func (heard) Validate() error { return nil }
+// Validate accepts every reply, as it has no fields.
+func (emptyReply) Validate() error { return nil }
 
-// telling is what an entry tells others at once.
-type telling struct {
+// quarantineNotice is a quarantine update that an entry sends unasked.
+type quarantineNotice struct {
 	From     netip.AddrPort        `cbor:"from"`
 	Records  btquarantine.Records  `cbor:"records"`
 	Suspects btquarantine.Suspects `cbor:"suspects,omitempty"`
 }
 
-// news is what it tells.
-func (t telling) news() btquarantine.Update {
-	return btquarantine.Update{Records: t.Records, Suspects: t.Suspects}
+// update returns the update in the notice.
+func (n quarantineNotice) update() btquarantine.Update {
+	return btquarantine.Update{Records: n.Records, Suspects: n.Suspects}
 }
 
-// Validate reports a telling from nowhere or with records that can't hold.
-func (t telling) Validate() error {
-	if !t.From.IsValid() {
-		return errNowhere
+// Validate returns an error if the sender's address is missing or a record is invalid.
+func (n quarantineNotice) Validate() error {
+	if !n.From.IsValid() {
+		return errNoSender
 	}
-	return t.news().Validate()
+	return n.update().Validate()
 }
 
-// tellQuarantine tells other entries at once: a request that ends targets comes again
-// within a second, at any of them.
-func (p *peers) tellQuarantine(ctx context.Context, n btquarantine.Update) {
-	message := telling{From: p.entry.options.Settings.Peer, Records: n.Records, Suspects: n.Suspects}
+// sendQuarantine sends an update to other entries at once: a request that crashes
+// targets is sent again within a second, to any entry.
+func (p *peers) sendQuarantine(ctx context.Context, update btquarantine.Update) {
+	message := quarantineNotice{From: p.entry.options.Settings.Peer, Records: update.Records, Suspects: update.Suspects}
 	others := p.list()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, to := range others[:min(len(others), tellMost)] {
+	for _, to := range others[:min(len(others), maxNotified)] {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, tellTime)
+			ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 			defer cancel()
-			if _, err := btcall.Call[heard](ctx, p.calls, to, pathQuarantine, message); err != nil {
-				// It hears of it with its next greeting.
-				p.entry.meter.Counter(metricTellings + "failed").Inc(1)
+			if _, err := btcall.Call[emptyReply](ctx, p.calls, to, pathQuarantine, message); err != nil {
+				// The entry gets the update with its next hello.
+				p.entry.meter.Counter(metricNotices + "failed").Inc(1)
 			}
 		}()
 	}
 }
 
-// metricTellings counts what came of tellings.
-const metricTellings = "quarantine.tellings_"
+// metricNotices is the prefix of the counters of notices by result.
+const metricNotices = "quarantine.tellings_"
 
-// hearQuarantine takes another entry's telling in, and passes it on where not all
-// entries can be told at once.
-func (p *peers) hearQuarantine(_ context.Context, t telling) (heard, error) {
+// handleQuarantine applies another entry's notice. It passes new records on if there
+// are more entries than one entry notifies.
+func (p *peers) handleQuarantine(_ context.Context, notice quarantineNotice) (emptyReply, error) {
 	q := p.entry.quarantine
-	if q.Hear(t.news(), t.From.String()) && p.count() > tellMost {
-		q.Pass(t.news())
+	if q.Hear(notice.update(), notice.From.String()) && p.count() > maxNotified {
+		q.Pass(notice.update())
 	}
-	return heard{}, nil
+	return emptyReply{}, nil
 }
 
-// quarantined refuses a request that is kept from targets, and tells whether it is.
-func (x *exchange) quarantined() bool {
+// refuseQuarantined refuses a request that is quarantined, and reports whether it did.
+func (x *exchange) refuseQuarantined() bool {
 	left, held := x.entry.quarantine.Left(x.fingerprint)
 	if held {
-		x.turnDown(ReasonQuarantined, left)
+		x.endUnserved(ReasonQuarantined, left)
 	}
 	return held
 }
 
-// computeFingerprint returns what stands for the request's content, by which it is known
-// when it comes again.
+// computeFingerprint returns the fingerprint of the request's content, by which a
+// request that is sent again is recognised.
 func (x *exchange) computeFingerprint() btquarantine.Fingerprint {
 	return btquarantine.Content{
 		Account: x.account,
-		Method:  x.caller.Method,
-		Host:    x.caller.Host,
-		URI:     x.caller.RequestURI,
+		Method:  x.request.Method,
+		Host:    x.request.Host,
+		URI:     x.request.RequestURI,
 		Body:    x.body,
 	}.Fingerprint()
 }
--- a/io/btdirect/settings.go
+++ b/io/btdirect/settings.go
@@ -1,11 +1,11 @@
-// Package btdirect runs an entry whose targets are reached directly: targets
-// that check by themselves that a request is meant for their incarnation, and
-// that say when they did not run one.
+// Package btdirect runs an entry that sends requests directly to targets. The targets
+// themselves check that a request is addressed to their incarnation, and report when
+// they did not run one.
 //
-// An entry learns its configuration and its targets from a Source, which it
-// only reads. Requests pass through identification, admission, the choice of a
-// target, attempts and the relay of the answer. What is specific to a platform's
-// formats is behind the Source and Headers interfaces.
+// An entry reads its configuration and the list of targets from a Source and never
+// writes to it. A request is identified, admitted and sent to a chosen target, with
+// retries, and the answer is relayed. The formats of a platform are behind the
+// interfaces Source and Headers.
 package btdirect
 
 import (
@@ -15,41 +15,42 @@
 	"bilberrytide/core/btid"
 )
 
-// Settings are what a process knows of its place.
+// Settings are the settings of one process.
 type Settings struct {
 	Name       string
 	DataCentre btid.DataCentre
-	// Front takes callers, Ready answers the balancer's readiness check, Peer
-	// takes the fleet's own processes. Zero where the process has none.
+	// Front is the address for callers, Ready the one for the load balancer's readiness
+	// check, Peer the one for the fleet's other processes. An address is zero if the
+	// process doesn't listen there.
 	Front, Ready, Peer netip.AddrPort
-	// Agent is where agents listen; the port is the same on all hosts.
+	// Agent is the address on which agents listen; the port is the same on all hosts.
 	Agent netip.AddrPort
-	// FirstStart tells that the whole fleet starts for the first time, so that there is
-	// nothing to learn from others.
+	// FirstStart reports that the whole fleet starts for the first time, so that other
+	// entries have no state to pass on.
 	FirstStart bool
-	// Seeds are peer addresses of some entries, which may be stale.
+	// Seeds are the peer addresses of some entries. They may be out of date.
 	Seeds []netip.AddrPort
-	// Store is the platform's metadata store.
+	// Store is the address of the platform's metadata store.
 	Store netip.AddrPort
-	// Engine is the engine beside an agent, of Service.
+	// Engine is the address of the engine next to an agent; Service is its service.
 	Engine  netip.AddrPort
 	Service btid.Service
-	// Memory is the limit of the process in bytes.
+	// Memory is the memory limit of the process in bytes.
 	Memory int64
-	// StopGrace is the time between the request to stop and the kill.
+	// StopGrace is the time from the request to stop until the process is killed.
 	StopGrace time.Duration
-	// DrainTime is how long a target serves on after its leaving is listed.
+	// DrainTime is how long a target still serves after it is listed as leaving.
 	DrainTime time.Duration
 	// StallTime is how long an engine group waits for a lost member.
 	StallTime time.Duration
 	Retry     RetrySettings
 }
 
-// RetrySettings bound the retries of all entries together.
+// RetrySettings limit the retries of all entries together.
 type RetrySettings struct {
-	// Share is the part of a window's requests that may be retries.
+	// Share is the share of a window's requests that may be retries.
 	Share float64
-	// Slack is the number of retries allowed besides, in each window.
+	// Slack is the number of further retries allowed in each window.
 	Slack  float64
 	Window time.Duration
 }
--- a/io/btdirect/source.go
+++ b/io/btdirect/source.go
@@ -12,31 +12,31 @@
 	"bilberrytide/core/btrate"
 )
 
-// ErrHistoryGone means that a source no longer has the changes after a
-// revision, so that everything must be read again.
+// ErrHistoryGone means that a source no longer has the changes since a revision, so
+// that a full snapshot must be read.
 var ErrHistoryGone = errors.New("history is gone")
 
-// Source publishes the configuration and the list of targets.
+// Source provides the configuration and the list of targets.
 type Source interface {
-	// Snapshot returns everything.
+	// Snapshot returns the complete state.
 	Snapshot(ctx context.Context) (Update, error)
-	// Changes returns what changed after the position, as soon as there is
-	// anything, and else an empty update once the wait is over.
+	// Changes returns the changes after the position as soon as there are any. It
+	// returns an empty update if there are none before the wait ends.
 	Changes(ctx context.Context, position btinventory.Position, wait time.Duration) (Update, error)
 }
 
-// Update is what was read at once.
+// Update is the result of one read.
 type Update struct {
-	// Position orders updates of one source.
+	// Position orders the updates of one source.
 	Position btinventory.Position
-	// Full tells that targets which are not listed are gone.
+	// Full reports that the update is complete: targets that it lacks are gone.
 	Full bool
-	// Catalog is nil where it didn't change; CatalogBytes is how it was
-	// published, for entries that can't read it themselves.
+	// Catalog is nil if it did not change. CatalogBytes is its published form, for
+	// entries that can't read the source themselves.
 	Catalog      *btcatalog.Catalog
 	CatalogBytes []byte
 	Changes      []TargetChange
-	// Malformed lists what could not be decoded.
+	// Malformed lists the records that could not be decoded.
 	Malformed []MalformedRecord
 }
 
@@ -44,72 +44,73 @@
 type MalformedRecord struct {
 	Key string
 	Err error
-	// Outcome says what holds in its place.
+	// Outcome describes what applies instead, for logs.
 	Outcome string
 }
 
-// TargetChange is a target's new record, its removal, or that what stands there
-// names no target.
+// TargetChange is a target's new record, its removal, or a record that names no target.
 type TargetChange struct {
 	ID      btinventory.ID
 	Removed bool
-	// Refused tells that the record can't be used.
+	// Refused reports that the record can't be used.
 	Refused bool
 	Target  btinventory.Target
 }
 
-// Headers reads and writes the header fields that the platform defines.
+// Headers parses and sets the header fields that the platform defines.
 type Headers interface {
-	// ParseRequest reads a caller's request.
+	// ParseRequest parses the header of a caller's request.
 	ParseRequest(h http.Header) RequestInfo
-	// SetForward sets the fields of a request to a target and removes the
-	// caller's credentials.
+	// SetForward sets the fields of a request to a target and removes the caller's
+	// credentials.
 	SetForward(h http.Header, f ForwardInfo)
-	// ParseAnswer reads a target's answer.
+	// ParseAnswer parses the header of a target's answer.
 	ParseAnswer(status int, h http.Header) AnswerInfo
-	// SetRefusal sets the fields of an answer of the entry's own.
+	// SetRefusal sets the fields of an answer that the entry itself gives.
 	SetRefusal(h http.Header, id string, retryAfter time.Duration)
 }
 
-// RequestInfo is what a caller's request says of itself.
+// RequestInfo holds the platform's header fields of a caller's request.
 type RequestInfo struct {
 	// ID is the caller's identifier of this attempt.
 	ID  string
 	Key string
-	// Deadline is how long the caller waits, if HasDeadline.
+	// Deadline is how long the caller still waits. It is valid if HasDeadline is set.
 	Deadline    time.Duration
 	HasDeadline bool
-	// LastEvent is the last event that the caller has of a broken stream.
+	// LastEvent is the ID of the last event that the caller received of a stream that
+	// broke off.
 	LastEvent string
 	// PromptTokens and OutputTokens are the caller's estimates; zero if absent.
 	PromptTokens, OutputTokens int
 }
 
-// ForwardInfo is what the entry says in a request to a target.
+// ForwardInfo holds the platform's header fields of a request to a target.
 type ForwardInfo struct {
 	Account btid.Account
-	// Target is the target that is meant.
+	// Target is the target to which the request is addressed.
 	Target    btinventory.ID
 	Remaining time.Duration
 	Priority  int
-	// LastEvent goes before the caller's own where it is set.
+	// LastEvent replaces the caller's own value if it is not empty.
 	LastEvent string
 }
 
-// AnswerInfo is what a target's answer says of itself.
+// AnswerInfo holds the platform's header fields of a target's answer.
 type AnswerInfo struct {
-	// ID is the request that the answer belongs to.
+	// ID is the identifier of the request that the answer belongs to.
 	ID string
-	// NotRun is the target's word that it did not run the request.
+	// NotRun reports that the target says it did not run the request.
 	NotRun bool
-	// Misdirected tells that another target has the address.
+	// Misdirected reports that another target has the address now.
 	Misdirected bool
-	// FromTarget tells that the answer is the target's own.
+	// FromTarget reports that the answer was generated by the target itself.
 	FromTarget bool
-	// Encoded tells that the body isn't the target's.
+	// Encoded reports that the body has a content encoding, so that it isn't what the
+	// target sent.
 	Encoded bool
-	// AtFault is the group member that the answer blames, if any.
+	// AtFault is the group member that the answer names as the cause, if any.
 	AtFault btinventory.ID
-	// Rate is what the answer says of how many requests the target takes.
+	// Rate is the request rate that the target advertises.
 	Rate btrate.Advertisement
 }
--- /dev/null
+++ b/io/btdirect/source_cache.go
@@ -0,0 +1,324 @@
+package btdirect
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"bilberrytide/core/btcatalog"
+	"bilberrytide/core/btid"
+	"bilberrytide/core/btinventory"
+	"bilberrytide/io/btloop"
+	"bilberrytide/io/btmetric"
+)
+
+const (
+	// readInterval is the interval between reads. Targets renew their records about
+	// every second, so that a read at each change would cost a call for each of them.
+	// With this interval a change is still read well within the time that a target
+	// serves on after it is listed as leaving (2 s on the platform).
+	readInterval = 700 * time.Millisecond
+	// changesTimeout is how long a read waits if nothing has changed.
+	changesTimeout = 500 * time.Millisecond
+	// peerListPoll is how often an entry that receives the list from other entries
+	// checks that it still does.
+	peerListPoll = 100 * time.Millisecond
+	// readRetryDelay is the wait after a failed read.
+	readRetryDelay = 400 * time.Millisecond
+	// missingGrace is how long after an interruption a missing target is kept: live
+	// targets are listed again within about two seconds.
+	missingGrace = 2200 * time.Millisecond
+)
+
+// Names of metrics.
+const (
+	metricReads      = "source.reads"
+	metricReadErrors = "source.read_errors"
+	metricMalformed  = "source.malformed"
+	// metricEras counts how often the store was restored from a copy.
+	metricEras = "source.eras"
+)
+
+// sourceCache holds the catalog and the targets as last read from the source, by this
+// entry or by another one that passed them on.
+type sourceCache struct {
+	source Source
+	decode func([]byte) (*btcatalog.Catalog, error)
+	clock  btloop.Clock
+	log    *slog.Logger
+	meter  *btmetric.Meter
+	// onChange is called after each change, with mu held.
+	onChange func(*btcatalog.Index, []btinventory.Target)
+
+	index atomic.Pointer[btcatalog.Index]
+	// hasCatalog is closed when the first catalog is in force and its targets are
+	// known.
+	hasCatalog     chan struct{}
+	hasCatalogOnce sync.Once
+
+	mu       sync.Mutex
+	register *btinventory.Register
+	// position is that of the cached list. hasList reports that there is one.
+	position btinventory.Position
+	hasList  bool
+	// readAt is when this entry last read the source. storeLost reports that reads have
+	// failed since.
+	readAt    time.Time
+	storeLost bool
+	// isReader reports whether this entry should read the source even while it receives
+	// the list from other entries.
+	isReader func() bool
+	// listedAt is when the cached list was read, by whichever entry.
+	listedAt time.Time
+	// loggedErrors holds the last logged error of each malformed record, by key.
+	loggedErrors map[string]string
+	// catalogBytes is the catalog in its published form.
+	catalogBytes []byte
+	// targetsDigest is the digest of the targets if digestValid is set. rosters holds
+	// the rosters for agents, by service. Both are computed again after a change.
+	targetsDigest uint64
+	digestValid   bool
+	rosters       map[btid.Service]btinventory.Roster
+}
+
+func newSourceCache(o Options, onChange func(*btcatalog.Index, []btinventory.Target)) *sourceCache {
+	return &sourceCache{
+		source:       o.Source,
+		decode:       o.Decode,
+		clock:        o.Clock,
+		log:          o.Log,
+		meter:        o.Meter,
+		onChange:     onChange,
+		register:     btinventory.NewRegister(missingGrace),
+		hasCatalog:   make(chan struct{}),
+		rosters:      make(map[btid.Service]btinventory.Roster),
+		loggedErrors: make(map[string]string),
+	}
+}
+
+// run reads the source until the context ends.
+func (sc *sourceCache) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		began := sc.clock()
+		pause := readRetryDelay
+		if sc.listedByPeer(began) {
+			sleep(ctx, peerListPoll)
+			continue
+		}
+		if sc.read(ctx) {
+			pause = readInterval - sc.clock().Sub(began)
+		}
+		sleep(ctx, pause)
+	}
+}
+
+// read reads the source once, and reports whether that succeeded.
+func (sc *sourceCache) read(ctx context.Context) bool {
+	sc.meter.Counter(metricReads).Inc(1)
+	position, known := sc.currentPosition()
+	var update Update
+	var err error
+	if known {
+		update, err = sc.source.Changes(ctx, position, changesTimeout)
+	} else {
+		update, err = sc.source.Snapshot(ctx)
+	}
+	if ctx.Err() != nil {
+		return false
+	}
+	if err != nil {
+		sc.recordReadError(err)
+		return false
+	}
+	sc.apply(update)
+	return true
+}
+
+// currentPosition returns the position of the cached list, if there is one.
+func (sc *sourceCache) currentPosition() (btinventory.Position, bool) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.position, sc.hasList
+}
+
+// recordReadError records a failed read.
+func (sc *sourceCache) recordReadError(err error) {
+	sc.meter.Counter(metricReadErrors).Inc(1)
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if errors.Is(err, ErrHistoryGone) {
+		sc.hasList = false
+		sc.log.Info("history gone", "position", sc.position.String(), "outcome", "read in full")
+		return
+	}
+	sc.register.Interrupted()
+	if !sc.storeLost {
+		sc.storeLost = true
+		sc.log.Warn("dependency lost", "dependency", "store", "position", sc.position.String(), "age_ms", sc.readAge().Milliseconds(), "error", err)
+	}
+}
+
+// readAge returns the time since this entry last read the source.
+func (sc *sourceCache) readAge() time.Duration {
+	if sc.readAt.IsZero() {
+		return 0
+	}
+	return sc.clock().Sub(sc.readAt)
+}
+
+// apply applies an update.
+func (sc *sourceCache) apply(u Update) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	now := sc.clock()
+	if sc.storeLost {
+		sc.storeLost = false
+		sc.log.Info("dependency regained", "dependency", "store", "position", u.Position.String(), "age_ms", sc.readAge().Milliseconds())
+	}
+	sc.register.Regained(now)
+	sc.setPosition(now, u.Position, "store")
+	sc.readAt = now
+	sc.listedAt = now
+	sc.hasList = true
+	for _, m := range u.Malformed {
+		sc.recordMalformed(m, u.Position)
+	}
+	changes := sc.updateTargets(now, u)
+	renewed := sc.adoptCatalog(u.Catalog, u.CatalogBytes, "store")
+	for _, c := range changes {
+		sc.log.Info(c.What, "target", c.Target.Instance(), "service", c.Target.Service, "address", c.Target.Address, "position", u.Position.String())
+	}
+	if renewed || len(changes) > 0 {
+		sc.publish()
+	}
+}
+
+// maxMalformed limits the keys in loggedErrors.
+const maxMalformed = 1024
+
+// recordMalformed counts a malformed record. It logs the record unless the last one of
+// its key had the same error: a record that is written again each second would fill the
+// log. sc.mu must be held.
+func (sc *sourceCache) recordMalformed(m MalformedRecord, p btinventory.Position) {
+	sc.meter.Counter(metricMalformed).Inc(1)
+	reason := m.Err.Error()
+	if sc.loggedErrors[m.Key] == reason {
+		return
+	}
+	if len(sc.loggedErrors) >= maxMalformed {
+		clear(sc.loggedErrors)
+	}
+	sc.loggedErrors[m.Key] = reason
+	sc.log.Warn("record refused", "key", m.Key, "position", p.String(), "error", m.Err, "outcome", m.Outcome)
+}
+
+// updateTargets applies the update to the register of targets.
+func (sc *sourceCache) updateTargets(now time.Time, u Update) []btinventory.Change {
+	changes := sc.register.Expire(now)
+	if u.Full {
+		list := make([]btinventory.Target, 0, len(u.Changes))
+		for _, c := range u.Changes {
+			if c.Refused {
+				changes = append(changes, sc.register.Refuse(c.ID)...)
+				continue
+			}
+			list = append(list, c.Target)
+		}
+		return append(changes, sc.register.Replace(now, list)...)
+	}
+	for _, c := range u.Changes {
+		changes = append(changes, sc.applyChange(now, c)...)
+	}
+	return changes
+}
+
+// applyChange applies one change of the list.
+func (sc *sourceCache) applyChange(now time.Time, c TargetChange) []btinventory.Change {
+	switch {
+	case c.Refused:
+		return sc.register.Refuse(c.ID)
+	case c.Removed:
+		return sc.register.Remove(now, c.ID)
+	}
+	return sc.register.Put(c.Target)
+}
+
+// adoptCatalog puts a catalog in force if it is newer, and reports whether it did.
+func (sc *sourceCache) adoptCatalog(c *btcatalog.Catalog, data []byte, from string) bool {
+	if c == nil {
+		return false
+	}
+	before := uint64(0)
+	if current := sc.index.Load(); current != nil {
+		before = current.Version()
+	}
+	if c.Version <= before {
+		if c.Version < before {
+			sc.log.Warn("catalog refused", "version", c.Version, "in_force", before, "from", from)
+		}
+		return false
+	}
+	sc.catalogBytes = data
+	sc.index.Store(btcatalog.NewIndex(c))
+	sc.log.Info("catalog in force", "version", c.Version, "before", before, "from", from, "routes", len(c.Routes), "accounts", len(c.Accounts))
+	return true
+}
+
+// version returns the version of the catalog in force, or zero without one.
+func (sc *sourceCache) version() uint64 {
+	if index := sc.index.Load(); index != nil {
+		return index.Version()
+	}
+	return 0
+}
+
+// catalogAfter returns the published catalog if it is newer than the version, else nil.
+func (sc *sourceCache) catalogAfter(version uint64) []byte {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.version() <= version {
+		return nil
+	}
+	return sc.catalogBytes
+}
+
+// mergeCatalog adopts a catalog that another entry has read.
+func (sc *sourceCache) mergeCatalog(data []byte, from netip.AddrPort) {
+	c, err := sc.decode(data)
+	if err != nil {
+		sc.meter.Counter(metricMalformed).Inc(1)
+		sc.log.Warn("record refused", "from", from, "error", err, "outcome", "earlier record stays")
+		return
+	}
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.adoptCatalog(c, data, from.String()) {
+		sc.publish()
+	}
+}
+
+// publish passes the cached state on to onChange. sc.mu must be held.
+func (sc *sourceCache) publish() {
+	sc.invalidate()
+	if index := sc.index.Load(); index != nil {
+		sc.onChange(index, sc.register.Targets())
+		sc.hasCatalogOnce.Do(func() { close(sc.hasCatalog) })
+	}
+}
+
+// sleep waits for the duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	if d <= 0 {
+		return
+	}
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
--- a/io/btdirect/stream.go
+++ b/io/btdirect/stream.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	// silentAfter is how long a stream's target may send nothing before the
-	// stream is continued elsewhere, in multiples of the pause that the route
-	// allows, and at least silentLeast. Callers leave after two seconds.
-	silentAfter = 8
-	silentLeast = 1200 * time.Millisecond
-	// readBytes is the buffer for one read of a stream; events take a fraction.
-	readBytes = 8 << 10
+	// silencePauses is how long a stream's target may send nothing before the stream is
+	// continued at another one, in multiples of the longest pause that the route
+	// allows. It is at least minSilenceTimeout. Callers give up after two seconds.
+	silencePauses     = 8
+	minSilenceTimeout = 1200 * time.Millisecond
+	// readBufferBytes is the buffer size for one read of a stream. Events are much
+	// smaller.
+	readBufferBytes = 8 << 10
 )
 
-// streamWriter passes a stream on, event by event, over any number of targets.
+// streamWriter relays a stream event by event, from any number of targets in turn.
 type streamWriter struct {
 	x      *exchange
 	flush  *http.ResponseController
 	events *btevents.Splitter
 	begun  bool
-	// wrote is when the last event went out.
-	wrote time.Time
-	// follower notes the events of the attempt that is passed on.
-	follower *follower
+	// lastWrite is when the last event was sent.
+	lastWrite time.Time
+	// observer records the events of the present attempt.
+	observer *streamObserver
 }
 
-func (s *streamWriter) last() string {
+// lastEventID returns the ID of the last event sent, or "".
+func (s *streamWriter) lastEventID() string {
 	if s.events.Last() != "" {
 		return s.events.Last()
 	}
 	return ""
 }
 
-// start begins to read a target's stream: from the beginning, or after the last
-// event that went out.
-func (s *streamWriter) start() {
-	if last := s.last(); last != "" {
+// resume prepares for the stream of another target: from its beginning, or after the
+// last event that was sent.
+func (s *streamWriter) resume() {
+	if last := s.lastEventID(); last != "" {
 		s.events = btevents.Resumed(last)
 		return
 	}
 	s.events = btevents.New()
 }
 
-// write passes whole events on.
+// write sends whole events.
 func (s *streamWriter) write(events []byte, answer *bttarget.Response) error {
 	if len(events) == 0 {
 		return nil
 	}
 	if !s.begun {
 		s.begun = true
-		s.x.answering.Store(true)
+		s.x.partlySent.Store(true)
 		s.x.copyHeader(answer.Header)
 		s.x.writer.Header().Del("Content-Length")
 		s.x.writer.WriteHeader(answer.Status)
@@ -69,27 +71,27 @@
 	return s.flush.Flush()
 }
 
-// relayStream passes a stream on until its end.
+// relayStream relays a stream until it ends.
 func (x *exchange) relayStream(ctx context.Context, cancel context.CancelFunc, t *target, answer *bttarget.Response, tokens *promptTokens) attemptResult {
 	if x.stream == nil {
 		x.stream = &streamWriter{x: x, flush: http.NewResponseController(x.writer), events: btevents.New()}
-		if x.call.LastEvent != "" {
-			x.stream.events = btevents.Resumed(x.call.LastEvent)
+		if x.info.LastEvent != "" {
+			x.stream.events = btevents.Resumed(x.info.LastEvent)
 		}
 	} else {
-		x.stream.start()
+		x.stream.resume()
 	}
-	watch := newSilence(x.route.MaxGap, cancel)
-	defer watch.stop()
-	x.stream.follower = &follower{fleet: x.entry.fleet, target: t}
-	defer x.stream.follower.end()
-	buffer := make([]byte, readBytes)
+	silence := newSilenceTimer(x.route.MaxGap, cancel)
+	defer silence.stop()
+	x.stream.observer = &streamObserver{fleet: x.entry.fleet, target: t}
+	defer x.stream.observer.close()
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			watch.heard()
-			tokens.read()
-			if result, failed := x.pass(t, buffer[:n], answer); failed {
+			silence.reset()
+			tokens.markRead()
+			if result, failed := x.relayPiece(t, buffer[:n], answer); failed {
 				return result
 			}
 		}
@@ -97,62 +99,62 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && !x.stream.events.Partial() {
-			return x.finish(answer)
+			return x.endStream(answer)
 		}
-		return x.broken(ctx, watch, err)
+		return x.streamBroken(ctx, silence, err)
 	}
 }
 
-// pass hands a piece on and takes the pauses between events.
-func (x *exchange) pass(t *target, piece []byte, answer *bttarget.Response) (attemptResult, bool) {
+// relayPiece relays a piece of a stream and records the pauses between events.
+func (x *exchange) relayPiece(t *target, piece []byte, answer *bttarget.Response) (attemptResult, bool) {
 	events, err := x.stream.events.Add(piece)
 	if err != nil {
-		return attemptResult{reason: ReasonMalformedAnswer, detail: err}, true
+		return attemptResult{reason: ReasonMalformedAnswer, err: err}, true
 	}
 	if len(events) == 0 {
 		return attemptResult{}, false
 	}
 	now := x.entry.options.Clock()
-	if x.stream.wrote.IsZero() {
-		x.began = now
-		x.stages.begin = now.Sub(x.admitted)
-		x.entry.meter.Duration(metricBegin, x.stages.begin)
-		x.entry.meter.Duration(metricFirstEvent, now.Sub(x.received))
-		x.entry.admission.first(x.service, now.Sub(x.admitted), x.route.Objective)
-		x.entry.succeeded(t, "first event")
+	if x.stream.lastWrite.IsZero() {
+		x.firstEventAt = now
+		x.stages.startLatency = now.Sub(x.admittedAt)
+		x.entry.meter.Duration(metricStartLatency, x.stages.startLatency)
+		x.entry.meter.Duration(metricFirstEvent, now.Sub(x.receivedAt))
+		x.entry.admission.observeFirstEvent(x.service, now.Sub(x.admittedAt), x.route.Objective)
+		x.entry.recordSuccess(t, "first event")
 	} else {
-		x.stages.pause = max(x.stages.pause, now.Sub(x.stream.wrote))
-		x.entry.admission.pause(x.service, now.Sub(x.stream.wrote), x.route.MaxGap)
+		x.stages.longestPause = max(x.stages.longestPause, now.Sub(x.stream.lastWrite))
+		x.entry.admission.observePause(x.service, now.Sub(x.stream.lastWrite), x.route.MaxGap)
 	}
 	if x.move != nil {
-		x.move.begun.Store(true)
+		x.move.answerBegun.Store(true)
 	}
-	x.stream.follower.event(now.Sub(x.stream.wrote))
-	x.stream.wrote = now
+	x.stream.observer.observe(now.Sub(x.stream.lastWrite))
+	x.stream.lastWrite = now
 	if err := x.stream.write(events, answer); err != nil {
-		return attemptResult{reason: ReasonCallerGone, detail: err}, true
+		return attemptResult{reason: ReasonCallerGone, err: err}, true
 	}
 	return attemptResult{}, false
 }
 
-// finish ends a stream whose target ended it in order.
-func (x *exchange) finish(answer *bttarget.Response) attemptResult {
+// endStream ends a stream that its target completed.
+func (x *exchange) endStream(answer *bttarget.Response) attemptResult {
 	if !x.stream.begun {
-		// A stream without events is passed on as it came.
+		// A stream without events is relayed as it came.
 		x.copyHeader(answer.Header)
 		x.writer.WriteHeader(answer.Status)
 		x.stream.begun = true
 	}
-	return attemptResult{done: true}
+	return attemptResult{complete: true}
 }
 
-// broken ends an attempt whose stream broke off.
-func (x *exchange) broken(ctx context.Context, watch *silence, err error) attemptResult {
-	result := attemptResult{reason: ReasonAnswerCut, detail: err}
+// streamBroken returns the result of an attempt whose stream broke off.
+func (x *exchange) streamBroken(ctx context.Context, silence *silenceTimer, err error) attemptResult {
+	result := attemptResult{reason: ReasonAnswerCut, err: err}
 	switch {
-	case x.gone():
+	case x.callerGone():
 		result.reason = ReasonCallerGone
-	case watch.fired():
+	case silence.expired():
 		result.reason = ReasonSilent
 	case ctx.Err() != nil:
 		result.reason = ReasonTimeout
@@ -160,24 +162,24 @@
 	return result
 }
 
-// silence cancels an attempt whose target sends nothing for too long.
-type silence struct {
-	limit time.Duration
-	timer *time.Timer
-	over  atomic.Bool
+// silenceTimer cancels an attempt whose target sends nothing for too long.
+type silenceTimer struct {
+	limit    time.Duration
+	timer    *time.Timer
+	timedOut atomic.Bool
 }
 
-func newSilence(gap time.Duration, cancel context.CancelFunc) *silence {
-	s := &silence{limit: max(silentAfter*gap, silentLeast)}
+func newSilenceTimer(maxGap time.Duration, cancel context.CancelFunc) *silenceTimer {
+	s := &silenceTimer{limit: max(silencePauses*maxGap, minSilenceTimeout)}
 	s.timer = time.AfterFunc(s.limit, func() {
-		s.over.Store(true)
+		s.timedOut.Store(true)
 		cancel()
 	})
 	return s
 }
 
-func (s *silence) heard() { s.timer.Reset(s.limit) }
+func (s *silenceTimer) reset() { s.timer.Reset(s.limit) }
 
-func (s *silence) stop() { s.timer.Stop() }
+func (s *silenceTimer) stop() { s.timer.Stop() }
 
-func (s *silence) fired() bool { return s.over.Load() }
+func (s *silenceTimer) expired() bool { return s.timedOut.Load() }
--- a/io/btdirect/wait.go
+++ b/io/btdirect/wait.go
@@ -11,84 +11,83 @@
 	"bilberrytide/core/btrequest"
 )
 
-// awaitCatalog returns the catalog in force, and waits for the first one of an entry
-// that has only just started: it comes within milliseconds where the store answers,
-// and callers who are refused while the store is away for some seconds have spent
-// their tries before it is back. It returns nil where none comes.
+// awaitCatalog returns the catalog in force. An entry that has just started waits for
+// the first one: it arrives within milliseconds if the store answers, and callers
+// refused while the store is unavailable for a few seconds would have used up their
+// retries before it is back. It returns nil if no catalog arrives.
 func (x *exchange) awaitCatalog() *btcatalog.Index {
-	k := x.entry.knowledge
-	if index := k.index.Load(); index != nil {
+	cache := x.entry.cache
+	if index := cache.index.Load(); index != nil {
 		return index
 	}
 	x.entry.meter.Counter(metricCatalogWaits).Inc(1)
-	timer := time.NewTimer(btgate.MaxWait(x.patience()))
+	timer := time.NewTimer(btgate.MaxWait(x.callerTimeout()))
 	defer timer.Stop()
 	select {
-	case <-k.first:
+	case <-cache.hasCatalog:
 	case <-timer.C:
-	case <-x.caller.Context().Done():
+	case <-x.request.Context().Done():
 	}
-	return k.index.Load()
+	return cache.index.Load()
 }
 
-// turn waits for an open group and a place and makes attempts. It returns true where
-// the request waits anew, as the group turned out to be broken.
-func (x *exchange) turn(ctx context.Context) bool {
+// serveOnce waits for a serving group and a slot and makes attempts. It returns true if
+// the request should wait again because the group turned out to be broken.
+func (x *exchange) serveOnce(ctx context.Context) bool {
 	e := x.entry
-	if x.quarantined() {
+	if x.refuseQuarantined() {
 		return false
 	}
 	switch x.awaitGroup(ctx) {
 	case ReasonGroupBroken:
-		if !x.gone() {
-			x.turnDown(ReasonGroupBroken, x.later())
+		if !x.callerGone() {
+			x.endUnserved(ReasonGroupBroken, x.defaultRetryAfter())
 		}
 		return false
 	case ReasonGroupIncomplete:
-		// It has lasted for so long, and is as likely to last as long again.
-		x.turnDown(ReasonGroupIncomplete, btinventory.AbsentFor)
+		// An outage that has lasted this long is as likely to last as long again.
+		x.endUnserved(ReasonGroupIncomplete, btinventory.AbsentFor)
 		return false
 	}
-	asked := e.options.Clock()
-	admitted := e.admission.enter(ctx, x.service, x.wait)
-	x.waited(&x.stages.place, metricPlaceWait, asked)
+	queuedAt := e.options.Clock()
+	admitted := e.admission.acquire(ctx, x.service, x.queueing)
+	x.recordWait(&x.stages.slotWait, metricSlotWait, queuedAt)
 	if !admitted {
-		if !x.gone() {
-			x.turnDown(ReasonOverload, e.admission.comeBack(x.service, x.later()))
+		if !x.callerGone() {
+			x.endUnserved(ReasonOverload, e.admission.retryAfter(x.service, x.defaultRetryAfter()))
 		}
 		return false
 	}
-	x.admitted = e.options.Clock()
-	defer e.admission.leave(x)
-	return x.run(ctx)
+	x.admittedAt = e.options.Clock()
+	defer e.admission.release(x)
+	return x.makeAttempts(ctx)
 }
 
-// turnDown ends a request that waited in vain. One that waited anew may have run
-// before, or a part of its answer may have gone out: then it is not said that it has
-// not run, and a stream is cut off visibly.
-func (x *exchange) turnDown(reason btrequest.Reason, after time.Duration) {
-	x.entry.admission.turnedAway()
+// endUnserved ends a request that can't be sent. If an earlier attempt may have run,
+// the answer must not say otherwise, and a stream of which a part was sent is cut off.
+func (x *exchange) endUnserved(reason btrequest.Reason, retryAfter time.Duration) {
+	x.entry.admission.recordRefusal()
 	if x.mayHaveRun {
-		x.giveUp(&refusal{status: http.StatusBadGateway, reason: reason})
+		x.refuseOrAbort(&refusal{status: http.StatusBadGateway, reason: reason})
 		return
 	}
-	x.giveUp(&refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: after})
+	x.refuseOrAbort(&refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter})
 }
 
-// awaitGroup waits for a broken group to open, and returns why the request may not be
-// sent, empty where it may. It doesn't wait for a group that can't be whole.
+// awaitGroup waits until a broken group serves. It returns the reason for which the
+// request can't be sent, or "". It doesn't wait for a group that lacks ranks.
 func (x *exchange) awaitGroup(ctx context.Context) btrequest.Reason {
 	e := x.entry
-	open, opened := e.fleet.open(x.service.Name)
+	open, opened := e.fleet.openOrProbe(x.service.Name)
 	if open {
 		return ""
 	}
-	if e.fleet.absent(x.service.Name) {
+	if e.fleet.groupsAbsent(x.service.Name) {
 		return ReasonGroupIncomplete
 	}
-	defer x.waited(&x.stages.group, metricGroupWait, e.options.Clock())
+	defer x.recordWait(&x.stages.groupWait, metricGroupWait, e.options.Clock())
 	e.meter.Counter(metricGroupWaits).Inc(1)
-	timer := time.NewTimer(x.wait.WaitForGroupUntil().Sub(e.options.Clock()))
+	timer := time.NewTimer(x.queueing.WaitForGroupUntil().Sub(e.options.Clock()))
 	defer timer.Stop()
 	select {
 	case <-opened:
@@ -99,11 +98,11 @@
 	return ReasonGroupBroken
 }
 
-// waitsAnew tells whether the request waits for a group to open after an attempt that
-// found the only one broken. That it is sent once more draws on the retry budget.
-func (x *exchange) waitsAnew(result attemptResult) bool {
+// waitsAgain reports whether the request waits for a group to serve again, after an
+// attempt found the only one broken. Sending it again is taken from the retry budget.
+func (x *exchange) waitsAgain(result attemptResult) bool {
 	now := x.entry.options.Clock()
-	if !result.groupBroken || !result.notRun || x.gone() || x.otherGroup() || !now.Before(x.wait.WaitForGroupUntil()) {
+	if !result.groupBroken || !result.notRun || x.callerGone() || x.groupAvailable() || !now.Before(x.queueing.WaitForGroupUntil()) {
 		return false
 	}
 	return x.entry.budget(x.service.Name).take(now)
