--- a/io/btlog/btlog.go
+++ b/io/btlog/btlog.go
@@ -1,8 +1,8 @@
-// Package btlog writes structured logs without ever holding up the program.
+// Package btlog writes structured logs without blocking the program.
 //
-// Lines go through a bounded queue to a writer of their own, so that an output
-// that nobody reads stalls no request. Each kind of line has a rate; what is
-// left out is counted, and the next line of the kind says how many.
+// Lines go through a bounded queue to a goroutine that writes them, so an output that
+// nobody reads blocks no request. The rate of lines is limited per message. Suppressed
+// lines are counted, and the next line with the message has their number.
 package btlog
 
 import (
@@ -17,15 +17,15 @@
 )
 
 const (
-	// linesPerSecond and burst bound each kind of line: enough for every failed
-	// request of an entry in trouble, at some 300 bytes a line.
+	// linesPerSecond and burst limit the lines of each message. They allow one for
+	// every failed request of an entry in trouble, at some 300 B a line.
 	linesPerSecond = 40
 	burst          = 200
-	// queued is how many lines wait for the output at most.
-	queued = 1024
+	// maxQueued limits the lines that wait for the output.
+	maxQueued = 1024
 )
 
-// Sink queues lines for an output.
+// Sink is a bounded queue of lines for an output.
 type Sink struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -33,20 +33,20 @@
 	closing sync.Once
 }
 
-// NewSink returns a sink and starts its writer, which ends with Close.
+// NewSink returns a sink and starts its writer, which runs until Close.
 func NewSink(out io.Writer) *Sink {
-	s := &Sink{lines: make(chan []byte, queued), done: make(chan struct{})}
+	s := &Sink{lines: make(chan []byte, maxQueued), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for line := range s.lines {
-			// There is nowhere left to report an output that fails.
+			// An output that fails leaves nowhere to report the error.
 			_, _ = out.Write(line)
 		}
 	}()
 	return s
 }
 
-// Write queues one line, or counts it as dropped. It never blocks.
+// Write queues one line, or counts it as dropped if the queue is full. It never blocks.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -56,11 +56,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found the queue full.
+// Dropped returns the number of dropped lines that no line has reported yet.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes out what is queued, for at most the time. Nothing may be
-// written after it.
+// Close writes the queued lines, for at most the given time. Write must not be called
+// after it.
 func (s *Sink) Close(within time.Duration) {
 	s.closing.Do(func() { close(s.lines) })
 	select {
@@ -69,46 +69,47 @@
 	}
 }
 
-// Handler limits the rate of each kind of line, by its message.
+// Handler is a slog.Handler that limits the rate of lines per message.
 type Handler struct {
-	next  slog.Handler
-	sink  *Sink
-	kinds *kinds
+	next   slog.Handler
+	sink   *Sink
+	limits *messageLimits
 }
 
-// kinds holds the limits by message; handlers with attributes share them.
-type kinds struct {
-	mu       sync.Mutex
-	limiters map[string]*kind
+// messageLimits holds the limits by message. Handlers derived from one another share
+// them.
+type messageLimits struct {
+	mu        sync.Mutex
+	byMessage map[string]*messageLimit
 }
 
-type kind struct {
-	limiter *rate.Limiter
-	leftOut int64
+type messageLimit struct {
+	limiter    *rate.Limiter
+	suppressed int64
 }
 
-// maxKinds bounds the memory for messages, which are constants of the program.
-const maxKinds = 256
+// maxMessages limits the memory for messages, which are constants of the program.
+const maxMessages = 256
 
-// New returns a logger of JSON lines to the sink.
+// New returns a logger that writes JSON lines of at least the level to the sink.
 func New(s *Sink, level slog.Level) *slog.Logger {
 	next := slog.NewJSONHandler(s, &slog.HandlerOptions{Level: level})
-	return slog.New(&Handler{next: next, sink: s, kinds: &kinds{limiters: make(map[string]*kind)}})
+	return slog.New(&Handler{next: next, sink: s, limits: &messageLimits{byMessage: make(map[string]*messageLimit)}})
 }
 
-// Enabled tells whether lines of the level are written.
+// Enabled reports whether lines of the level are written.
 func (h *Handler) Enabled(ctx context.Context, level slog.Level) bool {
 	return h.next.Enabled(ctx, level)
 }
 
-// Handle writes a line unless its kind is over its rate.
+// Handle writes a line unless its message is over its rate.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	leftOut, allowed := h.kinds.allow(r.Message)
+	suppressed, allowed := h.limits.allow(r.Message)
 	if !allowed {
 		return nil
 	}
-	if leftOut > 0 {
-		r.AddAttrs(slog.Int64("left_out", leftOut))
+	if suppressed > 0 {
+		r.AddAttrs(slog.Int64("left_out", suppressed))
 	}
 	if n := h.sink.dropped.Swap(0); n > 0 {
 		r.AddAttrs(slog.Int64("queue_dropped", n))
@@ -116,34 +117,34 @@
 	return h.next.Handle(ctx, r)
 }
 
-// allow tells whether a line of the kind may be written now, and how many were
-// left out since the last.
-func (k *kinds) allow(message string) (int64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	entry, found := k.limiters[message]
+// allow reports whether a line with the message may be written now, and returns how
+// many were suppressed since the last one.
+func (m *messageLimits) allow(message string) (int64, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	limit, found := m.byMessage[message]
 	if !found {
-		if len(k.limiters) >= maxKinds {
+		if len(m.byMessage) >= maxMessages {
 			return 0, false
 		}
-		entry = &kind{limiter: rate.NewLimiter(linesPerSecond, burst)}
-		k.limiters[message] = entry
+		limit = &messageLimit{limiter: rate.NewLimiter(linesPerSecond, burst)}
+		m.byMessage[message] = limit
 	}
-	if !entry.limiter.Allow() {
-		entry.leftOut++
+	if !limit.limiter.Allow() {
+		limit.suppressed++
 		return 0, false
 	}
-	leftOut := entry.leftOut
-	entry.leftOut = 0
-	return leftOut, true
+	suppressed := limit.suppressed
+	limit.suppressed = 0
+	return suppressed, true
 }
 
-// WithAttrs returns a handler whose lines have the attributes too.
+// WithAttrs returns a handler that adds the attributes to its lines.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{next: h.next.WithAttrs(attrs), sink: h.sink, kinds: h.kinds}
+	return &Handler{next: h.next.WithAttrs(attrs), sink: h.sink, limits: h.limits}
 }
 
-// WithGroup returns a handler whose further attributes are in the group.
+// WithGroup returns a handler that puts further attributes into the group.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{next: h.next.WithGroup(name), sink: h.sink, kinds: h.kinds}
+	return &Handler{next: h.next.WithGroup(name), sink: h.sink, limits: h.limits}
 }
--- a/io/btlog/btlog_test.go
+++ b/io/btlog/btlog_test.go
@@ -13,16 +13,17 @@
 	"bilberrytide/io/btlog"
 )
 
-// stalled is an output that nobody reads.
-type stalled struct{ release chan struct{} }
+// blockedWriter is an output that nobody reads until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stalled) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-func TestAStalledOutputStallsNobody(t *testing.T) {
-	out := stalled{release: make(chan struct{})}
+// A pipe that nobody reads must not block the requests that log.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := blockedWriter{release: make(chan struct{})}
 	sink := btlog.NewSink(out)
 	log := btlog.New(sink, slog.LevelInfo)
 	done := make(chan struct{})
@@ -43,7 +44,8 @@
 	sink.Close(time.Minute)
 }
 
-func TestEachKindHasItsOwnRate(t *testing.T) {
+// A message that is logged very often must not suppress other messages.
+func TestRateIsLimitedPerMessage(t *testing.T) {
 	var out bytes.Buffer
 	sink := btlog.NewSink(&out)
 	log := btlog.New(sink, slog.LevelInfo).With("process", "p")
@@ -73,7 +75,8 @@
 	assert.Equal(t, kinds["below the level"], 0)
 }
 
-func TestWhatWasLeftOutIsSaid(t *testing.T) {
+// The next line with a message must tell how many were suppressed before it.
+func TestSuppressedLinesAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	sink := btlog.NewSink(&out)
 	log := btlog.New(sink, slog.LevelInfo)
