--- a/io/btcall/btcall.go
+++ b/io/btcall/btcall.go
@@ -1,5 +1,5 @@
-// Package btcall lets the processes of a fleet without keys call each other:
-// CBOR messages over HTTP, checked when they are decoded.
+// Package btcall implements calls between the processes of a fleet that has no keys:
+// CBOR messages over HTTP, validated when they are decoded.
 package btcall
 
 import (
@@ -16,25 +16,25 @@
 	"bilberrytide/core/btwire"
 )
 
-// ErrCall is wrapped by the error of every call that has no usable answer.
+// ErrCall is wrapped by the error of every call without a valid answer.
 var ErrCall = errors.New("peer call")
 
-// ErrNotReached is wrapped besides where no connection could be had.
+// ErrNotReached is wrapped as well if no connection could be opened.
 var ErrNotReached = errors.New("peer not reached")
 
-// ErrStatus is wrapped besides where the peer refused.
+// ErrStatus is wrapped as well if the peer answered with an error status.
 var ErrStatus = errors.New("refused with status")
 
 const (
-	// maxMessage bounds a message: a map of 72 ranks, 12 layers and 3 experts
-	// each takes some 8 KB, counts of 1,728 experts as much.
-	maxMessage = 4 << 20
-	// dialTime bounds connecting to a peer of the same region.
-	dialTime = 250 * time.Millisecond
-	// idleTime is how long a connection to a peer is kept.
-	idleTime = 10 * time.Second
-	// readHeaderTime bounds the reading of a call's header.
-	readHeaderTime = 5 * time.Second
+	// maxMessageBytes limits the size of a message. A map of 72 ranks, 12 layers and 3
+	// experts each takes some 8 KB, the counts of 1,728 experts as much.
+	maxMessageBytes = 4 << 20
+	// dialTimeout limits the time to connect to a peer in the same region.
+	dialTimeout = 250 * time.Millisecond
+	// idleTimeout is how long an idle connection to a peer is kept.
+	idleTimeout = 10 * time.Second
+	// readHeaderTimeout limits the time to read the header of a call.
+	readHeaderTimeout = 5 * time.Second
 )
 
 // Client calls peers. It is safe for concurrent use.
@@ -45,15 +45,14 @@
 // NewClient returns a client.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialTime}).DialContext,
-		IdleConnTimeout:     idleTime,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		IdleConnTimeout:     idleTimeout,
 		MaxIdleConnsPerHost: 2,
 		DisableCompression:  true,
 	}}}
 }
 
-// Call sends a message to a peer and decodes its answer. The error wraps
-// ErrCall.
+// Call sends a message to a peer and decodes the answer. Its errors wrap ErrCall.
 func Call[A btwire.Validator](ctx context.Context, c *Client, to netip.AddrPort, path string, message btwire.Validator) (A, error) {
 	var none A
 	data, err := btwire.Encode(message)
@@ -66,10 +65,10 @@
 	}
 	answer, err := c.http.Do(request)
 	if err != nil {
-		return none, fmt.Errorf("%w: %s%s: %w", ErrCall, to, path, notReached(err))
+		return none, fmt.Errorf("%w: %s%s: %w", ErrCall, to, path, wrapDialError(err))
 	}
 	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxMessage))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxMessageBytes))
 	if err != nil {
 		return none, fmt.Errorf("%w: %s%s: %w", ErrCall, to, path, err)
 	}
@@ -83,7 +82,8 @@
 	return decoded, nil
 }
 
-func notReached(err error) error {
+// wrapDialError adds ErrNotReached to an error of connecting.
+func wrapDialError(err error) error {
 	var failed *net.OpError
 	if errors.As(err, &failed) && failed.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotReached, err)
@@ -91,10 +91,11 @@
 	return err
 }
 
-// Handle returns a handler that decodes a message and encodes the answer.
+// Handle returns a handler that decodes a message, calls answer and encodes the result.
+// An invalid message gets status 400, an error of answer status 503 with its text.
 func Handle[Q, A btwire.Validator](answer func(context.Context, Q) (A, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		data, err := io.ReadAll(io.LimitReader(r.Body, maxMessage))
+		data, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes))
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -114,19 +115,19 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		// The peer that left is the only error.
+		// Writing fails only if the peer has disconnected.
 		_, _ = w.Write(encoded)
 	})
 }
 
-// Listen listens at an address of this host.
+// Listen opens a listener at an address of this host.
 func Listen(address netip.AddrPort) (net.Listener, error) {
 	return net.Listen("tcp", address.String())
 }
 
-// Serve answers calls on the listener until the context ends.
+// Serve handles calls on the listener until the context ends.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err := server.Serve(listener)
--- a/io/btcall/btcall_test.go
+++ b/io/btcall/btcall_test.go
@@ -33,13 +33,15 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-func TestMessagesGoBothWays(t *testing.T) {
+func TestCallRoundTrip(t *testing.T) {
 	to := serve(t, btcall.Handle(func(_ context.Context, n note) (note, error) { return note{Text: n.Text + "!"}, nil }))
 	got, err := btcall.Call[note](t.Context(), btcall.NewClient(), to, "/x", note{Text: "a"})
 	assert.NilError(t, err)
 	assert.Equal(t, got.Text, "a!")
 }
 
+// A message that fails its validation, or an answer that isn't CBOR, must be an error
+// and not an empty value.
 func TestMalformedMessagesAreRefused(t *testing.T) {
 	to := serve(t, btcall.Handle(func(_ context.Context, n note) (note, error) { return n, nil }))
 	_, err := btcall.Call[note](t.Context(), btcall.NewClient(), to, "/x", note{})
@@ -49,14 +51,16 @@
 	assert.ErrorIs(t, err, btcall.ErrCall)
 }
 
-func TestRefusalsCarryTheirReason(t *testing.T) {
+// The caller logs the error, so the text of the handler's error must reach it.
+func TestRefusalContainsTheError(t *testing.T) {
 	to := serve(t, btcall.Handle(func(context.Context, note) (note, error) { return note{}, errors.New("not now") }))
 	_, err := btcall.Call[note](t.Context(), btcall.NewClient(), to, "/x", note{Text: "a"})
 	assert.ErrorIs(t, err, btcall.ErrStatus)
 	assert.ErrorContains(t, err, "not now")
 }
 
-func TestAPeerThatIsAway(t *testing.T) {
+// A refused connection must differ from a call that may have been handled.
+func TestUnreachablePeer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	to := netip.MustParseAddrPort(s.Listener.Addr().String())
 	s.Close()
