--- a/io/btloop/btloop.go
+++ b/io/btloop/btloop.go
@@ -1,5 +1,5 @@
-// Package btloop runs a core's state machine inside a process: events from any
-// goroutine go in one at a time, and effects are carried out in order.
+// Package btloop runs one of core's state machines inside a process. Events from any
+// goroutine are applied one at a time, and effects are carried out in order.
 package btloop
 
 import (
@@ -10,10 +10,10 @@
 	"bilberrytide/core/btcore"
 )
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock func() time.Time
 
-// Loop owns one machine.
+// Loop owns one state machine.
 type Loop[E, F any] struct {
 	machine btcore.Machine[E, F]
 	clock   Clock
@@ -24,15 +24,15 @@
 	busy    bool
 }
 
-// New returns a loop over machine. Apply carries out one effect; it must not
-// block, and it may post further events.
+// New returns a loop for the machine. apply carries out one effect. It must not block,
+// and it may post further events.
 func New[E, F any](machine btcore.Machine[E, F], clock Clock, apply func(F)) *Loop[E, F] {
 	return &Loop[E, F]{machine: machine, clock: clock, apply: apply}
 }
 
-// Post hands the machine an event. It returns when the event was applied, or
-// at once when another goroutine is applying events, which then takes this one
-// too. It is safe for concurrent use and from within apply.
+// Post applies an event to the machine. It returns when the event has been applied, or
+// at once if another goroutine is applying events, which then applies this one too. It
+// is safe for concurrent use and from within apply.
 func (l *Loop[E, F]) Post(event E) {
 	l.run(func() {
 		for _, effect := range l.machine.Step(l.clock(), event) {
@@ -41,18 +41,18 @@
 	})
 }
 
-// Inspect calls look between two steps and returns when it has returned, so
-// that look may read the machine. It must not be called from within apply.
-func (l *Loop[E, F]) Inspect(look func(now time.Time)) {
+// Inspect calls the function between two steps, so that it may read the machine, and
+// returns after it. It must not be called from within apply.
+func (l *Loop[E, F]) Inspect(inspect func(now time.Time)) {
 	done := make(chan struct{})
 	l.run(func() {
 		defer close(done)
-		look(l.clock())
+		inspect(l.clock())
 	})
 	<-done
 }
 
-// run applies work, and what others add meanwhile, one at a time.
+// run calls work, and what other goroutines add meanwhile, one at a time.
 func (l *Loop[E, F]) run(work func()) {
 	l.mu.Lock()
 	l.pending = append(l.pending, work)
@@ -73,9 +73,8 @@
 	l.mu.Unlock()
 }
 
-// Every posts the event that make returns at each interval, until the context
-// ends.
-func (l *Loop[E, F]) Every(ctx context.Context, interval time.Duration, make func() E) {
+// Every posts the event that newEvent returns at each interval until the context ends.
+func (l *Loop[E, F]) Every(ctx context.Context, interval time.Duration, newEvent func() E) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -83,7 +82,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			l.Post(make())
+			l.Post(newEvent())
 		}
 	}
 }
