--- a/io/btdirect/entry.go
+++ b/io/btdirect/entry.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// estimatedEntries returns the estimated number of entries that share the targets: the
-// known ones, and at least as many as there are seeds.
+// estimatedEntries returns the estimated number of entries that share the targets, this
+// one included: the known ones, and at least as many as there are seeds.
 func (e *Entry) estimatedEntries() int { return max(len(e.options.Settings.Seeds), e.peers.count()+1) }
 
 // Reload applies changed settings. Only the seeds can change; new addresses need a
--- a/io/btdirect/group.go
+++ b/io/btdirect/group.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// slowPace is the relative step time from which a member gets no new requests while
-	// there are others. Each step of the group waits for the slowest member.
+	// slowPace is the pace from which a member gets no new requests while there are
+	// others: each step of the group waits for the slowest member's own work.
 	slowPace = 1.5
 	// maxSlowFraction is the largest part of a group that is skipped as slow. If more
 	// were, the others could not carry the load.
--- a/io/btdirect/peer_message.go
+++ b/io/btdirect/peer_message.go
@@ -55,7 +55,8 @@
 type RankPace struct {
 	_    struct{} `cbor:",toarray"`
 	Rank int      `cbor:"rank"`
-	// Pace is the rank's step time as a multiple of the normal one.
+	// Pace is the time of the rank's own work in a step, as a multiple of the normal
+	// one.
 	Pace float32 `cbor:"pace"`
 }
 
@@ -85,7 +86,8 @@
 	Streams int `cbor:"streams"`
 }
 
-// errStrain means that a strain is negative, infinite or not a number.
+// errStrain means that a strain is negative, infinite or not a number, or counts a
+// negative number of streams.
 var errStrain = errors.New("strain must be a number from zero on, and so must its streams")
 
 // Validate returns an error if the strain is out of range.
