--- a/core/btbench/entry.go
+++ b/core/btbench/entry.go
@@ -94,7 +94,7 @@
 	t.numbers++
 	a := &attempt{call: c, arrival: c.arrival, engine: w.engine(choice.Target), number: t.numbers}
 	c.tried = append(c.tried, choice.Target)
-	t.step(now, btroute.Load{Event: btload.Sent{
+	t.step(now, btroute.LoadEvent{Event: btload.Sent{
 		Target:   choice.Target,
 		Number:   a.number,
 		Tokens:   c.arrival.Tokens(),
@@ -146,7 +146,7 @@
 
 func (w *world) close(now time.Time, a *attempt, event btload.Finished) {
 	a.over = true
-	a.call.entry.step(now, btroute.Load{Event: event})
+	a.call.entry.step(now, btroute.LoadEvent{Event: event})
 }
 
 // again asks the retry rules what becomes of a call whose attempt failed.
@@ -202,7 +202,7 @@
 	t := a.call.entry
 	w.tell(now, a.engine, t)
 	w.at(now.Add(w.hop(a.engine, t)), func(now time.Time) {
-		t.step(now, btroute.Load{Event: btload.Started{Target: a.engine.name, Number: a.number}})
+		t.step(now, btroute.LoadEvent{Event: btload.Started{Target: a.engine.name, Number: a.number}})
 		t.reserved.CountAnswer(now)
 		w.result.first(now, a)
 	})
--- a/core/btbench/world.go
+++ b/core/btbench/world.go
@@ -148,7 +148,7 @@
 	a := btassert.New(btassert.Panic())
 	router := btroute.New(c, btload.New(p.Load), rand.NewPCG(seed, uint64(100+i)), a)
 	if p.Policy != nil {
-		router.UsePolicy(p.Policy(i, rand.NewPCG(seed, uint64(200+i))))
+		router.SetPolicy(p.Policy(i, rand.NewPCG(seed, uint64(200+i))))
 	}
 	router.Step(w.now, btroute.Members{Service: service, Targets: members})
 	retry := btretry.DefaultConfig()
@@ -222,7 +222,7 @@
 		return
 	}
 	w.at(now.Add(w.hop(e, t)), func(now time.Time) {
-		t.step(now, btroute.Load{Event: btload.Reported{Report: report}})
+		t.step(now, btroute.LoadEvent{Event: btload.Reported{Report: report}})
 	})
 }
 
@@ -241,7 +241,7 @@
 					continue
 				}
 				w.at(now.Add(delay), func(now time.Time) {
-					t.step(now, btroute.Load{Event: btload.Cached{Batch: batch}})
+					t.step(now, btroute.LoadEvent{Event: btload.Cached{Batch: batch}})
 				})
 			}
 		}
--- a/core/btroute/bench_test.go
+++ b/core/btroute/bench_test.go
@@ -45,7 +45,7 @@
 			r := newRouter(targets, 1)
 			for i := range targets {
 				report := btload.Report{Target: targetName(i), Incarnation: 1, Number: 1, Running: i % 16, Slots: 16}
-				r.Step(epoch, btroute.Load{Event: btload.Reported{Report: report}})
+				r.Step(epoch, btroute.LoadEvent{Event: btload.Reported{Report: report}})
 			}
 			prompt := make([]byte, 32*btload.ChunkBytes)
 			request := btroute.Request{Service: "s", Tokens: 2048, Prefixes: btload.Prefixes(prompt)}
--- a/core/btroute/btroute.go
+++ b/core/btroute/btroute.go
@@ -46,10 +46,10 @@
 
 // Penalties are added to the expected time to the first token by distance.
 type Penalties struct {
-	// Near is for another data centre of the same region.
-	Near time.Duration
-	// Far is for another region.
-	Far time.Duration
+	// OtherDataCentre is for another data centre of the same region.
+	OtherDataCentre time.Duration
+	// OtherRegion is for another region.
+	OtherRegion time.Duration
 }
 
 // Config places the entry and bounds the router.
@@ -70,7 +70,7 @@
 // Defaults returns the configuration that an entry uses beside its place.
 func Defaults() Config {
 	return Config{
-		Penalties:       Penalties{Near: 2 * time.Millisecond, Far: 60 * time.Millisecond},
+		Penalties:       Penalties{OtherDataCentre: 2 * time.Millisecond, OtherRegion: 60 * time.Millisecond},
 		AffinitySamples: 5,
 		RandomSamples:   12,
 		SkewWeight:      20,
--- a/core/btroute/capacity_test.go
+++ b/core/btroute/capacity_test.go
@@ -21,7 +21,7 @@
 			r := newRouter(targets, 1)
 			random := rand.New(rand.NewPCG(1, 1))
 			for i := range targets {
-				r.Step(epoch, btroute.Load{Event: btload.Reported{Report: btload.Report{
+				r.Step(epoch, btroute.LoadEvent{Event: btload.Reported{Report: btload.Report{
 					Target: targetName(i), Incarnation: 1, Number: 1, Running: i % 16, Slots: 16,
 				}}})
 				fillView(r, i, random)
@@ -45,7 +45,7 @@
 		for i := range btload.MaxCacheEvents {
 			batch.Events = append(batch.Events, btload.CacheEvent{Seq: uint64(first + i + 1), Op: btload.Stored, Prefix: random.Uint64()})
 		}
-		r.Step(epoch, btroute.Load{Event: btload.Cached{Batch: batch}})
+		r.Step(epoch, btroute.LoadEvent{Event: btload.Cached{Batch: batch}})
 	}
 }
 
--- a/core/btroute/ejection.go
+++ b/core/btroute/ejection.go
@@ -47,13 +47,13 @@
 	return &Ejector{config: c, service: service, assert: a, targets: map[btid.Target]*standing{}}
 }
 
-// Limit returns how many targets may be out at once.
-func (e *Ejector) Limit() int {
+// MaxEjected returns how many targets may be out at once.
+func (e *Ejector) MaxEjected() int {
 	return int(min(max(e.config.MaxShare, 0), 1) * float64(len(e.names)))
 }
 
-// Out returns how many targets are out.
-func (e *Ejector) Out() int { return e.out }
+// EjectedCount returns how many targets are out.
+func (e *Ejector) EjectedCount() int { return e.out }
 
 // Ejected tells whether the target is out.
 func (e *Ejector) Ejected(name btid.Target) bool {
@@ -84,15 +84,15 @@
 		effects = e.failure(now, v)
 	case Success:
 		effects = e.success(now, v.Target)
-	case Measure:
+	case LatencySample:
 		effects = e.measure(now, v)
 	case ProbeSent:
 		if s, ok := e.targets[v.Target]; ok {
 			s.probing = now.Add(e.config.ProbeTimeout)
 		}
 	}
-	e.assert.That(e.out <= e.Limit(), InvariantEjectionCap,
-		"service %s: %d of %d targets ejected, at most %d", e.service, e.out, len(e.names), e.Limit())
+	e.assert.That(e.out <= e.MaxEjected(), InvariantEjectionCap,
+		"service %s: %d of %d targets ejected, at most %d", e.service, e.out, len(e.names), e.MaxEjected())
 	return effects
 }
 
@@ -119,7 +119,7 @@
 		return cmp.Compare(kept[a].since.UnixNano(), kept[b].since.UnixNano())
 	})
 	var effects []EjectionEffect
-	for _, name := range out[:max(e.out-e.Limit(), 0)] {
+	for _, name := range out[:max(e.out-e.MaxEjected(), 0)] {
 		effects = append(effects, e.restore(now, name, CapShrank))
 	}
 	return effects
@@ -137,7 +137,7 @@
 	if s.failures < e.config.Failures {
 		return nil
 	}
-	return e.eject(now, f.Target, s, FailuresInRow, 0)
+	return e.eject(now, f.Target, s, ConsecutiveFailures, 0)
 }
 
 // success ends a row of failures. It takes back a target that was out for
@@ -158,7 +158,7 @@
 	return []EjectionEffect{e.restore(now, name, ProbeAnswered)}
 }
 
-func (e *Ejector) measure(now time.Time, m Measure) []EjectionEffect {
+func (e *Ejector) measure(now time.Time, m LatencySample) []EjectionEffect {
 	s, ok := e.targets[m.Target]
 	if !ok {
 		return nil
@@ -168,7 +168,7 @@
 	}
 	s.samples++
 	weight := max(e.config.Smoothing, 1/float64(s.samples))
-	s.mean += time.Duration(weight * float64(m.Time-s.mean))
+	s.mean += time.Duration(weight * float64(m.Latency-s.mean))
 	if now.Sub(e.checked) < e.config.CheckInterval {
 		return nil
 	}
@@ -178,11 +178,11 @@
 
 // probeMeasured takes a target back in unless it is still slow. An answer that
 // arrives before the time is over was sent before the ejection.
-func (e *Ejector) probeMeasured(now time.Time, m Measure, s *standing) []EjectionEffect {
+func (e *Ejector) probeMeasured(now time.Time, m LatencySample, s *standing) []EjectionEffect {
 	if now.Before(s.until) {
 		return nil
 	}
-	if median, ok := e.median(); ok && m.Time > e.limit(median) {
+	if median, ok := e.median(); ok && m.Latency > e.limit(median) {
 		return e.probeFailed(now, m.Target, s, SlowProbe)
 	}
 	return []EjectionEffect{e.restore(now, m.Target, ProbeAnswered)}
@@ -212,17 +212,17 @@
 func (e *Ejector) length(streak int) time.Duration {
 	length := e.config.Duration
 	for range streak - 1 {
-		if length >= e.config.DurationMax {
+		if length >= e.config.MaxDuration {
 			break
 		}
 		length *= 2
 	}
-	return min(length, e.config.DurationMax)
+	return min(length, e.config.MaxDuration)
 }
 
 func (e *Ejector) eject(now time.Time, name btid.Target, s *standing, cause Cause, median time.Duration) []EjectionEffect {
 	evidence := e.evidence(s, median)
-	if e.out+1 > e.Limit() {
+	if e.out+1 > e.MaxEjected() {
 		if s.withheld {
 			return nil
 		}
@@ -237,7 +237,7 @@
 
 func (e *Ejector) restore(now time.Time, name btid.Target, cause Cause) EjectionEffect {
 	s := e.targets[name]
-	restored := Restored{Service: e.service, Target: name, Cause: cause, Out: now.Sub(s.since)}
+	restored := Restored{Service: e.service, Target: name, Cause: cause, EjectedFor: now.Sub(s.since)}
 	s.out, s.returned = false, now
 	s.failures, s.samples, s.mean = 0, 0, 0
 	e.out--
--- a/core/btroute/ejection_config.go
+++ b/core/btroute/ejection_config.go
@@ -19,8 +19,8 @@
 	MinSamples int
 	// Duration is the first time out; it doubles with each in a row.
 	Duration time.Duration
-	// DurationMax is the longest time out.
-	DurationMax time.Duration
+	// MaxDuration is the longest time out.
+	MaxDuration time.Duration
 	// CheckInterval is the time between two comparisons with the median.
 	CheckInterval time.Duration
 	// ProbeTimeout is how long a probe may take before the next one is sent.
@@ -37,16 +37,16 @@
 		SlowFactor:    3,
 		MinSamples:    10,
 		Duration:      5 * time.Second,
-		DurationMax:   5 * time.Minute,
+		MaxDuration:   5 * time.Minute,
 		CheckInterval: time.Second,
 		ProbeTimeout:  10 * time.Second,
 		Smoothing:     0.2,
 	}
 }
 
-// EjectionOf returns the limits that a bundle states, with the defaults for
+// EjectionFromBundle returns the limits that a bundle states, with the defaults for
 // those that it leaves at zero.
-func EjectionOf(b btbundle.Ejection) EjectionConfig {
+func EjectionFromBundle(b btbundle.Ejection) EjectionConfig {
 	c := EjectionDefaults()
 	if b.MaxShare > 0 {
 		c.MaxShare = min(b.MaxShare, 1)
@@ -59,7 +59,7 @@
 	}
 	if b.Duration.Duration > 0 {
 		c.Duration = b.Duration.Duration
-		c.DurationMax = max(c.DurationMax, c.Duration)
+		c.MaxDuration = max(c.MaxDuration, c.Duration)
 	}
 	return c
 }
--- a/core/btroute/ejection_event.go
+++ b/core/btroute/ejection_event.go
@@ -20,11 +20,11 @@
 // Success is the first token or byte of an answer.
 type Success struct{ Target btid.Target }
 
-// Measure is one sample of a target's speed: the time between tokens of a
+// LatencySample is one sample of a target's speed: the time between tokens of a
 // model's answer, or the time to the first byte of a plain service's.
-type Measure struct {
+type LatencySample struct {
 	Target btid.Target
-	Time   time.Duration
+	Latency   time.Duration
 }
 
 // Failure is an attempt that the target or the way to it failed. A refusal for
@@ -40,7 +40,7 @@
 func (EjectionConfigured) ejectionEvent() {}
 func (EjectionMembers) ejectionEvent()    {}
 func (Success) ejectionEvent()            {}
-func (Measure) ejectionEvent()            {}
+func (LatencySample) ejectionEvent()            {}
 func (Failure) ejectionEvent()            {}
 func (ProbeSent) ejectionEvent()          {}
 
@@ -48,8 +48,8 @@
 type Cause string
 
 const (
-	// FailuresInRow: several attempts in a row failed.
-	FailuresInRow Cause = "failures_in_row"
+	// ConsecutiveFailures: several attempts in a row failed.
+	ConsecutiveFailures Cause = "failures_in_row"
 	// Slow: far slower than the median of the service.
 	Slow Cause = "slow"
 	// FailedProbe: the request that tried the target failed.
@@ -99,7 +99,7 @@
 	Service btid.Service  `json:"service"`
 	Target  btid.Target   `json:"target"`
 	Cause   Cause         `json:"cause"`
-	Out     time.Duration `json:"out"`
+	EjectedFor     time.Duration `json:"out"`
 }
 
 // Withheld tells that a target would be ejected, were the cap not reached. It
--- a/core/btroute/ejection_slow.go
+++ b/core/btroute/ejection_slow.go
@@ -74,6 +74,6 @@
 		Samples:  s.samples,
 		Streak:   s.streak,
 		Out:      e.out,
-		Limit:    e.Limit(),
+		Limit:    e.MaxEjected(),
 	}
 }
--- a/core/btroute/ejection_test.go
+++ b/core/btroute/ejection_test.go
@@ -45,14 +45,14 @@
 	effects := fail(e, epoch, "t000", 1)
 	assert.Equal(t, len(effects), 1)
 	ejected := effects[0].(btroute.Ejected)
-	assert.Equal(t, ejected.Cause, btroute.FailuresInRow)
+	assert.Equal(t, ejected.Cause, btroute.ConsecutiveFailures)
 	assert.Equal(t, ejected.Evidence.Failures, 5)
 	assert.Equal(t, ejected.Until, epoch.Add(5*time.Second))
 
 	withheld := fail(e, epoch, "t001", 9)
 	assert.Equal(t, len(withheld), 1, "said once")
 	assert.Equal(t, withheld[0].(btroute.Withheld).Evidence.Limit, 1)
-	assert.Equal(t, e.Out(), 1)
+	assert.Equal(t, e.EjectedCount(), 1)
 }
 
 func TestTimeOutDoublesAndProbeRestores(t *testing.T) {
@@ -72,9 +72,9 @@
 	e.Step(now, btroute.ProbeSent{Target: "t000"})
 	restored := e.Step(now, btroute.Success{Target: "t000"})
 	assert.DeepEqual(t, restored, []btroute.EjectionEffect{btroute.Restored{
-		Service: "s", Target: "t000", Cause: btroute.ProbeAnswered, Out: 75 * time.Second,
+		Service: "s", Target: "t000", Cause: btroute.ProbeAnswered, EjectedFor: 75 * time.Second,
 	}})
-	assert.Equal(t, e.Out(), 0)
+	assert.Equal(t, e.EjectedCount(), 0)
 }
 
 func TestEjectionForSlowness(t *testing.T) {
@@ -88,7 +88,7 @@
 			if i == 2 {
 				took = 50 * time.Millisecond
 			}
-			effects = append(effects, e.Step(now, btroute.Measure{Target: name, Time: took})...)
+			effects = append(effects, e.Step(now, btroute.LatencySample{Target: name, Latency: took})...)
 		}
 	}
 	assert.Equal(t, len(effects), 1)
@@ -101,10 +101,10 @@
 	now = ejected.Until
 	e.Step(now, btroute.ProbeSent{Target: "t002"})
 	assert.Equal(t, len(e.Step(now, btroute.Success{Target: "t002"})), 0, "an answer is no proof of speed")
-	slow := e.Step(now, btroute.Measure{Target: "t002", Time: 45 * time.Millisecond})
+	slow := e.Step(now, btroute.LatencySample{Target: "t002", Latency: 45 * time.Millisecond})
 	assert.Equal(t, slow[0].(btroute.Ejected).Cause, btroute.SlowProbe)
 	now = slow[0].(btroute.Ejected).Until
-	e.Step(now, btroute.Measure{Target: "t002", Time: 11 * time.Millisecond})
+	e.Step(now, btroute.LatencySample{Target: "t002", Latency: 11 * time.Millisecond})
 	assert.Assert(t, !e.Ejected("t002"))
 }
 
@@ -113,17 +113,17 @@
 	for _, name := range targetNames(3) {
 		fail(e, epoch, name, 5)
 	}
-	assert.Equal(t, e.Out(), 3)
+	assert.Equal(t, e.EjectedCount(), 3)
 	effects := e.Step(epoch, btroute.EjectionMembers{Targets: targetNames(4)})
 	assert.Equal(t, len(effects), 2)
 	assert.Equal(t, effects[0].(btroute.Restored).Cause, btroute.CapShrank)
-	assert.Equal(t, e.Out(), 1)
+	assert.Equal(t, e.EjectedCount(), 1)
 
 	tighter := btroute.EjectionDefaults()
 	tighter.MaxShare = 0.1
 	effects = e.Step(epoch, btroute.EjectionConfigured{Ejection: tighter})
 	assert.Equal(t, len(effects), 1)
-	assert.Equal(t, e.Out(), 0)
+	assert.Equal(t, e.EjectedCount(), 0)
 }
 
 // TestEjectionCap drives ejectors at random; without a cap the same run finds
@@ -148,15 +148,15 @@
 					e.Step(now, btroute.Success{Target: name})
 				case 1:
 					took := time.Duration(rapid.IntRange(1, 100).Draw(t, "took")) * time.Millisecond
-					e.Step(now, btroute.Measure{Target: name, Time: took})
+					e.Step(now, btroute.LatencySample{Target: name, Latency: took})
 				case 2:
 					count = rapid.IntRange(1, 8).Draw(t, "targets")
 					e.Step(now, btroute.EjectionMembers{Targets: targetNames(count)})
 				default:
 					e.Step(now, btroute.Failure{Target: name})
 				}
-				assert.Assert(t, float64(e.Out()) <= c.share*float64(count))
-				allOut = allOut || e.Out() == count
+				assert.Assert(t, float64(e.EjectedCount()) <= c.share*float64(count))
+				allOut = allOut || e.EjectedCount() == count
 			}
 		})
 		assert.Equal(t, allOut, c.allOut, "share %v", c.share)
@@ -184,6 +184,6 @@
 		choice, err = r.Pick(due, btroute.Request{Service: "s", Keyed: c.keyed})
 		assert.NilError(t, err)
 		assert.Equal(t, choice.Reason == btroute.Probe, c.probe, fmt.Sprintf("%+v", c))
-		r.Step(due, btroute.Load{Event: btload.Sent{Target: choice.Target, Number: 1}})
+		r.Step(due, btroute.LoadEvent{Event: btload.Sent{Target: choice.Target, Number: 1}})
 	}
 }
--- a/core/btroute/event.go
+++ b/core/btroute/event.go
@@ -40,8 +40,8 @@
 	Leaving bool
 }
 
-// Load carries an event on to the load tracker.
-type Load struct{ Event btload.Event }
+// LoadEvent carries an event on to the load tracker.
+type LoadEvent struct{ Event btload.Event }
 
 // Failed is an attempt that the target or the way to it failed: lost contact, a
 // timeout, an error of the target's own. A refusal for want of capacity or
@@ -55,7 +55,7 @@
 func (Members) routeEvent()    {}
 func (Lease) routeEvent()      {}
 func (Leaving) routeEvent()    {}
-func (Load) routeEvent()       {}
+func (LoadEvent) routeEvent()       {}
 func (Failed) routeEvent()     {}
 
 // Effect is one of Ejected, Restored, Withheld and LoadEffect.
--- a/core/btroute/pick.go
+++ b/core/btroute/pick.go
@@ -29,8 +29,8 @@
 	Reason btrequest.Reason
 	// Expected is the estimated time to the first token.
 	Expected time.Duration
-	// Cached is how many prompt tokens are believed to be cached there.
-	Cached int
+	// CachedTokens is how many prompt tokens are believed to be cached there.
+	CachedTokens int
 	// Candidates is how many targets could have been picked.
 	Candidates int
 }
@@ -101,7 +101,7 @@
 
 func (q *Query) count(tier int) {
 	if tier <= tierNear {
-		q.Near++
+		q.InRegion++
 	}
 }
 
@@ -138,7 +138,7 @@
 		Target:     c.name,
 		Reason:     reason,
 		Expected:   e.FirstToken,
-		Cached:     e.Cached,
+		CachedTokens:     e.Cached,
 		Candidates: len(r.open) + len(r.ejected),
 	}, nil
 }
--- a/core/btroute/policy.go
+++ b/core/btroute/policy.go
@@ -11,9 +11,9 @@
 	Tokens int
 	// Prefixes is the prompt's prefix chain, shortest first.
 	Prefixes []uint64
-	// Near is how many candidates, from the start of the list, are in the
+	// InRegion is how many candidates, from the start of the list, are in the
 	// entry's own region.
-	Near int
+	InRegion int
 }
 
 // Policy chooses one of several candidates.
@@ -69,8 +69,8 @@
 		consider(s.randomIndex(query, len(candidates)))
 	}
 	near := candidates
-	if query.Near > 0 {
-		near = candidates[:query.Near]
+	if query.InRegion > 0 {
+		near = candidates[:query.InRegion]
 	}
 	for _, i := range s.rendezvous(query.Prefixes, near) {
 		consider(i)
@@ -80,8 +80,8 @@
 
 // randomIndex prefers the entry's own region: only one draw in eight leaves it.
 func (s *sampled[C]) randomIndex(query *Query, count int) int {
-	if query.Near > 0 && s.source.Uint32()&7 != 0 {
-		return s.source.IntN(query.Near)
+	if query.InRegion > 0 && s.source.Uint32()&7 != 0 {
+		return s.source.IntN(query.InRegion)
 	}
 	return s.source.IntN(count)
 }
--- a/core/btroute/router.go
+++ b/core/btroute/router.go
@@ -81,8 +81,8 @@
 	return r
 }
 
-// UsePolicy replaces the policy; the benchmarks put in the baselines.
-func (r *Router) UsePolicy(p Policy[*Candidate]) { r.policy = p }
+// SetPolicy replaces the policy; the benchmarks put in the baselines.
+func (r *Router) SetPolicy(p Policy[*Candidate]) { r.policy = p }
 
 func candidateHash(c *Candidate) uint64 { return c.hash }
 
@@ -120,7 +120,7 @@
 		if c, ok := r.members[e.Target]; ok {
 			c.leaving = e.Leaving
 		}
-	case Load:
+	case LoadEvent:
 		return r.stepLoad(now, e.Event)
 	case Failed:
 		if c, ok := r.members[e.Target]; ok {
@@ -167,9 +167,9 @@
 		if m.Tokens > 0 {
 			return []EjectionEvent{Success{Target: m.Target}}
 		}
-		return []EjectionEvent{Success{Target: m.Target}, Measure{Target: m.Target, Time: m.Latency}}
+		return []EjectionEvent{Success{Target: m.Target}, LatencySample{Target: m.Target, Latency: m.Latency}}
 	case btload.Generated:
-		return []EjectionEvent{Measure{Target: m.Target, Time: m.PerToken}}
+		return []EjectionEvent{LatencySample{Target: m.Target, Latency: m.PerToken}}
 	}
 	return nil
 }
@@ -253,9 +253,9 @@
 	case m.DataCentre == r.config.DataCentre:
 		c.tier, c.penalty = tierLocal, 0
 	case m.Region == r.config.Region:
-		c.tier, c.penalty = tierNear, r.config.Penalties.Near
+		c.tier, c.penalty = tierNear, r.config.Penalties.OtherDataCentre
 	default:
-		c.tier, c.penalty = tierFar, r.config.Penalties.Far
+		c.tier, c.penalty = tierFar, r.config.Penalties.OtherRegion
 	}
 	return c
 }
--- a/core/btroute/router_test.go
+++ b/core/btroute/router_test.go
@@ -75,7 +75,7 @@
 	case 5:
 		m.reports++
 		report := btload.Report{Target: name, Incarnation: 1, Number: m.reports, Slots: 4, Draining: rapid.Bool().Draw(t, "draining")}
-		m.router.Step(m.now, btroute.Load{Event: btload.Reported{Report: report}})
+		m.router.Step(m.now, btroute.LoadEvent{Event: btload.Reported{Report: report}})
 		m.draining[name] = member && report.Draining
 	case 6, 7:
 		m.router.Step(m.now, btroute.Failed{Target: name, Reason: "contact_lost"})
@@ -109,9 +109,9 @@
 	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "flight")
 	f := m.inFlight[i]
 	m.inFlight = slices.Delete(m.inFlight, i, i+1)
-	m.router.Step(m.now, btroute.Load{Event: btload.Started{Target: f.target, Number: f.number}})
+	m.router.Step(m.now, btroute.LoadEvent{Event: btload.Started{Target: f.target, Number: f.number}})
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "decode")) * time.Millisecond)
-	m.router.Step(m.now, btroute.Load{Event: btload.Finished{Target: f.target, Number: f.number, OutputTokens: 10}})
+	m.router.Step(m.now, btroute.LoadEvent{Event: btload.Finished{Target: f.target, Number: f.number, OutputTokens: 10}})
 }
 
 func (m *model) pick(t *rapid.T) {
@@ -134,7 +134,7 @@
 	assert.Assert(t, slices.Contains(open, choice.Target), "picked %s of %v", choice.Target, open)
 	m.picks++
 	m.number++
-	m.router.Step(m.now, btroute.Load{Event: btload.Sent{Target: choice.Target, Number: m.number, Tokens: 200}})
+	m.router.Step(m.now, btroute.LoadEvent{Event: btload.Sent{Target: choice.Target, Number: m.number, Tokens: 200}})
 	m.inFlight = append(m.inFlight, flight{choice.Target, m.number})
 }
 
@@ -194,8 +194,8 @@
 		for range 10 {
 			choice, err := r.Pick(epoch, request)
 			assert.NilError(t, err)
-			r.Step(epoch, btroute.Load{Event: btload.Sent{Target: choice.Target, Number: 1, Tokens: request.Tokens, Prefixes: prefixes}})
-			r.Step(epoch.Add(time.Second), btroute.Load{Event: btload.Finished{Target: choice.Target, Number: 1}})
+			r.Step(epoch, btroute.LoadEvent{Event: btload.Sent{Target: choice.Target, Number: 1, Tokens: request.Tokens, Prefixes: prefixes}})
+			r.Step(epoch.Add(time.Second), btroute.LoadEvent{Event: btload.Finished{Target: choice.Target, Number: 1}})
 			picked[choice.Target] = true
 		}
 	}
--- a/io/btentry/configure.go
+++ b/io/btentry/configure.go
@@ -41,7 +41,7 @@
 	defer f.mu.Unlock()
 	now := f.clock()
 	f.bundle = a
-	f.route(f.router.Step(now, btroute.Configured{Ejection: btroute.EjectionOf(a.Bundle.Ejection)}))
+	f.route(f.router.Step(now, btroute.Configured{Ejection: btroute.EjectionFromBundle(a.Bundle.Ejection)}))
 	f.setServices(now, a)
 	f.decider.Configure(now, btretry.ConfigFromBundle(a.Bundle.Retry))
 	f.setMembers(now, a)
--- a/io/btentry/ejection.go
+++ b/io/btentry/ejection.go
@@ -29,7 +29,7 @@
 				Act:      "target_restored",
 				Subject:  "target " + string(e.Target),
 				Cause:    string(e.Cause),
-				Evidence: "out for " + e.Out.String(),
+				Evidence: "out for " + e.EjectedFor.String(),
 				Expected: "it takes its part of the work again",
 			})
 		case btroute.Withheld:
--- a/io/btentry/fleet.go
+++ b/io/btentry/fleet.go
@@ -129,7 +129,7 @@
 		f.meter.Refused(reasonBadReport)
 		return
 	}
-	f.route(f.router.Step(now, btroute.Load{Event: btload.Reported{Report: report}}))
+	f.route(f.router.Step(now, btroute.LoadEvent{Event: btload.Reported{Report: report}}))
 }
 
 const reasonBadReport btrequest.Reason = "load_report_malformed"
--- a/io/btentry/pick.go
+++ b/io/btentry/pick.go
@@ -82,7 +82,7 @@
 }
 
 func (f *fleet) load(event btload.Event) {
-	f.route(f.router.Step(f.clock(), btroute.Load{Event: event}))
+	f.route(f.router.Step(f.clock(), btroute.LoadEvent{Event: event}))
 }
 
 // request counts a first attempt for the retry budget.
