--- a/core/btroute/bench_test.go
+++ b/core/btroute/bench_test.go
@@ -16,8 +16,8 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// newRouter returns a router over one service with live targets in three data
-// centres of one region.
+// newRouter returns a router over one service whose targets hold leases and are
+// spread over three data centres of one region.
 func newRouter(targets int, seed uint64) *btroute.Router {
 	c := btroute.Defaults()
 	c.DataCentre, c.Region = "dc0", "r"
--- a/core/btroute/btroute.go
+++ b/core/btroute/btroute.go
@@ -1,14 +1,15 @@
-// Package btroute picks the target of each request.
+// Package btroute chooses the target of each request and ejects outliers.
 //
-// Candidates are a service's targets whose lease is alive, which are not
-// leaving, not draining, not ejected and not yet tried for the request. A few
-// are sampled: by rendezvous order on the prompt's prefixes, so that requests
-// with one prefix meet at the same few caches from whatever entry, and at
-// random, so that no hot prefix overloads them. The one with the least expected
-// time to the first token is taken. Outlier targets are ejected for a time,
-// never more than a stated share of a service.
+// A service's candidates are its targets that hold a valid lease, are neither
+// leaving nor draining nor ejected, and have not been tried for the request. A
+// pick samples a few of them: some by rendezvous hashing of the prompt's prefixes,
+// so that all entries send requests with a common prefix to the same few caches,
+// and some at random, so that a popular prefix does not overload those targets.
+// The sampled candidate with the lowest expected time to first token wins. Outliers
+// are ejected for a limited time, and never more than a configured share of a
+// service at once.
 //
-// The state is rebuilt from the bundle (members), heartbeats (leases, reports)
+// The state is rebuilt from the bundle (members), heartbeats (leases, load reports)
 // and the entry's own traffic (ejections).
 package btroute
 
@@ -22,52 +23,53 @@
 
 // Invariants asserted by the package.
 const (
-	// InvariantNeverLeaving: no pick is leaving, without a lease, or tried.
+	// InvariantNeverLeaving: a picked target is not leaving or draining, holds a
+	// lease, and was not tried before.
 	InvariantNeverLeaving btassert.Name = "route_never_leaving"
-	// InvariantEjectionCap: no more than the share of a service is ejected.
+	// InvariantEjectionCap: at most MaxShare of a service's targets is ejected.
 	InvariantEjectionCap btassert.Name = "route_ejection_cap"
 )
 
-// Reasons for which there is no pick, or an unusual one.
+// Reasons for a pick, or for the lack of one.
 const (
-	// NoService: the bundle names no target of the service.
+	// NoService: the bundle lists no target of the service.
 	NoService btrequest.Reason = "route_no_service"
-	// NoLiveTarget: no target of the service has a lease and takes new work.
+	// NoLiveTarget: no target of the service holds a lease and accepts new requests.
 	NoLiveTarget btrequest.Reason = "route_no_live_target"
-	// AllTried: every live target was tried for this request.
+	// AllTried: every live target was already tried for this request.
 	AllTried btrequest.Reason = "route_all_tried"
-	// Best: the least expected time to the first token of those sampled.
+	// Best: the target has the lowest cost of the sampled candidates.
 	Best btrequest.Reason = "route_best"
-	// Probe: an ejected target is tried with one request.
+	// Probe: an ejected target is tested with one request.
 	Probe btrequest.Reason = "route_probe"
-	// LastResort: all live targets are ejected, so the best of them is taken.
+	// LastResort: all remaining live targets are ejected, and this one has the lowest cost.
 	LastResort btrequest.Reason = "route_last_resort"
 )
 
-// Penalties are added to the expected time to the first token by distance.
+// Penalties are added to a target's cost by its distance from the entry.
 type Penalties struct {
-	// OtherDataCentre is for another data centre of the same region.
+	// OtherDataCentre applies to other data centres of the entry's region.
 	OtherDataCentre time.Duration
-	// OtherRegion is for another region.
+	// OtherRegion applies to other regions.
 	OtherRegion time.Duration
 }
 
-// Config places the entry and bounds the router.
+// Config holds the entry's location and the router's parameters.
 type Config struct {
 	DataCentre btid.DataCentre
 	Region     string
 	Penalties  Penalties
-	// AffinitySamples is how many targets are sampled by prefix.
+	// AffinitySamples is how many targets are sampled by prompt prefix.
 	AffinitySamples int
 	// RandomSamples is how many targets are sampled at random.
 	RandomSamples int
-	// SkewWeight prices, in steps, a rank of a lock-step group that has a full
-	// batch, or one mean rank's expert work over the mean.
+	// SkewWeight is the cost, in steps of the model, of one full batch on a rank of
+	// a lock-step group, or of expert work above the mean by one mean rank's work.
 	SkewWeight float64
 	Ejection   EjectionConfig
 }
 
-// Defaults returns the configuration that an entry uses beside its place.
+// Defaults returns the configuration of an entry without its data centre and region.
 func Defaults() Config {
 	return Config{
 		Penalties:       Penalties{OtherDataCentre: 2 * time.Millisecond, OtherRegion: 60 * time.Millisecond},
--- a/core/btroute/capacity_test.go
+++ b/core/btroute/capacity_test.go
@@ -12,8 +12,8 @@
 	"bilberrytide/core/btroute"
 )
 
-// BenchmarkPickSizes measures a pick and an entry's memory of one target, whose
-// view of the prefix cache is full, by how many targets the service has.
+// BenchmarkPickSizes measures the time of a pick and an entry's memory per target
+// by the number of targets. Each target's cache view is full.
 func BenchmarkPickSizes(b *testing.B) {
 	for _, targets := range []int{10, 100, 830} {
 		b.Run(fmt.Sprint("targets=", targets), func(b *testing.B) {
@@ -24,7 +24,7 @@
 				r.Step(epoch, btroute.LoadEvent{Event: btload.Reported{Report: btload.Report{
 					Target: targetName(i), Incarnation: 1, Number: 1, Running: i % 16, Slots: 16,
 				}}})
-				fillView(r, i, random)
+				fillCacheView(r, i, random)
 			}
 			memory := (heap() - before) / float64(targets)
 			request := btroute.Request{Service: "s", Tokens: 2048, Prefixes: btload.Prefixes(make([]byte, 32*btload.ChunkBytes))}
@@ -38,8 +38,8 @@
 	}
 }
 
-// fillView tells of more stored prefixes than a view remembers.
-func fillView(r *btroute.Router, target int, random *rand.Rand) {
+// fillCacheView reports more stored prefixes than a cache view keeps.
+func fillCacheView(r *btroute.Router, target int, random *rand.Rand) {
 	for first := 0; first < 3*btload.Defaults().MaxPrefixes; first += btload.MaxCacheEvents {
 		batch := btload.CacheEvents{Target: targetName(target), Epoch: 1}
 		for i := range btload.MaxCacheEvents {
--- a/core/btroute/ejection_config.go
+++ b/core/btroute/ejection_config.go
@@ -6,30 +6,30 @@
 	"bilberrytide/core/btbundle"
 )
 
-// EjectionConfig bounds how targets are put out of rotation.
+// EjectionConfig sets when targets are ejected and for how long.
 type EjectionConfig struct {
-	// MaxShare is the largest share of a service out at once, 0 to 1.
+	// MaxShare is the largest share of a service that may be ejected at once, 0 to 1.
 	MaxShare float64
-	// Failures is how many failures in a row put a target out.
+	// Failures is how many consecutive failures eject a target.
 	Failures int
-	// SlowFactor puts out a target whose mean time is this many times the
-	// service's median.
+	// SlowFactor ejects a target whose mean latency is more than this multiple of
+	// the service's median.
 	SlowFactor float64
-	// MinSamples is how many measurements a target is judged by at least.
+	// MinSamples is how many latency samples a target needs to be compared.
 	MinSamples int
-	// Duration is the first time out; it doubles with each in a row.
+	// Duration is the first ejection time; it doubles with each consecutive ejection.
 	Duration time.Duration
-	// MaxDuration is the longest time out.
+	// MaxDuration is the longest ejection time.
 	MaxDuration time.Duration
-	// CheckInterval is the time between two comparisons with the median.
+	// CheckInterval is the time between comparisons with the median.
 	CheckInterval time.Duration
-	// ProbeTimeout is how long a probe may take before the next one is sent.
+	// ProbeTimeout is how long to wait for a probe before sending another.
 	ProbeTimeout time.Duration
-	// Smoothing is the weight of a new measure in a target's mean, 0 to 1.
+	// Smoothing is the weight of a new sample in a target's mean latency, 0 to 1.
 	Smoothing float64
 }
 
-// EjectionDefaults returns the configuration for a service that states none.
+// EjectionDefaults returns the configuration for a bundle that sets none.
 func EjectionDefaults() EjectionConfig {
 	return EjectionConfig{
 		MaxShare:      0.34,
@@ -44,8 +44,8 @@
 	}
 }
 
-// EjectionFromBundle returns the limits that a bundle states, with the defaults for
-// those that it leaves at zero.
+// EjectionFromBundle returns the configuration that a bundle sets, with defaults
+// for its zero fields.
 func EjectionFromBundle(b btbundle.Ejection) EjectionConfig {
 	c := EjectionDefaults()
 	if b.MaxShare > 0 {
--- a/core/btroute/ejection_event.go
+++ b/core/btroute/ejection_event.go
@@ -7,74 +7,75 @@
 	"bilberrytide/core/btrequest"
 )
 
-// EjectionEvent is one of EjectionConfigured, EjectionMembers, Success, Measure,
-// Failure and ProbeSent.
+// EjectionEvent is one of EjectionConfigured, EjectionMembers, Success,
+// LatencySample, Failure and ProbeSent.
 type EjectionEvent interface{ ejectionEvent() }
 
-// EjectionConfigured replaces the limits.
+// EjectionConfigured replaces the configuration.
 type EjectionConfigured struct{ Ejection EjectionConfig }
 
 // EjectionMembers replaces the service's set of targets.
 type EjectionMembers struct{ Targets []btid.Target }
 
-// Success is the first token or byte of an answer.
+// Success reports the first token or byte of an answer.
 type Success struct{ Target btid.Target }
 
-// LatencySample is one sample of a target's speed: the time between tokens of a
-// model's answer, or the time to the first byte of a plain service's.
+// LatencySample is one measurement of a target's speed: the time between tokens for
+// a model, or the time to first byte for a plain service.
 type LatencySample struct {
-	Target btid.Target
-	Latency   time.Duration
+	Target  btid.Target
+	Latency time.Duration
 }
 
-// Failure is an attempt that the target or the way to it failed. A refusal for
-// want of capacity is none.
+// Failure reports an attempt that failed because of the target or the network. A
+// refusal for lack of capacity does not count.
 type Failure struct {
 	Target btid.Target
 	Reason btrequest.Reason
 }
 
-// ProbeSent tells that a request was sent to a target that is out.
+// ProbeSent reports that a request was sent to an ejected target.
 type ProbeSent struct{ Target btid.Target }
 
 func (EjectionConfigured) ejectionEvent() {}
 func (EjectionMembers) ejectionEvent()    {}
 func (Success) ejectionEvent()            {}
-func (LatencySample) ejectionEvent()            {}
+func (LatencySample) ejectionEvent()      {}
 func (Failure) ejectionEvent()            {}
 func (ProbeSent) ejectionEvent()          {}
 
-// Cause says why a target was ejected or restored.
+// Cause is the reason for an ejection or a restoration.
 type Cause string
 
 const (
-	// ConsecutiveFailures: several attempts in a row failed.
+	// ConsecutiveFailures: Failures attempts in a row failed.
 	ConsecutiveFailures Cause = "failures_in_row"
-	// Slow: far slower than the median of the service.
+	// Slow: the target's mean latency is far above the service's median.
 	Slow Cause = "slow"
-	// FailedProbe: the request that tried the target failed.
+	// FailedProbe: the probe failed.
 	FailedProbe Cause = "failed_probe"
-	// SlowProbe: the request that tried the target was slow.
+	// SlowProbe: the probe was answered, but too slowly.
 	SlowProbe Cause = "slow_probe"
-	// ProbeAnswered: the request that tried the target was answered in time.
+	// ProbeAnswered: the probe was answered in time.
 	ProbeAnswered Cause = "probe_answered"
-	// CapShrank: the service has fewer targets, so fewer may be out.
+	// CapShrank: fewer targets may be ejected, because the service became smaller or
+	// the limit was lowered.
 	CapShrank Cause = "cap_shrank"
 )
 
-// Evidence is what a target was judged by.
+// Evidence holds the measurements behind a decision.
 type Evidence struct {
-	// Failures is how many attempts in a row failed.
+	// Failures is the number of consecutive failed attempts.
 	Failures int `json:"failures"`
-	// Mean is the target's average of Samples measures, Median the service's
-	// median of averages; zero where there were too few.
+	// Mean is the target's mean latency over Samples, Median the service's median of
+	// means; Median is zero if it was not used.
 	Mean    time.Duration `json:"mean"`
 	Median  time.Duration `json:"median"`
 	Samples int           `json:"samples"`
-	// Streak is how many times in a row the target was out.
+	// Streak is the number of consecutive ejections.
 	Streak int `json:"streak"`
-	// Out and Limit are how many targets of the service were out before, and
-	// may be.
+	// Out is how many targets of the service were ejected before the decision, Limit
+	// how many may be.
 	Out   int `json:"out"`
 	Limit int `json:"limit"`
 }
@@ -85,7 +86,7 @@
 	Effect
 }
 
-// Ejected tells that a target is out of rotation, until it is tried again.
+// Ejected reports that a target is out of rotation; it is probed from Until on.
 type Ejected struct {
 	Service  btid.Service `json:"service"`
 	Target   btid.Target  `json:"target"`
@@ -94,16 +95,16 @@
 	Evidence Evidence     `json:"evidence"`
 }
 
-// Restored tells that a target is in rotation again.
+// Restored reports that a target is back in rotation.
 type Restored struct {
-	Service btid.Service  `json:"service"`
-	Target  btid.Target   `json:"target"`
-	Cause   Cause         `json:"cause"`
-	EjectedFor     time.Duration `json:"out"`
+	Service    btid.Service  `json:"service"`
+	Target     btid.Target   `json:"target"`
+	Cause      Cause         `json:"cause"`
+	EjectedFor time.Duration `json:"out"`
 }
 
-// Withheld tells that a target would be ejected, were the cap not reached. It
-// is said once until the target recovers or is ejected.
+// Withheld reports that a target was not ejected because the cap is reached. It is
+// emitted once until the target recovers or is ejected.
 type Withheld struct {
 	Service  btid.Service `json:"service"`
 	Target   btid.Target  `json:"target"`
--- a/core/btroute/ejection_test.go
+++ b/core/btroute/ejection_test.go
@@ -36,11 +36,13 @@
 	return effects
 }
 
+// TestEjectionForFailures guards against ejecting a target whose failures are not
+// consecutive, and against exceeding the cap or reporting it more than once.
 func TestEjectionForFailures(t *testing.T) {
 	e := newEjector(4, btroute.EjectionDefaults())
 	assert.Equal(t, len(fail(e, epoch, "t000", 4)), 0)
 	e.Step(epoch, btroute.Success{Target: "t000"})
-	assert.Equal(t, len(fail(e, epoch, "t000", 4)), 0, "a success ends the row")
+	assert.Equal(t, len(fail(e, epoch, "t000", 4)), 0, "a success resets the count of failures")
 
 	effects := fail(e, epoch, "t000", 1)
 	assert.Equal(t, len(effects), 1)
@@ -50,12 +52,14 @@
 	assert.Equal(t, ejected.Until, epoch.Add(5*time.Second))
 
 	withheld := fail(e, epoch, "t001", 9)
-	assert.Equal(t, len(withheld), 1, "said once")
+	assert.Equal(t, len(withheld), 1, "Withheld is emitted once")
 	assert.Equal(t, withheld[0].(btroute.Withheld).Evidence.Limit, 1)
 	assert.Equal(t, e.EjectedCount(), 1)
 }
 
-func TestTimeOutDoublesAndProbeRestores(t *testing.T) {
+// TestEjectionTimeDoublesUntilProbeSucceeds guards against probing a failed target
+// too early, with several requests at once, or at a constant interval.
+func TestEjectionTimeDoublesUntilProbeSucceeds(t *testing.T) {
 	e := newEjector(4, btroute.EjectionDefaults())
 	fail(e, epoch, "t000", 5)
 	now := epoch
@@ -77,6 +81,8 @@
 	assert.Equal(t, e.EjectedCount(), 0)
 }
 
+// TestEjectionForSlowness guards against restoring a slow target because it
+// answered: only a latency sample near the median restores it.
 func TestEjectionForSlowness(t *testing.T) {
 	e := newEjector(6, btroute.EjectionDefaults())
 	var effects []btroute.EjectionEffect
@@ -100,7 +106,7 @@
 
 	now = ejected.Until
 	e.Step(now, btroute.ProbeSent{Target: "t002"})
-	assert.Equal(t, len(e.Step(now, btroute.Success{Target: "t002"})), 0, "an answer is no proof of speed")
+	assert.Equal(t, len(e.Step(now, btroute.Success{Target: "t002"})), 0, "an answer alone must not restore a slow target")
 	slow := e.Step(now, btroute.LatencySample{Target: "t002", Latency: 45 * time.Millisecond})
 	assert.Equal(t, slow[0].(btroute.Ejected).Cause, btroute.SlowProbe)
 	now = slow[0].(btroute.Ejected).Until
@@ -108,7 +114,9 @@
 	assert.Assert(t, !e.Ejected("t002"))
 }
 
-func TestCapShrinksWithTheService(t *testing.T) {
+// TestMemberRemovalLowersCap guards against exceeding the cap after a bundle removes
+// targets or lowers MaxShare.
+func TestMemberRemovalLowersCap(t *testing.T) {
 	e := newEjector(9, btroute.EjectionDefaults())
 	for _, name := range targetNames(3) {
 		fail(e, epoch, name, 5)
@@ -126,8 +134,8 @@
 	assert.Equal(t, e.EjectedCount(), 0)
 }
 
-// TestEjectionCap drives ejectors at random; without a cap the same run finds
-// all targets of a service ejected.
+// TestEjectionCap applies random events and checks that ejections stay within the
+// cap. Without a cap, the same events eject all targets of a service.
 func TestEjectionCap(t *testing.T) {
 	for _, c := range []struct {
 		share  float64
@@ -163,6 +171,8 @@
 	}
 }
 
+// TestProbesAndLastResort checks that a request is sent to an ejected target if no
+// other is left, and that only one request without an idempotency key is the probe.
 func TestProbesAndLastResort(t *testing.T) {
 	r := newRouter(3, 1)
 	out := func(name btid.Target) {
--- a/core/btroute/event.go
+++ b/core/btroute/event.go
@@ -8,11 +8,11 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Event is one of Configured, Members, Lease, Leaving, Load and Failed.
+// Event is one of Configured, Members, Lease, Leaving, LoadEvent and Failed.
 type Event interface{ routeEvent() }
 
-// Configured puts a bundle's limits on ejection in force. Where fewer targets may
-// be out, those out longest come back at once.
+// Configured applies a bundle's ejection limits. If fewer targets may be ejected
+// than are, the ones ejected longest ago are restored at once.
 type Configured struct{ Ejection EjectionConfig }
 
 // Member is one target of a service.
@@ -22,30 +22,32 @@
 	Region     string
 }
 
-// Members replaces a service's set of targets, as the bundle lists it.
+// Members replaces a service's set of targets with the one that the bundle lists.
 type Members struct {
 	Service btid.Service
 	Targets []Member
 }
 
-// Lease is a heartbeat: the target may be given new work until the time.
+// Lease extends the time until which the target may be given new requests, by a
+// heartbeat.
 type Lease struct {
 	Target btid.Target
 	Until  time.Time
 }
 
-// Leaving tells whether the target is leaving the fleet, by whichever signal.
+// Leaving reports whether the target is leaving the service, however it was signalled.
 type Leaving struct {
 	Target  btid.Target
 	Leaving bool
 }
 
-// LoadEvent carries an event on to the load tracker.
+// LoadEvent passes an event to the load tracker.
 type LoadEvent struct{ Event btload.Event }
 
-// Failed is an attempt that the target or the way to it failed: lost contact, a
-// timeout, an error of the target's own. A refusal for want of capacity or
-// because the target drains is none. It comes beside btload.Finished.
+// Failed reports an attempt that failed because of the target or the network: a
+// lost connection, a timeout, or an error of the target itself. A refusal for lack
+// of capacity or because of draining does not count. It is sent in addition to
+// btload.Finished.
 type Failed struct {
 	Target btid.Target
 	Reason btrequest.Reason
@@ -55,13 +57,13 @@
 func (Members) routeEvent()    {}
 func (Lease) routeEvent()      {}
 func (Leaving) routeEvent()    {}
-func (LoadEvent) routeEvent()       {}
+func (LoadEvent) routeEvent()  {}
 func (Failed) routeEvent()     {}
 
 // Effect is one of Ejected, Restored, Withheld and LoadEffect.
 type Effect interface{ routeEffect() }
 
-// LoadEffect carries an effect of the load tracker.
+// LoadEffect wraps an effect of the load tracker.
 type LoadEffect struct{ Effect btload.Effect }
 
 func (LoadEffect) routeEffect() {}
--- a/core/btroute/router.go
+++ b/core/btroute/router.go
@@ -17,58 +17,58 @@
 
 // Router picks targets for one entry. It is not safe for concurrent use.
 type Router struct {
-	config  Config
-	tracker *btload.Tracker
-	assert  *btassert.Asserter
-	policy  Policy[*Candidate]
-	pools   map[btid.Service]*pool
-	members map[btid.Target]*Candidate
-	latest  time.Time
-	query   Query
-	open    []*Candidate
-	ejected []*Candidate
+	config   Config
+	tracker  *btload.Tracker
+	assert   *btassert.Asserter
+	policy   Policy[*Candidate]
+	pools    map[btid.Service]*pool
+	members  map[btid.Target]*Candidate
+	latest   time.Time
+	query    Query
+	eligible []*Candidate
+	ejected  []*Candidate
 }
 
 var _ btcore.Machine[Event, Effect] = (*Router)(nil)
 
 // Candidate is one target as policies see it.
 type Candidate struct {
-	name    btid.Target
-	pool    *pool
-	hash    uint64
-	tier    int
-	penalty time.Duration
-	load    *btload.Target
-	until   time.Time
-	leaving bool
-	// draining repeats the last report's flag beside the other flags, since every
-	// pick reads it of every target.
+	name       btid.Target
+	pool       *pool
+	hash       uint64
+	tier       int
+	penalty    time.Duration
+	load       *btload.Target
+	leaseUntil time.Time
+	leaving    bool
+	// draining is a copy of the last load report's flag, kept here because every
+	// pick reads it for every target.
 	draining bool
-	out      bool
+	ejected  bool
 }
 
-// pool is one service's targets, nearest first.
+// pool is the set of one service's targets, nearest first.
 type pool struct {
 	service btid.Service
 	members []*Candidate
 	ejector *Ejector
 }
 
-// Distances of a target from the entry.
+// Distance of a target from the entry.
 const (
-	tierLocal = iota
-	tierNear
-	tierFar
+	tierSameDataCentre = iota
+	tierSameRegion
+	tierOtherRegion
 )
 
 // Name returns the target's name.
 func (c *Candidate) Name() btid.Target { return c.name }
 
-// Load returns what is known of the target's load.
+// Load returns the entry's state of the target's load.
 func (c *Candidate) Load() *btload.Target { return c.load }
 
-// New returns a router that knows no target. It owns the tracker from then on;
-// load events reach it through Load.
+// New returns a router without targets. It takes ownership of the tracker, which
+// then receives its events only through LoadEvent.
 func New(c Config, tracker *btload.Tracker, source rand.Source, a *btassert.Asserter) *Router {
 	r := &Router{
 		config:  c,
@@ -77,24 +77,25 @@
 		pools:   map[btid.Service]*pool{},
 		members: map[btid.Target]*Candidate{},
 	}
-	r.policy = newSampled(c.AffinitySamples, c.RandomSamples, source, candidateHash, r.cost)
+	r.policy = newSamplingPolicy(c.AffinitySamples, c.RandomSamples, source, candidateHash, r.cost)
 	return r
 }
 
-// SetPolicy replaces the policy; the benchmarks put in the baselines.
+// SetPolicy replaces the policy. Benchmarks use it to run baselines.
 func (r *Router) SetPolicy(p Policy[*Candidate]) { r.policy = p }
 
 func candidateHash(c *Candidate) uint64 { return c.hash }
 
-// cost is the expected time to the first token with the penalties for distance
-// and for a rank's part in its group's step.
+// cost returns the expected time to first token plus the penalties for distance and
+// for imbalance within a lock-step group.
 func (r *Router) cost(q *Query, c *Candidate) time.Duration {
 	e := c.load.Estimate(q.Now, q.Tokens, q.Prefixes)
 	return e.FirstToken + c.penalty + r.skewPenalty(c, e.Outstanding)
 }
 
-// skewPenalty prices what a request adds to its group's slowest step: it grows
-// with the rank's batch, and with its expert work over the group's mean.
+// skewPenalty estimates how much a request slows the group's step, which takes as
+// long as its slowest rank. It grows with the rank's batch and with its expert work
+// relative to the group's mean.
 func (r *Router) skewPenalty(c *Candidate, outstanding int) time.Duration {
 	report, ok := c.load.Report()
 	if !ok || report.ExpertLoad == 0 || report.Slots == 0 {
@@ -104,17 +105,17 @@
 	return time.Duration(r.config.SkewWeight * load * float64(report.StepTime))
 }
 
-// Step applies one event. Events of targets that no service lists are ignored.
+// Step applies one event. Events for targets that no service lists are ignored.
 func (r *Router) Step(now time.Time, event Event) []Effect {
-	now = r.advance(now)
+	now = r.advanceClock(now)
 	switch e := event.(type) {
 	case Configured:
 		return r.configure(now, e)
 	case Members:
 		return r.setMembers(now, e)
 	case Lease:
-		if c, ok := r.members[e.Target]; ok && e.Until.After(c.until) {
-			c.until = e.Until
+		if c, ok := r.members[e.Target]; ok && e.Until.After(c.leaseUntil) {
+			c.leaseUntil = e.Until
 		}
 	case Leaving:
 		if c, ok := r.members[e.Target]; ok {
@@ -130,7 +131,7 @@
 	return nil
 }
 
-func (r *Router) advance(now time.Time) time.Time {
+func (r *Router) advanceClock(now time.Time) time.Time {
 	if now.Before(r.latest) {
 		return r.latest
 	}
@@ -138,19 +139,19 @@
 	return now
 }
 
-// stepLoad drives the tracker and hands its measurements to the ejector.
+// stepLoad passes the event to the tracker, and its measurements to the ejector.
 func (r *Router) stepLoad(now time.Time, event btload.Event) []Effect {
 	c, ok := r.members[event.AboutTarget()]
 	if !ok {
 		return nil
 	}
 	var effects []Effect
-	if _, sent := event.(btload.Sent); sent && c.out {
+	if _, sent := event.(btload.Sent); sent && c.ejected {
 		effects = append(effects, r.stepEjector(now, c.pool, ProbeSent{Target: c.name})...)
 	}
 	for _, f := range r.tracker.Step(now, event) {
 		effects = append(effects, LoadEffect{Effect: f})
-		for _, e := range judge(f) {
+		for _, e := range ejectionEvents(f) {
 			effects = append(effects, r.stepEjector(now, c.pool, e)...)
 		}
 	}
@@ -158,10 +159,10 @@
 	return effects
 }
 
-// judge returns what a measurement says of its target. A model is judged by the
-// time between tokens, which unlike the time to the first one does not depend
-// on a queue that this entry may not have known of.
-func judge(effect btload.Effect) []EjectionEvent {
+// ejectionEvents converts a measurement to events of the ejector. A model's target
+// is judged by the time between tokens: the time to first token also depends on a
+// queue that this entry may not have known of.
+func ejectionEvents(effect btload.Effect) []EjectionEvent {
 	switch m := effect.(type) {
 	case btload.Measured:
 		if m.Tokens > 0 {
@@ -179,16 +180,16 @@
 	for _, f := range p.ejector.Step(now, event) {
 		switch e := f.(type) {
 		case Ejected:
-			r.setOut(p, e.Target, true)
+			r.setEjected(p, e.Target, true)
 		case Restored:
-			r.setOut(p, e.Target, false)
+			r.setEjected(p, e.Target, false)
 		}
 		effects = append(effects, f)
 	}
 	return effects
 }
 
-// configure hands the limits to each service's ejector, in order of names.
+// configure passes the new limits to the ejector of each service, in order of name.
 func (r *Router) configure(now time.Time, e Configured) []Effect {
 	r.config.Ejection = e.Ejection
 	var effects []Effect
@@ -198,10 +199,10 @@
 	return effects
 }
 
-// setOut marks a target, unless the bundle has moved it to another service.
-func (r *Router) setOut(p *pool, name btid.Target, out bool) {
+// setEjected updates a target's flag, unless the bundle moved it to another service.
+func (r *Router) setEjected(p *pool, name btid.Target, out bool) {
 	if c, ok := r.members[name]; ok && c.pool == p {
-		c.out = out
+		c.ejected = out
 	}
 }
 
@@ -215,7 +216,7 @@
 	listed := make([]*Candidate, 0, len(m.Targets))
 	for _, t := range m.Targets {
 		names = append(names, t.Target)
-		listed = append(listed, r.place(p, t))
+		listed = append(listed, r.placeCandidate(p, t))
 	}
 	slices.SortFunc(listed, func(a, b *Candidate) int {
 		return cmp.Or(cmp.Compare(a.tier, b.tier), cmp.Compare(a.name, b.name))
@@ -235,8 +236,9 @@
 	return r.stepEjector(now, p, EjectionMembers{Targets: names})
 }
 
-// place returns the target's candidate, made or moved to the pool.
-func (r *Router) place(p *pool, m Member) *Candidate {
+// placeCandidate returns the target's candidate in the pool, creating it or moving
+// it from another pool as needed.
+func (r *Router) placeCandidate(p *pool, m Member) *Candidate {
 	c, ok := r.members[m.Target]
 	if !ok {
 		c = &Candidate{name: m.Target, hash: xxhash.Sum64String(string(m.Target))}
@@ -246,16 +248,16 @@
 		if c.pool != nil {
 			c.pool.members = slices.DeleteFunc(c.pool.members, func(m *Candidate) bool { return m == c })
 		}
-		c.pool, c.out = p, false
+		c.pool, c.ejected = p, false
 		c.load = r.tracker.Target(p.service, m.Target)
 	}
 	switch {
 	case m.DataCentre == r.config.DataCentre:
-		c.tier, c.penalty = tierLocal, 0
+		c.tier, c.penalty = tierSameDataCentre, 0
 	case m.Region == r.config.Region:
-		c.tier, c.penalty = tierNear, r.config.Penalties.OtherDataCentre
+		c.tier, c.penalty = tierSameRegion, r.config.Penalties.OtherDataCentre
 	default:
-		c.tier, c.penalty = tierFar, r.config.Penalties.OtherRegion
+		c.tier, c.penalty = tierOtherRegion, r.config.Penalties.OtherRegion
 	}
 	return c
 }
--- a/core/btroute/router_test.go
+++ b/core/btroute/router_test.go
@@ -18,21 +18,21 @@
 	"bilberrytide/core/btroute"
 )
 
-// model is what a test knows of each target, kept apart from the router.
+// model is the test's own record of the targets' state, independent of the router.
 type model struct {
-	router   *btroute.Router
-	now      time.Time
-	members  []btid.Target
-	until    map[btid.Target]time.Time
-	leaving  map[btid.Target]bool
-	draining map[btid.Target]bool
-	number   uint64
-	reports  uint64
-	inFlight []flight
-	picks    int
+	router     *btroute.Router
+	now        time.Time
+	members    []btid.Target
+	leaseUntil map[btid.Target]time.Time
+	leaving    map[btid.Target]bool
+	draining   map[btid.Target]bool
+	number     uint64
+	reports    uint64
+	requests   []sentRequest
+	picks      int
 }
 
-type flight struct {
+type sentRequest struct {
 	target btid.Target
 	number uint64
 }
@@ -42,16 +42,16 @@
 	config.DataCentre, config.Region, config.Ejection = "dc0", "r0", c
 	router := btroute.New(config, btload.New(btload.Defaults()), rand.NewPCG(1, 2), btassert.New(btassert.Panic()))
 	return &model{
-		router:   router,
-		now:      epoch,
-		until:    map[btid.Target]time.Time{},
-		leaving:  map[btid.Target]bool{},
-		draining: map[btid.Target]bool{},
+		router:     router,
+		now:        epoch,
+		leaseUntil: map[btid.Target]time.Time{},
+		leaving:    map[btid.Target]bool{},
+		draining:   map[btid.Target]bool{},
 	}
 }
 
-func (m *model) takesWork(name btid.Target) bool {
-	return slices.Contains(m.members, name) && m.now.Before(m.until[name]) && !m.leaving[name] && !m.draining[name]
+func (m *model) available(name btid.Target) bool {
+	return slices.Contains(m.members, name) && m.now.Before(m.leaseUntil[name]) && !m.leaving[name] && !m.draining[name]
 }
 
 // step applies one random event to the router and to the model.
@@ -65,8 +65,8 @@
 	case 1, 2, 3:
 		until := m.now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(t, "lease")) * time.Millisecond)
 		m.router.Step(m.now, btroute.Lease{Target: name, Until: until})
-		if member && until.After(m.until[name]) {
-			m.until[name] = until
+		if member && until.After(m.leaseUntil[name]) {
+			m.leaseUntil[name] = until
 		}
 	case 4:
 		leaving := rapid.Bool().Draw(t, "leaving")
@@ -86,7 +86,8 @@
 	}
 }
 
-// setMembers lists the first targets; one that goes loses what was known of it.
+// setMembers makes the first count targets the members. The state of removed
+// targets is discarded.
 func (m *model) setMembers(count int) {
 	var members []btroute.Member
 	m.members = nil
@@ -95,7 +96,7 @@
 		members = append(members, btroute.Member{Target: targetName(i), DataCentre: btid.DataCentre(fmt.Sprintf("dc%d", i%3)), Region: fmt.Sprintf("r%d", i%2)})
 	}
 	for i := count; i < 10; i++ {
-		delete(m.until, targetName(i))
+		delete(m.leaseUntil, targetName(i))
 		delete(m.leaving, targetName(i))
 		delete(m.draining, targetName(i))
 	}
@@ -103,12 +104,12 @@
 }
 
 func (m *model) finish(t *rapid.T) {
-	if len(m.inFlight) == 0 {
+	if len(m.requests) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "flight")
-	f := m.inFlight[i]
-	m.inFlight = slices.Delete(m.inFlight, i, i+1)
+	i := rapid.IntRange(0, len(m.requests)-1).Draw(t, "flight")
+	f := m.requests[i]
+	m.requests = slices.Delete(m.requests, i, i+1)
 	m.router.Step(m.now, btroute.LoadEvent{Event: btload.Started{Target: f.target, Number: f.number}})
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "decode")) * time.Millisecond)
 	m.router.Step(m.now, btroute.LoadEvent{Event: btload.Finished{Target: f.target, Number: f.number, OutputTokens: 10}})
@@ -123,11 +124,11 @@
 	}
 	choice, err := m.router.Pick(m.now, btroute.Request{Service: "s", Tokens: 200, Prefixes: []uint64{1, 2, 3}, Tried: tried})
 	open := slices.DeleteFunc(slices.Clone(m.members), func(name btid.Target) bool {
-		return !m.takesWork(name) || slices.Contains(tried, name)
+		return !m.available(name) || slices.Contains(tried, name)
 	})
 	var none *btroute.NoTargetError
 	if errors.As(err, &none) {
-		assert.Equal(t, len(open), 0, "refused with %s though %v take work", none.Reason, open)
+		assert.Equal(t, len(open), 0, "refused with %s although %v are available", none.Reason, open)
 		return
 	}
 	assert.NilError(t, err)
@@ -135,13 +136,13 @@
 	m.picks++
 	m.number++
 	m.router.Step(m.now, btroute.LoadEvent{Event: btload.Sent{Target: choice.Target, Number: m.number, Tokens: 200}})
-	m.inFlight = append(m.inFlight, flight{choice.Target, m.number})
+	m.requests = append(m.requests, sentRequest{choice.Target, m.number})
 }
 
-// TestRandomisedPicks drives a router with members that come and go, leases,
-// drains, failures and ejections. Each pick is checked against a model of its
-// own, and the invariants are asserted inside the router; a service with a
-// target that takes work is never refused.
+// TestRandomisedPicks applies random changes of members, leases, draining, failures
+// and ejections, and compares each pick with a separate model. It guards against
+// picking an unavailable target and against refusing a request while a target is
+// available. The router asserts its invariants in the same run.
 func TestRandomisedPicks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := btroute.EjectionDefaults()
@@ -154,8 +155,8 @@
 	})
 }
 
-// TestNaivePickFails runs the same events with a pick that knows only the list
-// of members: it is found to pick a target that takes no work.
+// TestNaivePickFails checks that the random events expose a faulty pick: choosing
+// from the member list alone selects targets that are unavailable.
 func TestNaivePickFails(t *testing.T) {
 	violations := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -164,7 +165,7 @@
 		for i := range 100 {
 			m.step(t)
 			name, ok := btrendezvous.First(fmt.Sprint(i), m.members)
-			if ok && !m.takesWork(name) {
+			if ok && !m.available(name) {
 				violations++
 			}
 		}
@@ -172,7 +173,9 @@
 	assert.Assert(t, violations > 0)
 }
 
-func TestPrefersTheOwnDataCentre(t *testing.T) {
+// TestPrefersSameDataCentre guards against sending most idle-time requests to other
+// data centres because penalties are ignored.
+func TestPrefersSameDataCentre(t *testing.T) {
 	r := newRouter(9, 1)
 	local := 0
 	for range 1000 {
@@ -182,10 +185,12 @@
 			local++
 		}
 	}
-	assert.Assert(t, local > 600, "%d of 1000 idle picks", local)
+	assert.Assert(t, local > 600, "%d of 1000 picks without load are in the same data centre", local)
 }
 
-func TestAffinityMeetsAcrossEntries(t *testing.T) {
+// TestEntriesShareAffinityTargets guards against spreading a common prefix over all
+// caches: entries with different random seeds must choose mostly the same targets.
+func TestEntriesShareAffinityTargets(t *testing.T) {
 	prefixes := btload.Prefixes(make([]byte, 16*btload.ChunkBytes))
 	request := btroute.Request{Service: "s", Tokens: 16 * btload.ChunkTokens, Prefixes: prefixes}
 	picked := map[btid.Target]bool{}
@@ -199,10 +204,11 @@
 			picked[choice.Target] = true
 		}
 	}
-	assert.Assert(t, len(picked) <= 25, "%d targets hold the prefix of 60", len(picked))
+	assert.Assert(t, len(picked) <= 25, "%d of 60 targets hold the prefix", len(picked))
 }
 
-func TestRefusalReasons(t *testing.T) {
+// TestNoTargetReasons checks the reason given for each way to find no target.
+func TestNoTargetReasons(t *testing.T) {
 	r := newRouter(2, 1)
 	for _, c := range []struct {
 		request btroute.Request
@@ -218,6 +224,8 @@
 	}
 }
 
+// TestTargetMovedToAnotherService guards against a moved target staying in the old
+// service's pool.
 func TestTargetMovedToAnotherService(t *testing.T) {
 	r := newRouter(3, 1)
 	r.Step(epoch, btroute.Members{Service: "other", Targets: []btroute.Member{{Target: "t000"}}})
