--- a/core/btbench/world.go
+++ b/core/btbench/world.go
@@ -241,7 +241,7 @@
 					continue
 				}
 				w.at(now.Add(delay), func(now time.Time) {
-					t.step(now, btroute.LoadEvent{Event: btload.Cached{Batch: batch}})
+					t.step(now, btroute.LoadEvent{Event: btload.CacheReported{Batch: batch}})
 				})
 			}
 		}
--- a/core/btload/btload.go
+++ b/core/btload/btload.go
@@ -34,8 +34,8 @@
 	OutputTokens int
 	// Smoothing is the weight of a new sample in each moving average, 0 to 1.
 	Smoothing float64
-	// MaxFlights is how many of this entry's requests are tracked per target.
-	MaxFlights int
+	// MaxInFlight is how many of this entry's requests are tracked per target.
+	MaxInFlight int
 	// MaxPrefixes is how many cached prefixes are remembered per target.
 	MaxPrefixes int
 	// MaxGap is how many missing cache events only age a view; after a longer
@@ -53,7 +53,7 @@
 		Decode:       10 * time.Millisecond,
 		OutputTokens: 128,
 		Smoothing:    0.1,
-		MaxFlights:   1024,
+		MaxInFlight:  1024,
 		MaxPrefixes:  2048,
 		MaxGap:       64,
 	}
--- a/core/btload/estimate.go
+++ b/core/btload/estimate.go
@@ -6,14 +6,14 @@
 type Estimate struct {
 	// FirstToken is the expected time to the first token.
 	FirstToken time.Duration
-	// Wait is the part of it spent waiting for a slot.
-	Wait time.Duration
-	// Cached is how many prompt tokens are believed to be in the cache.
-	Cached int
+	// SlotWait is the part of it spent waiting for a slot.
+	SlotWait time.Duration
+	// CachedTokens is how many prompt tokens are believed to be in the cache.
+	CachedTokens int
 	// Outstanding is how many requests are believed to run or wait.
 	Outstanding int
-	// Ahead is how many prompt tokens are believed to be processed first.
-	Ahead int64
+	// BacklogTokens is how many prompt tokens are believed to be processed first.
+	BacklogTokens int64
 }
 
 // fleet holds what is learned over all targets, for those not measured yet.
@@ -35,16 +35,16 @@
 	perToken := t.prefill.or(t.fleet.prefillRate())
 	step := t.step()
 	e := Estimate{
-		Cached:      cached,
-		Outstanding: t.outstanding(),
-		Ahead:       t.ahead(now, perToken),
+		CachedTokens:  cached,
+		Outstanding:   t.outstanding(),
+		BacklogTokens: t.ahead(now, perToken),
 	}
-	e.Wait = t.wait(e.Outstanding, perToken)
-	backlog := time.Duration(float64(e.Ahead) * perToken * float64(time.Second))
+	e.SlotWait = t.wait(e.Outstanding, perToken)
+	backlog := time.Duration(float64(e.BacklogTokens) * perToken * float64(time.Second))
 	own := time.Duration(float64(tokens-cached) * perToken * float64(time.Second))
 	// Prompts ahead are processed while slots are waited for, so the longer of
 	// the two counts.
-	e.FirstToken = max(e.Wait, backlog) + own + step
+	e.FirstToken = max(e.SlotWait, backlog) + own + step
 	return e
 }
 
--- a/core/btload/event.go
+++ b/core/btload/event.go
@@ -16,8 +16,8 @@
 // Reported is the arrival of a report, alone or with an answer.
 type Reported struct{ Report Report }
 
-// Cached is the arrival of cache events.
-type Cached struct{ Batch CacheEvents }
+// CacheReported is the arrival of cache events.
+type CacheReported struct{ Batch CacheEvents }
 
 // Sent tells that this entry sent a request to the target. Number is the
 // attempt's own number, never used again for this target.
@@ -47,18 +47,18 @@
 // Removed tells that the target is gone from the bundle.
 type Removed struct{ Target btid.Target }
 
-func (Reported) loadEvent() {}
-func (Cached) loadEvent()   {}
-func (Sent) loadEvent()     {}
-func (Started) loadEvent()  {}
-func (Finished) loadEvent() {}
-func (Removed) loadEvent()  {}
+func (Reported) loadEvent()      {}
+func (CacheReported) loadEvent() {}
+func (Sent) loadEvent()          {}
+func (Started) loadEvent()       {}
+func (Finished) loadEvent()      {}
+func (Removed) loadEvent()       {}
 
 // AboutTarget returns the target that the event is about.
 func (e Reported) AboutTarget() btid.Target { return e.Report.Target }
 
 // AboutTarget returns the target that the event is about.
-func (e Cached) AboutTarget() btid.Target { return e.Batch.Target }
+func (e CacheReported) AboutTarget() btid.Target { return e.Batch.Target }
 
 // AboutTarget returns the target that the event is about.
 func (e Sent) AboutTarget() btid.Target { return e.Target }
@@ -75,8 +75,8 @@
 // Effect is one of Measured, Generated, ReportIgnored, ViewAged and FlightForgotten.
 type Effect interface{ loadEffect() }
 
-// Measured is the outcome of one estimate.
-type Measured struct {
+// FirstTokenMeasured is the outcome of one estimate.
+type FirstTokenMeasured struct {
 	Target btid.Target
 	// Tokens is the prompt's length; zero for a plain service.
 	Tokens int
@@ -86,8 +86,8 @@
 	Expected time.Duration
 }
 
-// Generated is the mean time between the tokens of one answer.
-type Generated struct {
+// DecodeMeasured is the mean time between the tokens of one answer.
+type DecodeMeasured struct {
 	Target   btid.Target
 	PerToken time.Duration
 }
@@ -95,22 +95,22 @@
 // ReportIgnored is a report that is not newer than the one in force.
 type ReportIgnored struct{ Target btid.Target }
 
-// ViewAged tells that cache events went missing.
-type ViewAged struct {
+// CacheEventsMissed tells that cache events went missing.
+type CacheEventsMissed struct {
 	Target  btid.Target
 	Missing uint64
 	Cleared bool
 }
 
-// FlightForgotten tells that more of this entry's requests were in flight to
+// InFlightOverflow tells that more of this entry's requests were in flight to
 // the target than are tracked.
-type FlightForgotten struct {
+type InFlightOverflow struct {
 	Target btid.Target
 	Number uint64
 }
 
-func (Measured) loadEffect()        {}
-func (Generated) loadEffect()       {}
-func (ReportIgnored) loadEffect()   {}
-func (ViewAged) loadEffect()        {}
-func (FlightForgotten) loadEffect() {}
+func (FirstTokenMeasured) loadEffect() {}
+func (DecodeMeasured) loadEffect()     {}
+func (ReportIgnored) loadEffect()      {}
+func (CacheEventsMissed) loadEffect()  {}
+func (InFlightOverflow) loadEffect()   {}
--- a/core/btload/level.go
+++ b/core/btload/level.go
@@ -27,9 +27,9 @@
 	return uint8(min(level, maxLevel))
 }
 
-// Told is a target's quantised load as another entry passed it on, for a target
+// LevelRelayed is a target's quantised load as another entry passed it on, for a target
 // whose reports don't come here.
-type Told struct {
+type LevelRelayed struct {
 	Target      btid.Target
 	Incarnation btid.Incarnation
 	Level       uint8
@@ -39,14 +39,14 @@
 	Age time.Duration
 }
 
-func (Told) loadEvent() {}
+func (LevelRelayed) loadEvent() {}
 
 // AboutTarget returns the target that the event is about.
-func (e Told) AboutTarget() btid.Target { return e.Target }
+func (e LevelRelayed) AboutTarget() btid.Target { return e.Target }
 
 // told takes a level in place of a report that is older than it. It leaves the
 // numbering of reports alone.
-func (t *Target) told(now time.Time, e Told) {
+func (t *Target) told(now time.Time, e LevelRelayed) {
 	sampled := now.Add(-e.Age)
 	if t.reported && (e.Incarnation < t.report.Incarnation || !sampled.After(t.sampledAt)) {
 		return
--- a/core/btload/level_test.go
+++ b/core/btload/level_test.go
@@ -17,7 +17,7 @@
 		report.Running, report.Waiting, report.Slots = min(outstanding, 16), max(outstanding-16, 0), 16
 		r := btload.New(btload.Defaults())
 		target := r.Target("s", "t1")
-		r.Step(epoch, btload.Told{Target: "t1", Incarnation: 1, Level: btload.Level(report), Slots: 16})
+		r.Step(epoch, btload.LevelRelayed{Target: "t1", Incarnation: 1, Level: btload.Level(report), Slots: 16})
 		told := target.Estimate(epoch, 0, nil).Outstanding
 		assert.Assert(t, told >= outstanding && told < outstanding+4, "%d told as %d", outstanding, told)
 	}
@@ -28,7 +28,7 @@
 	target := r.Target("s", "t1")
 	report := goodReport()
 	r.Step(at(10*time.Second), btload.Reported{Report: report})
-	older := btload.Told{Target: "t1", Incarnation: report.Incarnation, Level: btload.LevelDraining, Slots: 16, Age: 11 * time.Second}
+	older := btload.LevelRelayed{Target: "t1", Incarnation: report.Incarnation, Level: btload.LevelDraining, Slots: 16, Age: 11 * time.Second}
 	r.Step(at(20*time.Second), older)
 	assert.Assert(t, !target.Draining())
 	newer := older
@@ -38,7 +38,7 @@
 	report.Number++
 	r.Step(at(21*time.Second), btload.Reported{Report: report})
 	assert.Assert(t, !target.Draining(), "the next report counts whatever was told between")
-	restarted := btload.Told{Target: "t1", Incarnation: report.Incarnation + 1, Level: 2, Slots: 16}
+	restarted := btload.LevelRelayed{Target: "t1", Incarnation: report.Incarnation + 1, Level: 2, Slots: 16}
 	r.Step(at(22*time.Second), restarted)
 	held, _ := target.Report()
 	assert.Equal(t, held.Incarnation, report.Incarnation+1)
--- a/core/btload/message_test.go
+++ b/core/btload/message_test.go
@@ -90,7 +90,7 @@
 		}
 		tracker := btload.New(btload.Defaults())
 		target := tracker.Target("s", c.Target)
-		tracker.Step(epoch, btload.Cached{Batch: c})
+		tracker.Step(epoch, btload.CacheReported{Batch: c})
 		assert.Assert(t, target.CachedPrefixes() <= len(c.Events))
 	})
 }
--- a/core/btload/outbox.go
+++ b/core/btload/outbox.go
@@ -30,15 +30,15 @@
 	o.pending = append(o.pending, CacheEvent{Op: op, Prefix: prefix})
 	if len(o.pending) > o.limit {
 		o.pending = o.pending[1:]
-		o.Lose(1)
+		o.MarkLost(1)
 	}
 }
 
-// Lose notes that so many changes are not known.
-func (o *Outbox) Lose(count uint64) { o.next += count }
+// MarkLost notes that so many changes are not known.
+func (o *Outbox) MarkLost(count uint64) { o.next += count }
 
-// Restart begins anew with an empty cache.
-func (o *Outbox) Restart() {
+// Reset begins anew with an empty cache.
+func (o *Outbox) Reset() {
 	o.epoch++
 	o.next = 1
 	o.pending = nil
--- a/core/btload/outbox_test.go
+++ b/core/btload/outbox_test.go
@@ -24,11 +24,11 @@
 			case 0:
 				batch := outbox.Take(rapid.IntRange(0, 8).Draw(t, "count"))
 				assert.NilError(t, batch.Validate())
-				r.Step(epoch, btload.Cached{Batch: batch})
+				r.Step(epoch, btload.CacheReported{Batch: batch})
 			case 1:
-				outbox.Lose(uint64(rapid.IntRange(1, 100).Draw(t, "lost")))
+				outbox.MarkLost(uint64(rapid.IntRange(1, 100).Draw(t, "lost")))
 			case 2:
-				outbox.Restart()
+				outbox.Reset()
 				clear(evicted)
 			default:
 				prefix := rapid.Uint64Range(1, 12).Draw(t, "prefix")
@@ -42,12 +42,12 @@
 		}
 		// The limit is above the number of prefixes, so nothing overflowed.
 		for outbox.Len() > 0 {
-			r.Step(epoch, btload.Cached{Batch: outbox.Take(8)})
+			r.Step(epoch, btload.CacheReported{Batch: outbox.Take(8)})
 		}
-		r.Step(epoch, btload.Cached{Batch: outbox.Take(0)})
+		r.Step(epoch, btload.CacheReported{Batch: outbox.Take(0)})
 		for prefix, gone := range evicted {
 			if gone {
-				assert.Equal(t, target.Estimate(epoch, 1000, []uint64{prefix}).Cached, 0)
+				assert.Equal(t, target.Estimate(epoch, 1000, []uint64{prefix}).CachedTokens, 0)
 			}
 		}
 	})
--- a/core/btload/prefix.go
+++ b/core/btload/prefix.go
@@ -13,9 +13,9 @@
 // to the choice of a target.
 const MaxChunks = 64
 
-// PrefixOf returns the hash in an engine's name of a prefix, which is its first
+// EnginePrefixHash returns the hash in an engine's name of a prefix, which is its first
 // eight bytes.
-func PrefixOf(name [32]byte) uint64 { return binary.BigEndian.Uint64(name[:8]) }
+func EnginePrefixHash(name [32]byte) uint64 { return binary.BigEndian.Uint64(name[:8]) }
 
 // Prefixes returns the hashes of a prompt's chunk chain, shortest prefix first:
 // the i-th stands for the first (i+1)*ChunkBytes bytes. A chunk that is not full
--- a/core/btload/tracker.go
+++ b/core/btload/tracker.go
@@ -64,9 +64,9 @@
 	switch e := event.(type) {
 	case Reported:
 		return t.reportedAt(now, e.Report)
-	case Told:
+	case LevelRelayed:
 		t.told(now, e)
-	case Cached:
+	case CacheReported:
 		return r.cached(t, e.Batch)
 	case Sent:
 		return r.sent(now, t, e)
@@ -92,25 +92,25 @@
 	if missing == 0 {
 		return nil
 	}
-	return []Effect{ViewAged{Target: t.name, Missing: missing, Cleared: missing > r.config.MaxGap}}
+	return []Effect{CacheEventsMissed{Target: t.name, Missing: missing, Cleared: missing > r.config.MaxGap}}
 }
 
 func (r *Tracker) sent(now time.Time, t *Target, e Sent) []Effect {
 	var effects []Effect
-	if len(t.flights) >= r.config.MaxFlights {
+	if len(t.flights) >= r.config.MaxInFlight {
 		oldest := t.flights[0].number
-		t.end(now, oldest, r.config.MaxFlights)
-		effects = append(effects, FlightForgotten{Target: t.name, Number: oldest})
+		t.end(now, oldest, r.config.MaxInFlight)
+		effects = append(effects, InFlightOverflow{Target: t.name, Number: oldest})
 	}
 	estimate := t.Estimate(now, e.Tokens, e.Prefixes)
 	t.send(flight{
 		number:   e.Number,
 		sentAt:   now,
 		prompt:   e.Tokens,
-		tokens:   e.Tokens - estimate.Cached,
+		tokens:   e.Tokens - estimate.CachedTokens,
 		expected: estimate.FirstToken,
-		wait:     estimate.Wait,
-		ahead:    estimate.Ahead,
+		wait:     estimate.SlotWait,
+		ahead:    estimate.BacklogTokens,
 	})
 	for _, prefix := range e.Prefixes {
 		t.cache.add(prefix)
@@ -129,7 +129,7 @@
 		r.learnPrefill(t, latency, work)
 	}
 	t.fleet.prompt.add(float64(f.tokens), r.config.Smoothing)
-	return []Effect{Measured{
+	return []Effect{FirstTokenMeasured{
 		Target:   t.name,
 		Tokens:   f.prompt,
 		Latency:  latency,
@@ -145,7 +145,7 @@
 }
 
 func (r *Tracker) finished(now time.Time, t *Target, e Finished) []Effect {
-	f, ok := t.end(now, e.Number, r.config.MaxFlights)
+	f, ok := t.end(now, e.Number, r.config.MaxInFlight)
 	if !ok || e.Refused || f.startedAt.IsZero() || e.OutputTokens <= 1 {
 		return nil
 	}
@@ -153,5 +153,5 @@
 	t.decode.add(perToken.Seconds(), r.config.Smoothing)
 	t.fleet.decode.add(perToken.Seconds(), r.config.Smoothing)
 	t.fleet.output.add(float64(e.OutputTokens), r.config.Smoothing)
-	return []Effect{Generated{Target: t.name, PerToken: perToken}}
+	return []Effect{DecodeMeasured{Target: t.name, PerToken: perToken}}
 }
--- a/core/btload/tracker_test.go
+++ b/core/btload/tracker_test.go
@@ -24,7 +24,7 @@
 		r.Step(at(time.Second), btload.Sent{Target: "t1", Number: uint64(i + 1), Tokens: 800})
 	}
 	assert.Equal(t, target.Estimate(at(time.Second), 0, nil).Outstanding, 3)
-	assert.Equal(t, target.Estimate(at(time.Second), 0, nil).Ahead, int64(2400))
+	assert.Equal(t, target.Estimate(at(time.Second), 0, nil).BacklogTokens, int64(2400))
 
 	late := goodReport()
 	late.Number, late.Age = 2, 2*time.Second
@@ -115,9 +115,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := btload.New(btload.Defaults())
 			target := r.Target("s", "t1")
-			r.Step(epoch, btload.Cached{Batch: btload.CacheEvents{Target: "t1", Epoch: 1, Events: stored(0, 4, 1)}})
-			r.Step(epoch, btload.Cached{Batch: btload.CacheEvents{Target: "t1", Epoch: c.epoch, Events: c.events}})
-			assert.Equal(t, target.Estimate(epoch, 512, chain).Cached, c.chunks*btload.ChunkTokens)
+			r.Step(epoch, btload.CacheReported{Batch: btload.CacheEvents{Target: "t1", Epoch: 1, Events: stored(0, 4, 1)}})
+			r.Step(epoch, btload.CacheReported{Batch: btload.CacheEvents{Target: "t1", Epoch: c.epoch, Events: c.events}})
+			assert.Equal(t, target.Estimate(epoch, 512, chain).CachedTokens, c.chunks*btload.ChunkTokens)
 		})
 	}
 }
@@ -128,7 +128,7 @@
 func TestBoundedAndConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := btload.Defaults()
-		c.MaxFlights, c.MaxPrefixes = 8, 16
+		c.MaxInFlight, c.MaxPrefixes = 8, 16
 		r := btload.New(c)
 		target := r.Target("s", "t1")
 		now, number, report := epoch, uint64(0), uint64(0)
@@ -151,12 +151,12 @@
 				r.Step(now, btload.Reported{Report: v})
 			case 4:
 				event := btload.CacheEvent{Seq: any + 1, Op: btload.Stored, Prefix: any}
-				r.Step(now, btload.Cached{Batch: btload.CacheEvents{Target: "t1", Events: []btload.CacheEvent{event}}})
+				r.Step(now, btload.CacheReported{Batch: btload.CacheEvents{Target: "t1", Events: []btload.CacheEvent{event}}})
 			}
 			e := target.Estimate(now, 100, []uint64{1, 2, 3})
-			assert.Assert(t, target.InFlight() <= c.MaxFlights)
+			assert.Assert(t, target.InFlight() <= c.MaxInFlight)
 			assert.Assert(t, target.CachedPrefixes() <= c.MaxPrefixes)
-			assert.Assert(t, e.Outstanding >= target.InFlight() && e.Ahead >= 0 && e.FirstToken > 0, "%+v", e)
+			assert.Assert(t, e.Outstanding >= target.InFlight() && e.BacklogTokens >= 0 && e.FirstToken > 0, "%+v", e)
 		}
 		for i := range number + 1 {
 			r.Step(now, btload.Finished{Target: "t1", Number: i})
@@ -166,7 +166,7 @@
 		r.Step(now.Add(time.Second), btload.Reported{Report: v})
 		e := target.Estimate(now.Add(time.Second), 0, nil)
 		assert.Equal(t, e.Outstanding, 0)
-		assert.Equal(t, e.Ahead, int64(0))
+		assert.Equal(t, e.BacklogTokens, int64(0))
 	})
 }
 
--- a/core/btroute/capacity_test.go
+++ b/core/btroute/capacity_test.go
@@ -45,7 +45,7 @@
 		for i := range btload.MaxCacheEvents {
 			batch.Events = append(batch.Events, btload.CacheEvent{Seq: uint64(first + i + 1), Op: btload.Stored, Prefix: random.Uint64()})
 		}
-		r.Step(epoch, btroute.LoadEvent{Event: btload.Cached{Batch: batch}})
+		r.Step(epoch, btroute.LoadEvent{Event: btload.CacheReported{Batch: batch}})
 	}
 }
 
--- a/core/btroute/pick.go
+++ b/core/btroute/pick.go
@@ -139,7 +139,7 @@
 		Target:       c.name,
 		Reason:       reason,
 		Expected:     e.FirstToken,
-		CachedTokens: e.Cached,
+		CachedTokens: e.CachedTokens,
 		Candidates:   len(r.eligible) + len(r.ejected),
 	}, nil
 }
--- a/core/btroute/router.go
+++ b/core/btroute/router.go
@@ -164,12 +164,12 @@
 // queue that this entry may not have known of.
 func ejectionEvents(effect btload.Effect) []EjectionEvent {
 	switch m := effect.(type) {
-	case btload.Measured:
+	case btload.FirstTokenMeasured:
 		if m.Tokens > 0 {
 			return []EjectionEvent{Success{Target: m.Target}}
 		}
 		return []EjectionEvent{Success{Target: m.Target}, LatencySample{Target: m.Target, Latency: m.Latency}}
-	case btload.Generated:
+	case btload.DecodeMeasured:
 		return []EjectionEvent{LatencySample{Target: m.Target, Latency: m.PerToken}}
 	}
 	return nil
--- a/io/btagent/engine.go
+++ b/io/btagent/engine.go
@@ -95,7 +95,7 @@
 
 func (e *engine) restart() {
 	e.sequence = 0
-	e.outbox.Restart()
+	e.outbox.Reset()
 	e.restarted = true
 }
 
@@ -162,10 +162,10 @@
 		}
 		if lost := event.Sequence - e.sequence - 1; lost > 0 && e.sequence > 0 {
 			e.options.Meter.Refused(reasonCacheGap)
-			e.outbox.Lose(lost)
+			e.outbox.MarkLost(lost)
 		}
 		e.sequence = event.Sequence
-		e.outbox.Add(opOf(event.Op), btload.PrefixOf(event.Prefix))
+		e.outbox.Add(opOf(event.Op), btload.EnginePrefixHash(event.Prefix))
 	}
 	now := e.options.Clock()
 	count := min(e.outbox.Len(), int(e.allowed.TokensAt(now)))
--- a/io/btentry/configure.go
+++ b/io/btentry/configure.go
@@ -130,7 +130,7 @@
 	}
 	evidence := view.LeaseEnd.Add(-f.lease)
 	f.route(f.router.Step(now, btroute.Lease{Target: t.Name, Until: view.LeaseEnd}))
-	f.load(btload.Told{
+	f.load(btload.LevelRelayed{
 		Target:      t.Name,
 		Incarnation: view.Executor.Incarnation,
 		Level:       view.Level,
--- a/io/btentry/fleet.go
+++ b/io/btentry/fleet.go
@@ -186,5 +186,5 @@
 func (f *fleet) cached(batch btload.CacheEvents) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.load(btload.Cached{Batch: batch})
+	f.load(btload.CacheReported{Batch: batch})
 }
--- a/io/bthttp/prompt_test.go
+++ b/io/bthttp/prompt_test.go
@@ -37,7 +37,7 @@
 	for _, name := range btstandin.Prefixes(request.Prompt()) {
 		var digest btbundle.Digest
 		assert.NilError(t, digest.UnmarshalText([]byte(name)))
-		engine = append(engine, btload.PrefixOf(digest))
+		engine = append(engine, btload.EnginePrefixHash(digest))
 	}
 	assert.Assert(t, len(engine) > 1)
 	assert.DeepEqual(t, btload.Prefixes([]byte(promptOf(t, string(body)))), engine)
