--- a/core/btload/average.go
+++ b/core/btload/average.go
@@ -1,7 +1,7 @@
 package btload
 
-// average is an exponentially weighted moving average that starts at its first
-// sample.
+// average is an exponentially weighted moving average that is initialised with its
+// first sample.
 type average struct {
 	value   float64
 	samples int
@@ -9,14 +9,14 @@
 
 func (a *average) add(sample, weight float64) {
 	a.samples++
-	// The first samples weigh as in a plain mean, so that a start value does
-	// not linger.
+	// The first samples are weighted as in an arithmetic mean, so that the first one
+	// does not dominate.
 	weight = max(weight, 1/float64(a.samples))
 	a.value += weight * (sample - a.value)
 }
 
-// or returns the average, or the fallback before the first sample.
-func (a *average) or(fallback float64) float64 {
+// valueOr returns the average, or the fallback if there is no sample.
+func (a *average) valueOr(fallback float64) float64 {
 	if a.samples == 0 {
 		return fallback
 	}
--- a/core/btload/cache.go
+++ b/core/btload/cache.go
@@ -6,21 +6,21 @@
 	"bilberrytide/core/btid"
 )
 
-// MaxCacheEvents is how many cache events one message may carry.
+// MaxCacheEvents is the largest number of cache events in one message.
 const MaxCacheEvents = 256
 
-// CacheOp is what happened to a cached prefix.
+// CacheOp is a change of a cached prefix.
 type CacheOp string
 
 const (
-	// Stored means that the target now holds the prefix.
+	// Stored means that the prefix was added to the target's cache.
 	Stored CacheOp = "stored"
-	// Evicted means that the target holds it no longer.
+	// Evicted means that the prefix was removed from the target's cache.
 	Evicted CacheOp = "evicted"
 )
 
-// CacheEvent is one change of a target's prefix cache. It is written as an array
-// to keep batches small.
+// CacheEvent is one change of a target's prefix cache. It is encoded as an array to
+// keep batches small.
 type CacheEvent struct {
 	_      struct{} `cbor:",toarray"`
 	Seq    uint64   `json:"seq"`
@@ -28,16 +28,16 @@
 	Prefix uint64   `json:"prefix"`
 }
 
-// CacheEvents is a batch of cache events of one target in order of Seq. Epoch
-// changes when the target starts anew with an empty cache.
+// CacheEvents is a batch of one target's cache events, ordered by Seq. Epoch changes
+// when the target restarts with an empty cache.
 type CacheEvents struct {
 	Target btid.Target  `cbor:"target" json:"target"`
 	Epoch  uint64       `cbor:"epoch" json:"epoch"`
 	Events []CacheEvent `cbor:"events" json:"events"`
 }
 
-// Validate reports a batch that is too long, out of order or of unknown
-// operations. The error wraps ErrMessage.
+// Validate rejects batches that are too long, out of order or have an unknown
+// operation. The error wraps ErrMessage.
 func (c CacheEvents) Validate() error {
 	if err := btid.CheckName(string(c.Target)); err != nil {
 		return fmt.Errorf("%w: cache events target: %w", ErrMessage, err)
@@ -58,23 +58,23 @@
 	return nil
 }
 
-// view is what an entry believes of one target's prefix cache: two generations
-// of prefixes, so that the oldest half is forgotten at once when it is full.
-type view struct {
-	recent, older map[uint64]struct{}
-	limit         int
-	epoch, seq    uint64
+// cacheView approximates the content of one target's prefix cache. It keeps two
+// generations of prefixes and discards the older one when the recent one is full.
+type cacheView struct {
+	recent, older   map[uint64]struct{}
+	generationLimit int
+	epoch, seq      uint64
 }
 
-func newView(limit int) view {
-	return view{
-		recent: map[uint64]struct{}{},
-		older:  map[uint64]struct{}{},
-		limit:  max(limit/2, 1),
+func newCacheView(limit int) cacheView {
+	return cacheView{
+		recent:          map[uint64]struct{}{},
+		older:           map[uint64]struct{}{},
+		generationLimit: max(limit/2, 1),
 	}
 }
 
-func (v *view) has(prefix uint64) bool {
+func (v *cacheView) contains(prefix uint64) bool {
 	if _, ok := v.recent[prefix]; ok {
 		return true
 	}
@@ -82,37 +82,37 @@
 	return ok
 }
 
-func (v *view) add(prefix uint64) {
+func (v *cacheView) add(prefix uint64) {
 	if _, ok := v.recent[prefix]; ok {
 		return
 	}
-	if len(v.recent) >= v.limit {
-		v.age()
+	if len(v.recent) >= v.generationLimit {
+		v.rotate()
 	}
 	v.recent[prefix] = struct{}{}
 }
 
-func (v *view) remove(prefix uint64) {
+func (v *cacheView) remove(prefix uint64) {
 	delete(v.recent, prefix)
 	delete(v.older, prefix)
 }
 
-// age forgets the older generation and makes the recent one the older.
-func (v *view) age() {
+// rotate discards the older generation and replaces it by the recent one.
+func (v *cacheView) rotate() {
 	v.recent, v.older = v.older, v.recent
 	clear(v.recent)
 }
 
-func (v *view) clear() {
+func (v *cacheView) clear() {
 	clear(v.recent)
 	clear(v.older)
 }
 
-func (v *view) size() int { return len(v.recent) + len(v.older) }
+func (v *cacheView) size() int { return len(v.recent) + len(v.older) }
 
-// apply takes in a batch and returns how many events are missing before or
-// within it. Repeated events are skipped.
-func (v *view) apply(batch CacheEvents, maxGap uint64) uint64 {
+// apply applies a batch and returns how many events are missing before or within
+// it. Events that were already applied are skipped.
+func (v *cacheView) apply(batch CacheEvents, maxGap uint64) uint64 {
 	if batch.Epoch != v.epoch {
 		v.clear()
 		v.epoch, v.seq = batch.Epoch, 0
@@ -122,7 +122,7 @@
 		if e.Seq <= v.seq {
 			continue
 		}
-		missing += v.gap(e.Seq-v.seq-1, maxGap)
+		missing += v.handleGap(e.Seq-v.seq-1, maxGap)
 		v.seq = e.Seq
 		if e.Op == Stored {
 			v.add(e.Prefix)
@@ -133,27 +133,27 @@
 	return missing
 }
 
-// gap ages the view for a short gap and clears it for a long one. An entry that
-// has seen no event yet has nothing to distrust.
-func (v *view) gap(missing, maxGap uint64) uint64 {
+// handleGap rotates the view for a short gap and clears it for a long one. Before
+// the first event there is nothing that a gap could have invalidated.
+func (v *cacheView) handleGap(missing, maxGap uint64) uint64 {
 	if missing == 0 || v.seq == 0 {
 		return 0
 	}
 	if missing > maxGap {
 		v.clear()
 	} else {
-		v.age()
+		v.rotate()
 	}
 	return missing
 }
 
-// hits returns how many chunks of the chain are believed cached. A cached chunk
-// implies the chunks before it, so the boundary is found by bisection.
-func (v *view) hits(prefixes []uint64) int {
+// cachedChunks returns how many chunks of the chain are expected to be cached. A
+// cached chunk implies the chunks before it, so a binary search finds the last one.
+func (v *cacheView) cachedChunks(prefixes []uint64) int {
 	low, high := 0, len(prefixes)
 	for low < high {
 		middle := (low + high + 1) / 2
-		if v.has(prefixes[middle-1]) {
+		if v.contains(prefixes[middle-1]) {
 			low = middle
 		} else {
 			high = middle - 1
--- a/core/btload/estimate.go
+++ b/core/btload/estimate.go
@@ -2,94 +2,95 @@
 
 import "time"
 
-// Estimate is what a target would do with a request.
+// Estimate is the expected handling of a request by a target.
 type Estimate struct {
 	// FirstToken is the expected time to the first token.
 	FirstToken time.Duration
-	// SlotWait is the part of it spent waiting for a slot.
+	// SlotWait is the expected wait for a free slot.
 	SlotWait time.Duration
-	// CachedTokens is how many prompt tokens are believed to be in the cache.
+	// CachedTokens is how many prompt tokens are expected to be in the cache.
 	CachedTokens int
-	// Outstanding is how many requests are believed to run or wait.
+	// Outstanding is how many requests are expected to be running or queued.
 	Outstanding int
-	// BacklogTokens is how many prompt tokens are believed to be processed first.
+	// BacklogTokens is how many prompt tokens are expected to be processed first.
 	BacklogTokens int64
 }
 
-// fleet holds what is learned over all targets, for those not measured yet.
-type fleet struct {
-	config                          Config
-	prefill, decode, output, prompt average
+// serviceRates holds averages over a service's targets. They stand in for targets
+// that have no measurements of their own.
+type serviceRates struct {
+	config                                        Config
+	prefill, decode, outputTokens, uncachedTokens average
 }
 
-// prefillRate returns seconds per prompt token at the average target.
-func (f *fleet) prefillRate() float64 { return f.prefill.or(f.config.Prefill.Seconds()) }
+// prefillRate returns the mean seconds per prompt token.
+func (f *serviceRates) prefillRate() float64 { return f.prefill.valueOr(f.config.Prefill.Seconds()) }
 
-// decodeRate returns seconds per generated token at the average target.
-func (f *fleet) decodeRate() float64 { return f.decode.or(f.config.Decode.Seconds()) }
+// decodeRate returns the mean seconds per generated token.
+func (f *serviceRates) decodeRate() float64 { return f.decode.valueOr(f.config.Decode.Seconds()) }
 
-// Estimate returns the expected service of a request of so many prompt tokens
-// with the given prefix chain. It changes nothing and allocates nothing.
+// Estimate returns the estimate for a prompt of the given length and prefix chain. It
+// changes nothing and does not allocate.
 func (t *Target) Estimate(now time.Time, tokens int, prefixes []uint64) Estimate {
-	cached := min(t.cache.hits(prefixes)*ChunkTokens, tokens)
-	perToken := t.prefill.or(t.fleet.prefillRate())
-	step := t.step()
+	cached := min(t.cache.cachedChunks(prefixes)*ChunkTokens, tokens)
+	perToken := t.prefill.valueOr(t.rates.prefillRate())
+	step := t.stepTime()
 	e := Estimate{
 		CachedTokens:  cached,
 		Outstanding:   t.outstanding(),
-		BacklogTokens: t.ahead(now, perToken),
+		BacklogTokens: t.backlogTokens(now, perToken),
 	}
-	e.SlotWait = t.wait(e.Outstanding, perToken)
+	e.SlotWait = t.slotWait(e.Outstanding, perToken)
 	backlog := time.Duration(float64(e.BacklogTokens) * perToken * float64(time.Second))
-	own := time.Duration(float64(tokens-cached) * perToken * float64(time.Second))
-	// Prompts ahead are processed while slots are waited for, so the longer of
-	// the two counts.
-	e.FirstToken = max(e.SlotWait, backlog) + own + step
+	prefill := time.Duration(float64(tokens-cached) * perToken * float64(time.Second))
+	// The backlog is processed while requests wait for slots, so only the longer of
+	// the two times counts.
+	e.FirstToken = max(e.SlotWait, backlog) + prefill + step
 	return e
 }
 
-// minStep is the shortest step believed. Answers that arrive in one piece look
-// as if their tokens took no time.
-const minStep = time.Microsecond
+// minStepTime is the lower bound of a learned step time. An answer that arrives in
+// one piece would otherwise suggest that its tokens took no time.
+const minStepTime = time.Microsecond
 
-func (t *Target) step() time.Duration {
+func (t *Target) stepTime() time.Duration {
 	if t.report.StepTime > 0 {
 		return t.report.StepTime
 	}
-	return max(seconds(t.decode.or(t.fleet.decodeRate())), minStep)
+	return max(seconds(t.decode.valueOr(t.rates.decodeRate())), minStepTime)
 }
 
-// outstanding returns the requests running and waiting: the report's, plus those
-// sent since, less those ended since, and never fewer than this entry's own.
+// outstanding returns the requests running and queued: those in the report, plus
+// those sent and minus those ended since, but at least this entry's own.
 func (t *Target) outstanding() int {
 	reported := t.report.Running + t.report.Waiting
 	if t.uncorrected {
 		return reported
 	}
-	return max(reported+t.sentSince-len(t.ended), len(t.flights))
+	return max(reported+t.unreported-len(t.endedAfterSample), len(t.inFlight))
 }
 
-// ahead returns the prompt tokens to be processed before a new request's. The
-// report's share shrinks at the target's rate since the sample.
-func (t *Target) ahead(now time.Time, perToken float64) int64 {
+// backlogTokens returns the prompt tokens to be processed before those of a new
+// request. The reported part decreases with the time since the sample.
+func (t *Target) backlogTokens(now time.Time, perToken float64) int64 {
 	if t.uncorrected {
 		return t.report.OutstandingTokens
 	}
 	processed := int64(now.Sub(t.sampledAt).Seconds() / perToken)
-	since := max(t.report.OutstandingTokens+t.unstartedSince-processed, 0)
-	return max(since, t.unstarted)
+	since := max(t.report.OutstandingTokens+t.unreportedTokens-processed, 0)
+	return max(since, t.pendingTokens)
 }
 
-// wait returns the time until a slot is free.
-func (t *Target) wait(outstanding int, perToken float64) time.Duration {
+// slotWait returns the expected time until a slot is free.
+func (t *Target) slotWait(outstanding int, perToken float64) time.Duration {
 	slots := t.report.Slots
 	if slots == 0 || outstanding < slots {
 		return 0
 	}
 	queued := outstanding + 1 - slots
-	output := t.fleet.output.or(float64(t.fleet.config.OutputTokens))
-	hold := t.decode.or(t.fleet.decodeRate())*output + perToken*t.fleet.prompt.or(0)
-	return seconds(float64(queued) * hold / float64(slots))
+	output := t.rates.outputTokens.valueOr(float64(t.rates.config.OutputTokens))
+	slotTime := t.decode.valueOr(t.rates.decodeRate())*output + perToken*t.rates.uncachedTokens.valueOr(0)
+	return seconds(float64(queued) * slotTime / float64(slots))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/btload/event.go
+++ b/core/btload/event.go
@@ -6,21 +6,22 @@
 	"bilberrytide/core/btid"
 )
 
-// Event is one of Reported, Told, Cached, Sent, Started, Finished and Removed.
+// Event is one of Reported, LevelRelayed, CacheReported, Sent, Started, Finished and
+// Removed.
 type Event interface {
 	loadEvent()
 	// AboutTarget returns the target that the event is about.
 	AboutTarget() btid.Target
 }
 
-// Reported is the arrival of a report, alone or with an answer.
+// Reported delivers a report that arrived by itself or with an answer.
 type Reported struct{ Report Report }
 
-// CacheReported is the arrival of cache events.
+// CacheReported delivers a batch of cache events.
 type CacheReported struct{ Batch CacheEvents }
 
-// Sent tells that this entry sent a request to the target. Number is the
-// attempt's own number, never used again for this target.
+// Sent reports that this entry sent a request to the target. Number identifies the
+// attempt and is never reused for this target.
 type Sent struct {
 	Target   btid.Target
 	Number   uint64
@@ -28,23 +29,23 @@
 	Prefixes []uint64
 }
 
-// Started is the first token or byte of the answer.
+// Started reports the first token or byte of the answer.
 type Started struct {
 	Target btid.Target
 	Number uint64
 }
 
-// Finished is the end of a request, whole or not.
+// Finished reports the end of a request, complete or not.
 type Finished struct {
 	Target btid.Target
 	Number uint64
-	// OutputTokens is how many tokens were generated; zero where unknown.
+	// OutputTokens is how many tokens were generated, or zero if unknown.
 	OutputTokens int
-	// Refused tells that the target did not run the request.
+	// Refused means that the target did not run the request.
 	Refused bool
 }
 
-// Removed tells that the target is gone from the bundle.
+// Removed reports that the bundle no longer lists the target.
 type Removed struct{ Target btid.Target }
 
 func (Reported) loadEvent()      {}
@@ -72,38 +73,40 @@
 // AboutTarget returns the target that the event is about.
 func (e Removed) AboutTarget() btid.Target { return e.Target }
 
-// Effect is one of Measured, Generated, ReportIgnored, ViewAged and FlightForgotten.
+// Effect is one of FirstTokenMeasured, DecodeMeasured, ReportIgnored,
+// CacheEventsMissed and InFlightOverflow.
 type Effect interface{ loadEffect() }
 
-// FirstTokenMeasured is the outcome of one estimate.
+// FirstTokenMeasured reports the measured time to first token beside its estimate.
 type FirstTokenMeasured struct {
 	Target btid.Target
 	// Tokens is the prompt's length; zero for a plain service.
 	Tokens int
-	// Latency is the time from sending to the first token or byte.
+	// Latency is the time from sending the request to the first token or byte.
 	Latency time.Duration
-	// Expected is what was estimated when the request was sent.
+	// Expected is the estimate at the time of sending.
 	Expected time.Duration
 }
 
-// DecodeMeasured is the mean time between the tokens of one answer.
+// DecodeMeasured reports the mean time between the tokens of one answer.
 type DecodeMeasured struct {
 	Target   btid.Target
 	PerToken time.Duration
 }
 
-// ReportIgnored is a report that is not newer than the one in force.
+// ReportIgnored reports that a report was not newer than the current one.
 type ReportIgnored struct{ Target btid.Target }
 
-// CacheEventsMissed tells that cache events went missing.
+// CacheEventsMissed reports a gap in the sequence of cache events. Cleared means that
+// the gap was longer than MaxGap and the cache view was cleared.
 type CacheEventsMissed struct {
 	Target  btid.Target
 	Missing uint64
 	Cleared bool
 }
 
-// InFlightOverflow tells that more of this entry's requests were in flight to
-// the target than are tracked.
+// InFlightOverflow reports that more than MaxInFlight requests were in flight to the
+// target, so the oldest one is no longer tracked.
 type InFlightOverflow struct {
 	Target btid.Target
 	Number uint64
--- a/core/btload/level.go
+++ b/core/btload/level.go
@@ -6,18 +6,18 @@
 	"bilberrytide/core/btid"
 )
 
-// The quantised load that summaries carry.
+// Quantisation of the load that summaries carry.
 const (
-	// levelsPerSlots is how many levels stand for a full batch: few enough that
-	// a target seldom changes its level.
+	// levelsPerSlots is the number of levels per full batch. It is small, so that a
+	// target's level seldom changes.
 	levelsPerSlots = 4
 	maxLevel       = 254
-	// LevelDraining stands for a target that takes no new work.
+	// LevelDraining is the level of a target that accepts no new requests.
 	LevelDraining uint8 = 255
 )
 
-// Level quantises a report: requests running and waiting in quarters of the
-// slots, rounded up.
+// Level returns the report's load in quarters of the slots, rounded up, counting
+// running and queued requests.
 func Level(r Report) uint8 {
 	if r.Draining {
 		return LevelDraining
@@ -27,15 +27,15 @@
 	return uint8(min(level, maxLevel))
 }
 
-// LevelRelayed is a target's quantised load as another entry passed it on, for a target
-// whose reports don't come here.
+// LevelRelayed delivers a target's quantised load from another entry, for targets
+// that do not report to this one.
 type LevelRelayed struct {
 	Target      btid.Target
 	Incarnation btid.Incarnation
 	Level       uint8
-	// Slots is how many requests the target runs at a time, by the bundle.
+	// Slots is how many requests the target processes at a time, from the bundle.
 	Slots int
-	// Age is how old the evidence is.
+	// Age is the age of the sample behind the level.
 	Age time.Duration
 }
 
@@ -44,9 +44,9 @@
 // AboutTarget returns the target that the event is about.
 func (e LevelRelayed) AboutTarget() btid.Target { return e.Target }
 
-// told takes a level in place of a report that is older than it. It leaves the
-// numbering of reports alone.
-func (t *Target) told(now time.Time, e LevelRelayed) {
+// applyLevel replaces the load of an older report by the level. The report's number
+// is kept, so that the next report is still accepted.
+func (t *Target) applyLevel(now time.Time, e LevelRelayed) {
 	sampled := now.Add(-e.Age)
 	if t.reported && (e.Incarnation < t.report.Incarnation || !sampled.After(t.sampledAt)) {
 		return
@@ -63,5 +63,5 @@
 		t.report.Waiting = outstanding - t.report.Running
 	}
 	t.sampledAt, t.reported = sampled, true
-	t.recount()
+	t.recountUnreported()
 }
--- a/core/btload/level_test.go
+++ b/core/btload/level_test.go
@@ -9,24 +9,26 @@
 	"bilberrytide/core/btload"
 )
 
-// TestLevelStandsForTheReport: what is told by level is at most a quarter of the
-// slots above what the report said.
-func TestLevelStandsForTheReport(t *testing.T) {
+// TestLevelApproximatesReport guards against a relayed level that understates the
+// load, or overstates it by a quarter of the slots or more.
+func TestLevelApproximatesReport(t *testing.T) {
 	for outstanding := range 200 {
-		report := goodReport()
+		report := validReport()
 		report.Running, report.Waiting, report.Slots = min(outstanding, 16), max(outstanding-16, 0), 16
 		r := btload.New(btload.Defaults())
 		target := r.Target("s", "t1")
 		r.Step(epoch, btload.LevelRelayed{Target: "t1", Incarnation: 1, Level: btload.Level(report), Slots: 16})
 		told := target.Estimate(epoch, 0, nil).Outstanding
-		assert.Assert(t, told >= outstanding && told < outstanding+4, "%d told as %d", outstanding, told)
+		assert.Assert(t, told >= outstanding && told < outstanding+4, "level of %d outstanding requests stands for %d", outstanding, told)
 	}
 }
 
-func TestToldGivesWayToNewerWords(t *testing.T) {
+// TestNewestLoadReportWins guards against an old relayed level replacing a newer
+// report, and against a relayed level blocking the next report.
+func TestNewestLoadReportWins(t *testing.T) {
 	r := btload.New(btload.Defaults())
 	target := r.Target("s", "t1")
-	report := goodReport()
+	report := validReport()
 	r.Step(at(10*time.Second), btload.Reported{Report: report})
 	older := btload.LevelRelayed{Target: "t1", Incarnation: report.Incarnation, Level: btload.LevelDraining, Slots: 16, Age: 11 * time.Second}
 	r.Step(at(20*time.Second), older)
@@ -37,7 +39,7 @@
 	assert.Assert(t, target.Draining())
 	report.Number++
 	r.Step(at(21*time.Second), btload.Reported{Report: report})
-	assert.Assert(t, !target.Draining(), "the next report counts whatever was told between")
+	assert.Assert(t, !target.Draining(), "the next report must replace a relayed level")
 	restarted := btload.LevelRelayed{Target: "t1", Incarnation: report.Incarnation + 1, Level: 2, Slots: 16}
 	r.Step(at(22*time.Second), restarted)
 	held, _ := target.Report()
--- a/core/btload/message_test.go
+++ b/core/btload/message_test.go
@@ -14,13 +14,14 @@
 	"bilberrytide/core/btload"
 )
 
-func goodReport() btload.Report {
+func validReport() btload.Report {
 	return btload.Report{Target: "t1", Incarnation: 1, Number: 1, Slots: 4, QueueCapacity: 8}
 }
 
+// TestReportValidate checks that each invalid field is rejected and named.
 func TestReportValidate(t *testing.T) {
-	assert.NilError(t, goodReport().Validate())
-	for name, spoil := range map[string]func(r *btload.Report){
+	assert.NilError(t, validReport().Validate())
+	for name, corrupt := range map[string]func(r *btload.Report){
 		"target":             func(r *btload.Report) { r.Target = "Not A Name" },
 		"incarnation":        func(r *btload.Report) { r.Incarnation = 0 },
 		"running":            func(r *btload.Report) { r.Running = -1 },
@@ -33,14 +34,15 @@
 		"expert_load":        func(r *btload.Report) { r.ExpertLoad = math.Inf(1) },
 		"outstanding_tokens": func(r *btload.Report) { r.OutstandingTokens = -1 },
 	} {
-		r := goodReport()
-		spoil(&r)
+		r := validReport()
+		corrupt(&r)
 		err := r.Validate()
 		assert.ErrorIs(t, err, btload.ErrMessage)
 		assert.ErrorContains(t, err, name)
 	}
 }
 
+// TestCacheEventsValidate checks that each kind of malformed batch is rejected.
 func TestCacheEventsValidate(t *testing.T) {
 	good := btload.CacheEvents{Target: "t1", Events: []btload.CacheEvent{{Seq: 1, Op: btload.Stored}, {Seq: 3, Op: btload.Evicted}}}
 	assert.NilError(t, good.Validate())
@@ -55,10 +57,10 @@
 	}
 }
 
-// FuzzReport feeds any bytes to the decoder: a report that decodes and validates
-// can be taken in, and its estimates are sane.
+// FuzzReport decodes arbitrary bytes: a report that decodes and validates must be
+// accepted by the tracker and give a positive estimate.
 func FuzzReport(f *testing.F) {
-	for _, r := range []btload.Report{goodReport(), {}, {Target: "t1", Incarnation: 1, Running: math.MaxInt}} {
+	for _, r := range []btload.Report{validReport(), {}, {Target: "t1", Incarnation: 1, Running: math.MaxInt}} {
 		data, err := cbor.Marshal(r)
 		assert.NilError(f, err)
 		f.Add(data)
@@ -76,7 +78,8 @@
 	})
 }
 
-// FuzzCacheEvents feeds any bytes to the decoder of cache events.
+// FuzzCacheEvents decodes arbitrary bytes: a batch that decodes and validates must not
+// add more prefixes than it has events.
 func FuzzCacheEvents(f *testing.F) {
 	good := btload.CacheEvents{Target: "t1", Epoch: 1, Events: []btload.CacheEvent{{Seq: 1, Op: btload.Stored, Prefix: 7}}}
 	data, err := cbor.Marshal(good)
@@ -95,7 +98,9 @@
 	})
 }
 
-func TestPrefixesShareWhatIsCommon(t *testing.T) {
+// TestPrefixesOfCommonStart guards against prompts with a common start getting
+// different hashes for it, or different chunks getting the same hash.
+func TestPrefixesOfCommonStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		common := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "common")
 		a := append(append([]byte{}, common...), 'a')
@@ -110,6 +115,7 @@
 	})
 }
 
+// TestPrefixesAreBounded guards against hashing the whole of a long prompt.
 func TestPrefixesAreBounded(t *testing.T) {
 	assert.Equal(t, len(btload.Prefixes(make([]byte, 1<<20))), btload.MaxChunks)
 }
--- a/core/btload/outbox_test.go
+++ b/core/btload/outbox_test.go
@@ -10,10 +10,10 @@
 	"bilberrytide/core/btload"
 )
 
-// TestOutbox: whatever is added, batches are valid, newest first across batches,
-// and an entry that takes them all believes no prefix cached whose last word was
-// its eviction.
-func TestOutbox(t *testing.T) {
+// TestOutboxAndCacheView applies random changes, losses and resets. It guards against
+// invalid batches, and against an entry that has received everything still counting a
+// prefix as cached after its eviction.
+func TestOutboxAndCacheView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outbox := btload.NewOutbox("t1", 1, 16)
 		r := btload.New(btload.Defaults())
@@ -40,7 +40,7 @@
 			}
 			assert.Assert(t, outbox.Len() <= 16)
 		}
-		// The limit is above the number of prefixes, so nothing overflowed.
+		// The limit is above the number of prefixes, so the outbox did not overflow.
 		for outbox.Len() > 0 {
 			r.Step(epoch, btload.CacheReported{Batch: outbox.Take(8)})
 		}
@@ -53,7 +53,9 @@
 	})
 }
 
-func TestOutboxOverflowIsAGap(t *testing.T) {
+// TestOutboxOverflowLeavesGap guards against dropping events without a gap in the
+// sequence numbers, which would leave entries with a wrong cache view.
+func TestOutboxOverflowLeavesGap(t *testing.T) {
 	outbox := btload.NewOutbox("t1", 1, 4)
 	outbox.Add(btload.Stored, 1)
 	assert.Equal(t, outbox.Take(1).Events[0].Seq, uint64(1))
@@ -65,9 +67,9 @@
 	assert.Equal(t, batch.Events[3].Prefix, uint64(15))
 }
 
-// TestCacheEventIsSmall holds the bytes of one event, which the agents' rate of
-// events is chosen by.
-func TestCacheEventIsSmall(t *testing.T) {
+// TestCacheEventSize fixes the encoded size of an event, from which the agents' rate
+// of events was chosen.
+func TestCacheEventSize(t *testing.T) {
 	data, err := cbor.Marshal(btload.CacheEvent{Seq: 1 << 20, Op: btload.Evicted, Prefix: 1 << 63})
 	assert.NilError(t, err)
 	assert.Equal(t, len(data), 23)
--- a/core/btload/report.go
+++ b/core/btload/report.go
@@ -8,7 +8,7 @@
 	"bilberrytide/core/btid"
 )
 
-// Limits on what a report may claim.
+// Upper bounds of the fields of a report.
 const (
 	maxCount      = 1 << 20
 	maxTokens     = 1 << 32
@@ -17,42 +17,42 @@
 	maxExpertLoad = 1e6
 )
 
-// Report is what an agent tells of its target: in heartbeats, with each answer
-// and with each refusal. It is written as an array: the names of the fields would
-// be most of its bytes.
+// Report is a target's load as its agent sends it: in heartbeats, with each answer
+// and with each refusal. It is encoded as an array, because field names would take
+// up most of its bytes.
 type Report struct {
 	_           struct{}         `cbor:",toarray"`
 	Target      btid.Target      `cbor:"target" json:"target"`
 	Incarnation btid.Incarnation `cbor:"incarnation" json:"incarnation"`
-	// Number rises by at least one with each report of one incarnation.
+	// Number increases with each report of an incarnation.
 	Number uint64 `cbor:"number" json:"number"`
-	// Age is how old the sample was when the agent sent it, by the agent's own
-	// clock, so that no two clocks are compared.
+	// Age is the age of the sample when the agent sent it, by the agent's clock, so
+	// that clocks of different hosts are never compared.
 	Age time.Duration `cbor:"age" json:"age"`
-	// Running is how many requests the target is working on.
+	// Running is how many requests the target is processing.
 	Running int `cbor:"running" json:"running"`
-	// Waiting is how many requests wait for a slot, at the agent or the target.
+	// Waiting is how many requests are queued, at the agent or the target.
 	Waiting int `cbor:"waiting" json:"waiting"`
-	// Slots is how many requests the target runs at a time.
+	// Slots is how many requests the target processes at a time.
 	Slots int `cbor:"slots" json:"slots"`
-	// QueueCapacity is how many requests may wait.
+	// QueueCapacity is how many requests can be queued.
 	QueueCapacity int `cbor:"queue_capacity" json:"queue_capacity"`
-	// Draining tells that the target takes no new work.
+	// Draining means that the target accepts no new requests.
 	Draining bool `cbor:"draining" json:"draining"`
 	// KVUsed is the share of the KV cache in use, 0 to 1.
 	KVUsed float64 `cbor:"kv_used" json:"kv_used"`
-	// StepTime is the recent mean time of one step; zero where unknown.
+	// StepTime is the recent mean time of one step, or zero if unknown.
 	StepTime time.Duration `cbor:"step_time" json:"step_time"`
-	// ExpertLoad is the rank's expert work over the mean rank of its group: 1
-	// is even, zero stands for no group.
+	// ExpertLoad is the rank's expert work divided by the mean over its group's ranks:
+	// 1 is balanced. It is zero if the target is not in a group.
 	ExpertLoad float64 `cbor:"expert_load" json:"expert_load"`
-	// OutstandingTokens is the agent's estimate of prompt tokens accepted and
-	// not yet processed.
+	// OutstandingTokens is the agent's estimate of prompt tokens accepted and not yet
+	// processed.
 	OutstandingTokens int64 `cbor:"outstanding_tokens" json:"outstanding_tokens"`
 }
 
-// Validate reports a value that no target can have. The error wraps ErrMessage
-// and names the field.
+// Validate checks the ranges of all fields. The error wraps ErrMessage and names the
+// field.
 func (r Report) Validate() error {
 	if err := btid.CheckName(string(r.Target)); err != nil {
 		return fmt.Errorf("%w: report target: %w", ErrMessage, err)
@@ -73,10 +73,10 @@
 			return fmt.Errorf("%w: report %s is %d", ErrMessage, c.name, c.value)
 		}
 	}
-	return r.validateMeasures()
+	return r.validateMeasurements()
 }
 
-func (r Report) validateMeasures() error {
+func (r Report) validateMeasurements() error {
 	if r.Age < 0 || r.Age > maxReportAge {
 		return fmt.Errorf("%w: report age is %v", ErrMessage, r.Age)
 	}
@@ -95,10 +95,10 @@
 	return nil
 }
 
-// newer tells whether the report replaces the older one.
-func (r Report) newer(than Report) bool {
-	if r.Incarnation != than.Incarnation {
-		return r.Incarnation > than.Incarnation
+// newerThan reports whether r supersedes other.
+func (r Report) newerThan(other Report) bool {
+	if r.Incarnation != other.Incarnation {
+		return r.Incarnation > other.Incarnation
 	}
-	return r.Number > than.Number
+	return r.Number > other.Number
 }
--- a/core/btload/tracker.go
+++ b/core/btload/tracker.go
@@ -7,51 +7,50 @@
 	"bilberrytide/core/btid"
 )
 
-// Tracker keeps the load of all targets as seen by one entry. It is not safe
+// Tracker estimates the load of all targets as seen by one entry. It is not safe
 // for concurrent use.
 type Tracker struct {
-	config  Config
-	fleets  map[btid.Service]*fleet
-	targets map[btid.Target]*Target
-	latest  time.Time
+	config   Config
+	services map[btid.Service]*serviceRates
+	targets  map[btid.Target]*Target
+	latest   time.Time
 }
 
 var _ btcore.Machine[Event, Effect] = (*Tracker)(nil)
 
-// minLearnedTokens is the shortest prompt from which a prefill rate is learned.
+// minLearnedTokens is the fewest prompt tokens from which a prefill rate is learned.
 const minLearnedTokens = 32
 
-// New returns a tracker that knows no target.
+// New returns a tracker without targets.
 func New(c Config) *Tracker {
 	return &Tracker{
-		config:  c,
-		fleets:  map[btid.Service]*fleet{},
-		targets: map[btid.Target]*Target{},
+		config:   c,
+		services: map[btid.Service]*serviceRates{},
+		targets:  map[btid.Target]*Target{},
 	}
 }
 
-// Target returns the state of the service's named target, made new where it is
-// unknown. What is learned of one target is the starting point for others of
-// its service only, as services run different models.
+// Target returns the named target of the service, creating it if needed. Learned
+// rates are shared only within a service, because services run different models.
 func (r *Tracker) Target(service btid.Service, name btid.Target) *Target {
-	f, ok := r.fleets[service]
+	f, ok := r.services[service]
 	if !ok {
-		f = &fleet{config: r.config}
-		r.fleets[service] = f
+		f = &serviceRates{config: r.config}
+		r.services[service] = f
 	}
 	t, ok := r.targets[name]
 	if !ok {
-		t = &Target{name: name, uncorrected: r.config.Uncorrected, cache: newView(r.config.MaxPrefixes)}
+		t = &Target{name: name, uncorrected: r.config.Uncorrected, cache: newCacheView(r.config.MaxPrefixes)}
 		r.targets[name] = t
 	}
-	t.fleet = f
+	t.rates = f
 	return t
 }
 
 // Len returns how many targets are tracked.
 func (r *Tracker) Len() int { return len(r.targets) }
 
-// Step applies one event. Events of unknown targets and requests are ignored.
+// Step applies one event. Events for unknown targets or requests are ignored.
 func (r *Tracker) Step(now time.Time, event Event) []Effect {
 	if now.Before(r.latest) {
 		now = r.latest
@@ -63,11 +62,11 @@
 	}
 	switch e := event.(type) {
 	case Reported:
-		return t.reportedAt(now, e.Report)
+		return t.applyReport(now, e.Report)
 	case LevelRelayed:
-		t.told(now, e)
+		t.applyLevel(now, e)
 	case CacheReported:
-		return r.cached(t, e.Batch)
+		return r.applyCacheEvents(t, e.Batch)
 	case Sent:
 		return r.sent(now, t, e)
 	case Started:
@@ -80,14 +79,14 @@
 	return nil
 }
 
-func (t *Target) reportedAt(now time.Time, report Report) []Effect {
-	if t.take(now, report) {
+func (t *Target) applyReport(now time.Time, report Report) []Effect {
+	if t.replaceReport(now, report) {
 		return nil
 	}
 	return []Effect{ReportIgnored{Target: t.name}}
 }
 
-func (r *Tracker) cached(t *Target, batch CacheEvents) []Effect {
+func (r *Tracker) applyCacheEvents(t *Target, batch CacheEvents) []Effect {
 	missing := t.cache.apply(batch, r.config.MaxGap)
 	if missing == 0 {
 		return nil
@@ -97,20 +96,20 @@
 
 func (r *Tracker) sent(now time.Time, t *Target, e Sent) []Effect {
 	var effects []Effect
-	if len(t.flights) >= r.config.MaxInFlight {
-		oldest := t.flights[0].number
-		t.end(now, oldest, r.config.MaxInFlight)
+	if len(t.inFlight) >= r.config.MaxInFlight {
+		oldest := t.inFlight[0].number
+		t.removeInFlight(now, oldest, r.config.MaxInFlight)
 		effects = append(effects, InFlightOverflow{Target: t.name, Number: oldest})
 	}
 	estimate := t.Estimate(now, e.Tokens, e.Prefixes)
-	t.send(flight{
-		number:   e.Number,
-		sentAt:   now,
-		prompt:   e.Tokens,
-		tokens:   e.Tokens - estimate.CachedTokens,
-		expected: estimate.FirstToken,
-		wait:     estimate.SlotWait,
-		ahead:    estimate.BacklogTokens,
+	t.addInFlight(inFlightRequest{
+		number:         e.Number,
+		sentAt:         now,
+		promptTokens:   e.Tokens,
+		uncachedTokens: e.Tokens - estimate.CachedTokens,
+		expected:       estimate.FirstToken,
+		slotWait:       estimate.SlotWait,
+		backlogTokens:  estimate.BacklogTokens,
 	})
 	for _, prefix := range e.Prefixes {
 		t.cache.add(prefix)
@@ -119,39 +118,39 @@
 }
 
 func (r *Tracker) started(now time.Time, t *Target, e Started) []Effect {
-	f, ok := t.start(now, e.Number)
+	f, ok := t.markStarted(now, e.Number)
 	if !ok {
 		return nil
 	}
 	latency := now.Sub(f.sentAt)
-	work := float64(int64(f.tokens) + f.ahead)
-	if f.wait == 0 && work >= minLearnedTokens {
-		r.learnPrefill(t, latency, work)
+	work := float64(int64(f.uncachedTokens) + f.backlogTokens)
+	if f.slotWait == 0 && work >= minLearnedTokens {
+		r.learnPrefillRate(t, latency, work)
 	}
-	t.fleet.prompt.add(float64(f.tokens), r.config.Smoothing)
+	t.rates.uncachedTokens.add(float64(f.uncachedTokens), r.config.Smoothing)
 	return []Effect{FirstTokenMeasured{
 		Target:   t.name,
-		Tokens:   f.prompt,
+		Tokens:   f.promptTokens,
 		Latency:  latency,
 		Expected: f.expected,
 	}}
 }
 
-func (r *Tracker) learnPrefill(t *Target, latency time.Duration, work float64) {
-	spent := max(latency-t.step(), time.Microsecond)
+func (r *Tracker) learnPrefillRate(t *Target, latency time.Duration, work float64) {
+	spent := max(latency-t.stepTime(), time.Microsecond)
 	perToken := spent.Seconds() / work
 	t.prefill.add(perToken, r.config.Smoothing)
-	t.fleet.prefill.add(perToken, r.config.Smoothing)
+	t.rates.prefill.add(perToken, r.config.Smoothing)
 }
 
 func (r *Tracker) finished(now time.Time, t *Target, e Finished) []Effect {
-	f, ok := t.end(now, e.Number, r.config.MaxInFlight)
+	f, ok := t.removeInFlight(now, e.Number, r.config.MaxInFlight)
 	if !ok || e.Refused || f.startedAt.IsZero() || e.OutputTokens <= 1 {
 		return nil
 	}
 	perToken := now.Sub(f.startedAt) / time.Duration(e.OutputTokens-1)
 	t.decode.add(perToken.Seconds(), r.config.Smoothing)
-	t.fleet.decode.add(perToken.Seconds(), r.config.Smoothing)
-	t.fleet.output.add(float64(e.OutputTokens), r.config.Smoothing)
+	t.rates.decode.add(perToken.Seconds(), r.config.Smoothing)
+	t.rates.outputTokens.add(float64(e.OutputTokens), r.config.Smoothing)
 	return []Effect{DecodeMeasured{Target: t.name, PerToken: perToken}}
 }
--- a/core/btload/tracker_test.go
+++ b/core/btload/tracker_test.go
@@ -16,30 +16,33 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-func TestOwnSendsCountUntilReported(t *testing.T) {
+// TestOwnRequestsCountUntilReported guards against counting a request twice after a
+// report includes it, or not at all because the report's sample is older.
+func TestOwnRequestsCountUntilReported(t *testing.T) {
 	r := btload.New(btload.Defaults())
 	target := r.Target("s", "t1")
-	r.Step(at(0), btload.Reported{Report: goodReport()})
+	r.Step(at(0), btload.Reported{Report: validReport()})
 	for i := range 3 {
 		r.Step(at(time.Second), btload.Sent{Target: "t1", Number: uint64(i + 1), Tokens: 800})
 	}
 	assert.Equal(t, target.Estimate(at(time.Second), 0, nil).Outstanding, 3)
 	assert.Equal(t, target.Estimate(at(time.Second), 0, nil).BacklogTokens, int64(2400))
 
-	late := goodReport()
+	late := validReport()
 	late.Number, late.Age = 2, 2*time.Second
 	r.Step(at(2*time.Second), btload.Reported{Report: late})
-	assert.Equal(t, target.Estimate(at(2*time.Second), 0, nil).Outstanding, 3, "the sample is older than the sends")
+	assert.Equal(t, target.Estimate(at(2*time.Second), 0, nil).Outstanding, 3, "the sample is older than the requests")
 
-	fresh := goodReport()
+	fresh := validReport()
 	fresh.Number, fresh.Running, fresh.Waiting = 3, 2, 1
 	r.Step(at(3*time.Second), btload.Reported{Report: fresh})
-	assert.Equal(t, target.Estimate(at(3*time.Second), 0, nil).Outstanding, 3, "counted once")
+	assert.Equal(t, target.Estimate(at(3*time.Second), 0, nil).Outstanding, 3, "each request must be counted once")
 
 	r.Step(at(4*time.Second), btload.Finished{Target: "t1", Number: 1})
-	assert.Equal(t, target.Estimate(at(4*time.Second), 0, nil).Outstanding, 2, "ended since the sample")
+	assert.Equal(t, target.Estimate(at(4*time.Second), 0, nil).Outstanding, 2, "a request that ended after the sample must not be counted")
 }
 
+// TestOlderReportsAreIgnored guards against a late report replacing a newer one.
 func TestOlderReportsAreIgnored(t *testing.T) {
 	r := btload.New(btload.Defaults())
 	target := r.Target("s", "t1")
@@ -49,7 +52,7 @@
 		running     int
 		want        int
 	}{{1, 5, 1, 1}, {1, 4, 2, 1}, {1, 5, 3, 1}, {2, 1, 4, 4}, {1, 9, 5, 4}} {
-		report := goodReport()
+		report := validReport()
 		report.Incarnation, report.Number, report.Running = c.incarnation, c.number, c.running
 		r.Step(epoch, btload.Reported{Report: report})
 		held, _ := target.Report()
@@ -57,6 +60,8 @@
 	}
 }
 
+// TestRatesAreLearned checks that rates learned from one target apply to others of
+// its service, and not to other services.
 func TestRatesAreLearned(t *testing.T) {
 	r := btload.New(btload.Defaults())
 	target := r.Target("s", "t1")
@@ -75,12 +80,12 @@
 		got := measured.Estimate(now, 1000, nil).FirstToken
 		assert.Assert(t, got > 900*time.Millisecond && got < 1100*time.Millisecond, "%v", got)
 	}
-	assert.Equal(t, foreign.Estimate(now, 1000, nil).FirstToken, before, "another service runs another model")
+	assert.Equal(t, foreign.Estimate(now, 1000, nil).FirstToken, before, "rates must not be learned from another service")
 }
 
-// TestInstantAnswers: an answer whose tokens all arrive at once teaches no
-// estimate of zero.
-func TestInstantAnswers(t *testing.T) {
+// TestSinglePieceAnswer guards against learning a step time of zero from an answer
+// whose tokens all arrive at once, which would give an estimate of zero.
+func TestSinglePieceAnswer(t *testing.T) {
 	r := btload.New(btload.Defaults())
 	target := r.Target("s", "t1")
 	prefixes := []uint64{1}
@@ -90,6 +95,8 @@
 	assert.Assert(t, target.Estimate(epoch, 64, prefixes).FirstToken > 0)
 }
 
+// TestCacheView checks how repeated, evicted and missing cache events change the
+// expected part of a prompt in the cache.
 func TestCacheView(t *testing.T) {
 	chain := btload.Prefixes(make([]byte, 8*btload.ChunkBytes))
 	stored := func(from, to int, seq uint64) []btload.CacheEvent {
@@ -122,9 +129,9 @@
 	}
 }
 
-// TestBoundedAndConsistent drives a tracker with any events, repeated and out of
-// order: memory stays bounded, and once all requests have ended and a fresh
-// report says so, nothing is outstanding.
+// TestBoundedAndConsistent applies random events, repeated and out of order. It
+// guards against unbounded memory and against requests that stay outstanding after
+// all have ended and a newer report says so.
 func TestBoundedAndConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := btload.Defaults()
@@ -134,23 +141,23 @@
 		now, number, report := epoch, uint64(0), uint64(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-			any := rapid.Uint64Range(0, number+1).Draw(t, "number")
+			anyNumber := rapid.Uint64Range(0, number+1).Draw(t, "number")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				number++
 				r.Step(now, btload.Sent{Target: "t1", Number: number, Tokens: 300, Prefixes: []uint64{number, number + 1}})
 			case 1:
-				r.Step(now, btload.Started{Target: "t1", Number: any})
+				r.Step(now, btload.Started{Target: "t1", Number: anyNumber})
 			case 2:
-				r.Step(now, btload.Finished{Target: "t1", Number: any, OutputTokens: int(any) % 50, Refused: any%3 == 0})
+				r.Step(now, btload.Finished{Target: "t1", Number: anyNumber, OutputTokens: int(anyNumber) % 50, Refused: anyNumber%3 == 0})
 			case 3:
 				report++
-				v := goodReport()
+				v := validReport()
 				v.Number, v.Running = report, rapid.IntRange(0, 9).Draw(t, "running")
 				v.Age = time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 				r.Step(now, btload.Reported{Report: v})
 			case 4:
-				event := btload.CacheEvent{Seq: any + 1, Op: btload.Stored, Prefix: any}
+				event := btload.CacheEvent{Seq: anyNumber + 1, Op: btload.Stored, Prefix: anyNumber}
 				r.Step(now, btload.CacheReported{Batch: btload.CacheEvents{Target: "t1", Events: []btload.CacheEvent{event}}})
 			}
 			e := target.Estimate(now, 100, []uint64{1, 2, 3})
@@ -161,7 +168,7 @@
 		for i := range number + 1 {
 			r.Step(now, btload.Finished{Target: "t1", Number: i})
 		}
-		v := goodReport()
+		v := validReport()
 		v.Number = report + 1
 		r.Step(now.Add(time.Second), btload.Reported{Report: v})
 		e := target.Estimate(now.Add(time.Second), 0, nil)
@@ -170,8 +177,8 @@
 	})
 }
 
-// TestHerding sends requests between two reports to the target that looks best:
-// without the correction by own sends all go to one target.
+// TestHerding sends requests between two reports to the target with the lowest
+// estimate. Without the correction by own requests, all go to one target.
 func TestHerding(t *testing.T) {
 	for _, c := range []struct {
 		correct bool
@@ -183,7 +190,7 @@
 		var targets []*btload.Target
 		for i := range 8 {
 			name := btid.Target(fmt.Sprintf("t%d", i))
-			report := goodReport()
+			report := validReport()
 			report.Target = name
 			targets = append(targets, r.Target("s", name))
 			r.Step(epoch, btload.Reported{Report: report})
