--- a/core/btlimit/ask.go
+++ b/core/btlimit/ask.go
@@ -19,7 +19,7 @@
 func (h *Holder) ask(a *account) {
 	h.roll(a)
 	since := h.now.Sub(a.asked)
-	if a.rank < 0 || since < h.settings.Ask || !a.answered && since < askTimeout*h.settings.Ask {
+	if a.rank < 0 || since < h.settings.AskInterval || !a.answered && since < askTimeout*h.settings.AskInterval {
 		return
 	}
 	slots := min(h.wantSlots(a), h.pool(a.limit.Concurrency))
@@ -36,7 +36,7 @@
 	a.answered = false
 	a.wantedSlots = slots
 	a.wantedTokens = tokens
-	h.effects = append(h.effects, Ask{To: a.home, Ask: ShareAsk{
+	h.effects = append(h.effects, SendAsk{To: a.home, Ask: ShareAsk{
 		Account:     a.name,
 		From:        h.self,
 		Incarnation: h.incarnation,
@@ -60,7 +60,7 @@
 		return true
 	}
 	open := a.slots.lent > 0 || a.tokens.lent > 0 || slots > 0 || tokens > 0
-	return open && since >= h.settings.Lease/renewals
+	return open && since >= h.settings.LeaseDuration/renewals
 }
 
 // roll begins a new window of demand when the present one is over.
@@ -77,7 +77,7 @@
 	a.window = h.now
 }
 
-func (h *Holder) window() time.Duration { return windowAsks * h.settings.Ask }
+func (h *Holder) window() time.Duration { return windowAsks * h.settings.AskInterval }
 
 // pool is what the home can lend of the units.
 func (h *Holder) pool(units int) int {
--- a/core/btlimit/btlimit.go
+++ b/core/btlimit/btlimit.go
@@ -106,7 +106,7 @@
 		h.acquire(e)
 	case Release:
 		h.release(e.ID)
-	case LeaseHeard:
+	case LeaseReceived:
 		h.lease(e.Lease)
 	case Tick:
 		h.tick()
@@ -116,8 +116,8 @@
 
 func (h *Holder) limits(e Limits) {
 	if len(h.terms.entries) > 0 {
-		settled := h.now.Add(h.settings.Settle)
-		h.history = append(h.history, past{terms: h.terms, tokens: settled, slots: settled.Add(h.terms.longestOr(h.settings.Longest))})
+		settled := h.now.Add(h.settings.PropagationTime)
+		h.history = append(h.history, past{terms: h.terms, tokens: settled, slots: settled.Add(h.terms.longestOr(h.settings.MaxRequestDuration))})
 		h.history = h.history[max(0, len(h.history)-historyKept):]
 	}
 	h.terms = newTerms(e)
@@ -138,7 +138,7 @@
 		return
 	}
 	h.settle(a)
-	long := e.Deadline.IsZero() || e.Deadline.After(h.now.Add(h.settings.Tail))
+	long := e.Deadline.IsZero() || e.Deadline.After(h.now.Add(h.settings.LentSlotMax))
 	a.current.arrived++
 	switch {
 	case !a.slotFree(long):
@@ -160,7 +160,7 @@
 
 // refuse tells the time to come back: after those that were told before.
 func (h *Holder) refuse(id btid.Request, reason btrequest.Reason, w wait) {
-	at := h.now.Add(max(w.next, h.settings.Ask))
+	at := h.now.Add(max(w.next, h.settings.AskInterval))
 	at = later(at, *w.booked)
 	*w.booked = at.Add(w.each)
 	after := at.Sub(h.now)
@@ -192,7 +192,7 @@
 		return
 	}
 	a.answered = true
-	end := a.asked.Add(min(l.Duration, h.settings.Lease))
+	end := a.asked.Add(min(l.Duration, h.settings.LeaseDuration))
 	if !end.After(h.now) {
 		h.effects = append(h.effects, Ignored{Account: l.Account, Reason: ReasonLeaseOld})
 		return
--- a/core/btlimit/btlimit_test.go
+++ b/core/btlimit/btlimit_test.go
@@ -21,10 +21,10 @@
 // quick settings let a run of minutes hold many leases and tails.
 func quick() btlimit.Settings {
 	s := btlimit.DefaultSettings()
-	s.Lease = 2 * time.Second
-	s.Tail = 3 * time.Second
-	s.Longest = 15 * time.Second
-	s.Settle = 5 * time.Second
+	s.LeaseDuration = 2 * time.Second
+	s.LentSlotMax = 3 * time.Second
+	s.MaxRequestDuration = 15 * time.Second
+	s.PropagationTime = 5 * time.Second
 	return s
 }
 
@@ -96,8 +96,8 @@
 // limit counts.
 func changing(seed uint64, settle time.Duration) *world {
 	settings := quick()
-	spread := settings.Settle * 9 / 10
-	settings.Settle = settle
+	spread := settings.PropagationTime * 9 / 10
+	settings.PropagationTime = settle
 	w := newWorld(seed, settings, 5, threeAccounts()...)
 	w.faults = true
 	w.spread = spread
@@ -113,9 +113,9 @@
 func TestLimitsHoldWhileBundlesDiffer(t *testing.T) {
 	var hasty int
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		w := changing(seed, quick().Settle)
+		w := changing(seed, quick().PropagationTime)
 		assert.Check(t, len(w.wrong) == 0 && len(w.violated) == 0, "seed %d: %q, violated %v", seed, w.wrong, w.violated)
-		hasty += len(changing(seed, -quick().Longest).wrong)
+		hasty += len(changing(seed, -quick().MaxRequestDuration).wrong)
 	}
 	t.Logf("wrong: shares that grow at once %d", hasty)
 	assert.Check(t, hasty > 0, "the run does not find shares that grow at once")
@@ -211,11 +211,11 @@
 		w := newWorld(1, quick(), 2, threeAccounts()...)
 		var a btlimit.ShareAsk
 		if cbor.Unmarshal(data, &a) == nil && a.Validate() == nil {
-			w.processes[0].home.Step(w.now, btlimit.AskHeard{Ask: a})
+			w.processes[0].home.Step(w.now, btlimit.AskReceived{Ask: a})
 		}
 		var l btlimit.ShareLease
 		if cbor.Unmarshal(data, &l) == nil && l.Validate() == nil {
-			w.processes[0].holder.Step(w.now, btlimit.LeaseHeard{Lease: l})
+			w.processes[0].holder.Step(w.now, btlimit.LeaseReceived{Lease: l})
 		}
 	})
 }
@@ -242,7 +242,7 @@
 		for _, entries := range []int{3, 5, 20} {
 			for _, reserve := range []float64{1, 0.5, 0.25} {
 				s := btlimit.DefaultSettings()
-				s.Reserve = reserve
+				s.FixedFraction = reserve
 				w := newWorld(1, s, entries, btlimit.Limit{Account: "rate", Rate: 200, Burst: 100}, btlimit.Limit{Account: "slots", Concurrency: 100})
 				w.longest = time.Second
 				w.demand = func(_ btlimit.Limit, entry int) int {
--- a/core/btlimit/capacity_test.go
+++ b/core/btlimit/capacity_test.go
@@ -101,7 +101,7 @@
 			loans := 0
 			for _, a := range asks {
 				a.SentAt = now
-				if _, lent := home.Step(now, btlimit.AskHeard{Ask: a})[0].(btlimit.Lend); lent {
+				if _, lent := home.Step(now, btlimit.AskReceived{Ask: a})[0].(btlimit.SendLease); lent {
 					loans++
 				}
 			}
@@ -112,7 +112,7 @@
 				ask := asks[n%len(asks)]
 				n++
 				ask.Number, ask.SentAt = uint64(n+1), now
-				home.Step(now, btlimit.AskHeard{Ask: ask})
+				home.Step(now, btlimit.AskReceived{Ask: ask})
 			}
 			b.ReportMetric(memory, "B/loan")
 			b.ReportMetric(float64(loans), "loans")
@@ -140,7 +140,7 @@
 			}
 		}
 		for _, effect := range h.Step(now.Add(time.Second), btlimit.Tick{}) {
-			if ask, ok := effect.(btlimit.Ask); ok {
+			if ask, ok := effect.(btlimit.SendAsk); ok {
 				asks = append(asks, ask.Ask)
 			}
 		}
@@ -188,11 +188,11 @@
 			}
 		}
 		for _, effect := range h.Step(now, btlimit.Tick{}) {
-			if ask, ok := effect.(btlimit.Ask); ok {
+			if ask, ok := effect.(btlimit.SendAsk); ok {
 				if tick >= 50 {
 					asks++
 				}
-				h.Step(now, btlimit.LeaseHeard{Lease: grantOf(ask.Ask)})
+				h.Step(now, btlimit.LeaseReceived{Lease: grantOf(ask.Ask)})
 			}
 		}
 	}
@@ -203,6 +203,6 @@
 func grantOf(a btlimit.ShareAsk) btlimit.ShareLease {
 	return btlimit.ShareLease{
 		Account: a.Account, To: a.From, Incarnation: a.Incarnation, Number: a.Number, Shape: a.Shape,
-		Slots: a.Slots.Want, Tokens: a.Tokens.Want, Duration: btlimit.DefaultSettings().Lease,
+		Slots: a.Slots.Want, Tokens: a.Tokens.Want, Duration: btlimit.DefaultSettings().LeaseDuration,
 	}
 }
--- a/core/btlimit/event.go
+++ b/core/btlimit/event.go
@@ -22,16 +22,16 @@
 // Release is the end of a request that was taken. A second one changes nothing.
 type Release struct{ ID btid.Request }
 
-// LeaseHeard is a home's answer that arrived, already validated.
-type LeaseHeard struct{ Lease ShareLease }
+// LeaseReceived is a home's answer that arrived, already validated.
+type LeaseReceived struct{ Lease ShareLease }
 
 // Tick is the passing of time, due every Settings.Ask or so.
 type Tick struct{}
 
-func (Acquire) holderEvent()    {}
-func (Release) holderEvent()    {}
-func (LeaseHeard) holderEvent() {}
-func (Tick) holderEvent()       {}
+func (Acquire) holderEvent()       {}
+func (Release) holderEvent()       {}
+func (LeaseReceived) holderEvent() {}
+func (Tick) holderEvent()          {}
 
 // HolderEffect is what a Holder wants done: Admitted, Refused, Ask or Ignored.
 type HolderEffect interface{ holderEffect() }
@@ -47,8 +47,8 @@
 	RetryAfter time.Duration
 }
 
-// Ask sends an ask to the account's home, which may be this entry.
-type Ask struct {
+// SendAsk sends an ask to the account's home, which may be this entry.
+type SendAsk struct {
 	To  btid.Entry
 	Ask ShareAsk
 }
@@ -61,28 +61,28 @@
 
 func (Admitted) holderEffect() {}
 func (Refused) holderEffect()  {}
-func (Ask) holderEffect()      {}
+func (SendAsk) holderEffect()  {}
 func (Ignored) holderEffect()  {}
 func (Ignored) homeEffect()    {}
 
 // HomeEvent is what an AccountHome hears: Limits or AskHeard.
 type HomeEvent interface{ homeEvent() }
 
-// AskHeard is an entry's ask that arrived, already validated.
-type AskHeard struct{ Ask ShareAsk }
+// AskReceived is an entry's ask that arrived, already validated.
+type AskReceived struct{ Ask ShareAsk }
 
-func (AskHeard) homeEvent() {}
+func (AskReceived) homeEvent() {}
 
 // HomeEffect is what an AccountHome wants done: Lend or Ignored.
 type HomeEffect interface{ homeEffect() }
 
-// Lend sends a lease to the entry that asked.
-type Lend struct {
+// SendLease sends a lease to the entry that asked.
+type SendLease struct {
 	To    btid.Entry
 	Lease ShareLease
 }
 
-func (Lend) homeEffect() {}
+func (SendLease) homeEffect() {}
 
 // The reasons for which a request is refused.
 const (
--- a/core/btlimit/home.go
+++ b/core/btlimit/home.go
@@ -12,12 +12,12 @@
 
 // The invariants that an AccountHome asserts.
 const (
-	// ShareSum: lending never brings the sum of lent units above the part of the
+	// InvariantShareSum: lending never brings the sum of lent units above the part of the
 	// limit that isn't fixed shares.
-	ShareSum btassert.Name = "limit_share_sum"
-	// ShareKnown: no entry uses lent tokens that a home does not know of once it
+	InvariantShareSum btassert.Name = "limit_share_sum"
+	// InvariantShareKnown: no entry uses lent tokens that a home does not know of once it
 	// has waited out its earlier incarnation.
-	ShareKnown btassert.Name = "limit_share_known"
+	InvariantShareKnown btassert.Name = "limit_share_known"
 )
 
 // clockMargin is the part of a lease by which clocks are thought to differ when
@@ -94,7 +94,7 @@
 	switch e := event.(type) {
 	case Limits:
 		h.limits(e)
-	case AskHeard:
+	case AskReceived:
 		return h.ask(e.Ask)
 	}
 	return nil
@@ -106,10 +106,10 @@
 	next := newTerms(e)
 	first := len(h.terms.entries) == 0
 	moved := next.digest != h.terms.digest
-	longest := h.terms.longestOr(h.settings.Longest)
+	longest := h.terms.longestOr(h.settings.MaxRequestDuration)
 	h.terms = next
 	if moved && !first {
-		settled := h.now.Add(h.settings.Settle)
+		settled := h.now.Add(h.settings.PropagationTime)
 		h.slotsFrom = later(h.slotsFrom, settled.Add(max(h.settings.slotsHeld(), longest)))
 		h.tokensFrom = later(h.tokensFrom, settled.Add(h.settings.tokensHeld()))
 	}
@@ -121,7 +121,7 @@
 		}
 		if limit.Burst != l.burst {
 			l.burst = limit.Burst
-			l.tokensFrom = h.now.Add(h.settings.Settle + h.settings.tokensHeld())
+			l.tokensFrom = h.now.Add(h.settings.PropagationTime + h.settings.tokensHeld())
 		}
 	}
 }
@@ -151,7 +151,7 @@
 	a.Tokens.Held = h.known(l, n, a)
 	slots := h.lend(l, slotsOf, n, a.Slots, limit.Concurrency, h.slotsFrom, h.settings.slotsHeld())
 	tokens := h.lend(l, tokensOf, n, a.Tokens, burstUnits(limit), later(h.tokensFrom, l.tokensFrom), h.settings.tokensHeld())
-	return []HomeEffect{Lend{To: a.From, Lease: ShareLease{
+	return []HomeEffect{SendLease{To: a.From, Lease: ShareLease{
 		Account:     a.Account,
 		To:          a.From,
 		Incarnation: a.Incarnation,
@@ -159,7 +159,7 @@
 		Shape:       a.Shape,
 		Slots:       slots,
 		Tokens:      tokens,
-		Duration:    h.settings.Lease,
+		Duration:    h.settings.LeaseDuration,
 	}}}
 }
 
@@ -169,7 +169,7 @@
 	if !listed || home != h.self {
 		return limit, ReasonAskHome, false
 	}
-	if h.now.Sub(a.SentAt) > h.settings.Lease {
+	if h.now.Sub(a.SentAt) > h.settings.LeaseDuration {
 		return limit, ReasonAskLate, false
 	}
 	if a.Shape != h.terms.shape(limit) || !slices.Contains(h.terms.entries, a.From) {
@@ -212,7 +212,7 @@
 		return grant
 	}
 	u.held = grant
-	if sum := l.sum(kind); !h.asserter.That(sum <= pool, ShareSum, "%d lent of %d", sum, pool) {
+	if sum := l.sum(kind); !h.asserter.That(sum <= pool, InvariantShareSum, "%d lent of %d", sum, pool) {
 		u.held = need.Held
 		return 0
 	}
@@ -235,8 +235,8 @@
 	if h.now.Before(later(h.tokensFrom, l.tokensFrom)) {
 		return a.Tokens.Held
 	}
-	age := h.now.Sub(a.SentAt) + h.settings.Lease/clockMargin
-	h.asserter.That(a.Tokens.Held <= n.tokens.held || age >= a.HeldFor, ShareKnown,
+	age := h.now.Sub(a.SentAt) + h.settings.LeaseDuration/clockMargin
+	h.asserter.That(a.Tokens.Held <= n.tokens.held || age >= a.HeldFor, InvariantShareKnown,
 		"%s holds %d tokens of %s for %s, of which %d are known", a.From, a.Tokens.Held, a.Account, a.HeldFor, n.tokens.held)
 	return min(a.Tokens.Held, n.tokens.held)
 }
@@ -279,7 +279,7 @@
 		if !n.tokens.until.After(h.now) {
 			n.tokens = units{}
 		}
-		if h.now.Sub(n.heard) > h.settings.slotsHeld()+h.settings.Lease {
+		if h.now.Sub(n.heard) > h.settings.slotsHeld()+h.settings.LeaseDuration {
 			delete(l.holders, key)
 		}
 	}
--- a/core/btlimit/share.go
+++ b/core/btlimit/share.go
@@ -27,8 +27,8 @@
 type Limits struct {
 	Entries  []btid.Entry
 	Accounts []Limit
-	// Longest is how long any request runs at most; zero leaves it to Settings.
-	Longest time.Duration
+	// MaxRequestDuration is how long any request runs at most; zero leaves it to Settings.
+	MaxRequestDuration time.Duration
 }
 
 func (Limits) holderEvent() {}
@@ -36,40 +36,40 @@
 
 // Settings are shared by all entries.
 type Settings struct {
-	// Lease is how long lent units may be used after they were asked for.
-	Lease time.Duration
-	// Tail is how long a request that runs on a lent unit may last: one with a
+	// LeaseDuration is how long lent units may be used after they were asked for.
+	LeaseDuration time.Duration
+	// LentSlotMax is how long a request that runs on a lent unit may last: one with a
 	// later deadline runs on a fixed unit only.
-	Tail time.Duration
-	// Longest is how long any request runs at most.
-	Longest time.Duration
-	// Settle is how long a new bundle takes to come into force everywhere. A
+	LentSlotMax time.Duration
+	// MaxRequestDuration is how long any request runs at most.
+	MaxRequestDuration time.Duration
+	// PropagationTime is how long a new bundle takes to come into force everywhere. A
 	// share that grows because the entries changed, or the number of tokens,
 	// stays as it was for that long, and slots for Longest more: what a smaller
 	// share no longer covers may still run.
-	Settle time.Duration
-	// Ask is the shortest time between two asks for one account.
-	Ask time.Duration
+	PropagationTime time.Duration
+	// AskInterval is the shortest time between two asks for one account.
+	AskInterval time.Duration
 	// AskRate bounds the asks of an entry in a second, over all accounts. An
 	// account that isn't asked for in time is left with its fixed share.
 	AskRate float64
-	// Reserve is the part of a limit that is split evenly as fixed shares, 0 to
+	// FixedFraction is the part of a limit that is split evenly as fixed shares, 0 to
 	// 1; the home lends the rest. More of it means more is left during a cut,
 	// less that more can gather at one entry.
-	Reserve float64
+	FixedFraction float64
 }
 
 // DefaultSettings returns settings for a fleet that has a new bundle in force
 // everywhere within nine seconds.
 func DefaultSettings() Settings {
 	return Settings{
-		Lease:   4 * time.Second,
-		Tail:    30 * time.Second,
-		Longest: 2 * time.Minute,
-		Settle:  15 * time.Second,
-		Ask:     200 * time.Millisecond,
-		AskRate: 200,
-		Reserve: 0.5,
+		LeaseDuration:      4 * time.Second,
+		LentSlotMax:        30 * time.Second,
+		MaxRequestDuration: 2 * time.Minute,
+		PropagationTime:    15 * time.Second,
+		AskInterval:        200 * time.Millisecond,
+		AskRate:            200,
+		FixedFraction:      0.5,
 	}
 }
 
@@ -77,9 +77,9 @@
 // for clocks that run at different speeds.
 const drift = 0.01
 
-func (s Settings) slotsHeld() time.Duration { return withDrift(s.Lease + s.Tail) }
+func (s Settings) slotsHeld() time.Duration { return withDrift(s.LeaseDuration + s.LentSlotMax) }
 
-func (s Settings) tokensHeld() time.Duration { return withDrift(s.Lease) }
+func (s Settings) tokensHeld() time.Duration { return withDrift(s.LeaseDuration) }
 
 func withDrift(d time.Duration) time.Duration { return d + time.Duration(drift*float64(d)) }
 
@@ -87,7 +87,7 @@
 // or one for each entry where half of the units allow it. It never falls when
 // units rise, and never rises by more than they do.
 func (s Settings) fixed(units, entries int) int {
-	reserve := int(s.Reserve * float64(units))
+	reserve := int(s.FixedFraction * float64(units))
 	return min(units, max(reserve, min(entries, units/2)))
 }
 
@@ -127,7 +127,7 @@
 }
 
 func newTerms(l Limits) *terms {
-	t := &terms{longest: l.Longest, entries: slices.Clone(l.Entries), accounts: make(map[btid.Account]Limit, len(l.Accounts))}
+	t := &terms{longest: l.MaxRequestDuration, entries: slices.Clone(l.Entries), accounts: make(map[btid.Account]Limit, len(l.Accounts))}
 	slices.Sort(t.entries)
 	var d xxhash.Digest
 	d.Reset()
--- a/core/btlimit/view.go
+++ b/core/btlimit/view.go
@@ -47,8 +47,8 @@
 	return v, true
 }
 
-// Names returns the accounts in use, sorted.
-func (h *Holder) Names() []btid.Account { return slices.Clone(h.names) }
+// AccountNames returns the accounts in use, sorted.
+func (h *Holder) AccountNames() []btid.Account { return slices.Clone(h.names) }
 
 // Loan is what a home holds for one incarnation of an entry, for operators.
 type Loan struct {
--- a/core/btlimit/world_test.go
+++ b/core/btlimit/world_test.go
@@ -87,8 +87,8 @@
 		now:      start,
 		accounts: map[btid.Account]btlimit.Limit{},
 		gauges:   map[btid.Account]*gauge{},
-		longest:  settings.Longest,
-		spread:   settings.Settle * 9 / 10,
+		longest:  settings.MaxRequestDuration,
+		spread:   settings.PropagationTime * 9 / 10,
 	}
 	w.limits.Accounts = accounts
 	for i := range entries {
@@ -220,7 +220,7 @@
 func (w *world) holder(p *process, event btlimit.HolderEvent) []btlimit.HolderEffect {
 	effects := p.holder.Step(w.now, event)
 	for _, effect := range effects {
-		if e, ok := effect.(btlimit.Ask); ok {
+		if e, ok := effect.(btlimit.SendAsk); ok {
 			w.post(p, e.To, func(home *process) { w.answer(home, e.Ask) })
 		}
 	}
@@ -228,9 +228,9 @@
 }
 
 func (w *world) answer(home *process, ask btlimit.ShareAsk) {
-	for _, effect := range home.home.Step(w.now, btlimit.AskHeard{Ask: ask}) {
-		if e, ok := effect.(btlimit.Lend); ok {
-			w.post(home, e.To, func(p *process) { w.holder(p, btlimit.LeaseHeard{Lease: e.Lease}) })
+	for _, effect := range home.home.Step(w.now, btlimit.AskReceived{Ask: ask}) {
+		if e, ok := effect.(btlimit.SendLease); ok {
+			w.post(home, e.To, func(p *process) { w.holder(p, btlimit.LeaseReceived{Lease: e.Lease}) })
 		}
 	}
 }
--- a/io/btentry/limit.go
+++ b/io/btentry/limit.go
@@ -89,7 +89,7 @@
 	l.mu.Unlock()
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case btlimit.Ask:
+		case btlimit.SendAsk:
 			go l.ask(e)
 		case btlimit.Ignored:
 			l.entry.options.Meter.Refused(e.Reason)
@@ -106,7 +106,7 @@
 }
 
 func limitsOf(a *btbundle.Approved) btlimit.Limits {
-	limits := btlimit.Limits{Longest: a.Bundle.Timeouts.RequestMax.Duration}
+	limits := btlimit.Limits{MaxRequestDuration: a.Bundle.Timeouts.RequestMax.Duration}
 	for _, e := range a.Bundle.Entries {
 		limits.Entries = append(limits.Entries, e.Name)
 	}
@@ -122,18 +122,18 @@
 }
 
 // ask carries an ask to the account's home, which may be this entry.
-func (l *limit) ask(e btlimit.Ask) {
+func (l *limit) ask(e btlimit.SendAsk) {
 	lease, err := l.carry(e)
 	if err != nil {
 		l.entry.options.Meter.Refused(reasonShareSilent)
 		return
 	}
-	l.step(btlimit.LeaseHeard{Lease: lease})
+	l.step(btlimit.LeaseReceived{Lease: lease})
 }
 
 const reasonShareSilent btrequest.Reason = "share_home_silent"
 
-func (l *limit) carry(e btlimit.Ask) (btlimit.ShareLease, error) {
+func (l *limit) carry(e btlimit.SendAsk) (btlimit.ShareLease, error) {
 	if e.To == l.entry.options.Name {
 		return l.lend(e.Ask)
 	}
@@ -156,9 +156,9 @@
 
 // lend has this entry's home answer an ask.
 func (l *limit) lend(ask btlimit.ShareAsk) (btlimit.ShareLease, error) {
-	for _, effect := range l.stepHome(btlimit.AskHeard{Ask: ask}) {
+	for _, effect := range l.stepHome(btlimit.AskReceived{Ask: ask}) {
 		switch e := effect.(type) {
-		case btlimit.Lend:
+		case btlimit.SendLease:
 			return e.Lease, nil
 		case btlimit.Ignored:
 			l.entry.options.Meter.Refused(e.Reason)
--- a/io/btentry/status.go
+++ b/io/btentry/status.go
@@ -66,7 +66,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var views []btlimit.View
-	for _, name := range l.holder.Names() {
+	for _, name := range l.holder.AccountNames() {
 		if view, found := l.holder.View(name); found {
 			views = append(views, view)
 		}
