--- a/core/btlimit/account.go
+++ b/core/btlimit/account.go
@@ -9,15 +9,14 @@
 )
 
 const (
-	// holdDecay is what one ended request leaves of the weight of those before.
-	holdDecay = 0.9
-	// returnShare is the share of an account's places that is promised to
-	// refused requests when they come back; the rest is for new ones.
-	returnShare = 0.5
-	// retryJitter is the largest share by which a time to come back is
-	// lengthened.
+	// durationDecay is the weight of the earlier mean when a request ends.
+	durationDecay = 0.9
+	// retryShare is the share of an account's capacity that is scheduled for retries
+	// of refused requests; the rest is left to new requests.
+	retryShare = 0.5
+	// retryJitter is the largest relative increase of RetryAfter by jitter.
 	retryJitter = 0.1
-	// headroom is how much more than its present use an entry asks for.
+	// headroom is the factor by which an entry asks for more than its present use.
 	headroom = 1.25
 )
 
@@ -28,81 +27,84 @@
 	shape uint64
 	home  btid.Entry
 	rank  int
-	// of is the terms that the fields above were computed from.
-	of *terms
-
-	slots  portion
-	tokens portion
-	// end is when lent units may no longer be used.
-	end    time.Time
-	bucket *bucket
-
-	running int
-	long    int
-	// hold is the decayed mean time that a request runs.
-	hold time.Duration
-
-	number   uint64
-	asked    time.Time
-	answered bool
-	// wanted is what the last ask asked for.
+	// limits are the limits from which the fields above were computed.
+	limits *indexedLimits
+
+	slots  quota
+	tokens quota
+	// leaseEnd is when lent units may no longer be used; zero if there are none.
+	leaseEnd time.Time
+	bucket   *bucket
+
+	running     int
+	runningLong int
+	// meanDuration is the decayed mean duration of a request.
+	meanDuration time.Duration
+
+	askNumber uint64
+	askedAt   time.Time
+	answered  bool
+	// wantedSlots and wantedTokens are what the last ask asked for.
 	wantedSlots  int
 	wantedTokens int
-	// current and last are the demand of this window and of the one before.
-	window  time.Time
-	current demand
-	last    demand
+	// current and last are the demand in the present window and in the one before.
+	windowStart time.Time
+	current     demand
+	last        demand
 
-	slotBooked  time.Time
-	tokenBooked time.Time
+	slotRetriesUntil  time.Time
+	tokenRetriesUntil time.Time
 }
 
-// demand is what callers asked for in one window.
+// demand is what callers requested in one window.
 type demand struct {
-	// arrived counts requests.
-	arrived int
-	// slots is the most that ran at once, and those turned away for want of one.
-	slots int
+	// arrivals counts requests.
+	arrivals int
+	// peakSlots is the peak demand for slots: the most in use at once, plus the requests
+	// refused for lack of one.
+	peakSlots int
 }
 
-// portion is the units of one kind that an entry may use.
-type portion struct {
+// quota is the units of one kind that an entry may use.
+type quota struct {
 	fixed int
 	lent  int
 }
 
-func (p portion) all() int { return p.fixed + p.lent }
+func (q quota) total() int { return q.fixed + q.lent }
 
-// wait is what a time to come back is computed from.
-type wait struct {
-	// next is the time until a place is free, each the time between two places
-	// promised, booked the time up to which places are promised.
-	next   time.Duration
-	each   time.Duration
-	booked *time.Time
+// retryEstimate is the basis of RetryAfter.
+type retryEstimate struct {
+	// next is the expected time until a unit is free, interval the time between two
+	// promised retries, bookedUntil the time up to which retries are promised.
+	next        time.Duration
+	interval    time.Duration
+	bookedUntil *time.Time
 }
 
-// account returns the state of a listed account, nil for any other.
+// account returns the state of an account, creating it if needed, or nil if the
+// account is not listed.
 func (h *Holder) account(name btid.Account) *account {
 	if a := h.accounts[name]; a != nil {
 		return a
 	}
-	if _, listed := h.terms.accounts[name]; !listed {
+	if _, listed := h.limits.accounts[name]; !listed {
 		return nil
 	}
-	a := &account{name: name, asked: h.started, answered: true, window: h.now, hold: time.Second}
+	a := &account{name: name, askedAt: h.started, answered: true, windowStart: h.now, meanDuration: time.Second}
 	h.accounts[name] = a
 	at, _ := slices.BinarySearch(h.names, name)
 	h.names = slices.Insert(h.names, at, name)
 	return a
 }
 
-// forget drops accounts that stand as new ones would.
-func (h *Holder) forget() {
+// dropIdle drops accounts that are no longer listed, or whose state equals that of a
+// new account. Accounts with running requests are kept.
+func (h *Holder) dropIdle() {
 	h.names = slices.DeleteFunc(h.names, func(name btid.Account) bool {
 		a := h.accounts[name]
-		_, listed := h.terms.accounts[name]
-		fresh := a.end.IsZero() && a.current == demand{} && a.last == demand{}
+		_, listed := h.limits.accounts[name]
+		fresh := a.leaseEnd.IsZero() && a.current == demand{} && a.last == demand{}
 		if a.bucket != nil {
 			fresh = fresh && a.bucket.full(h.now)
 		}
@@ -114,58 +116,58 @@
 	})
 }
 
-// settle brings the account's shares up to the present time.
-func (h *Holder) settle(a *account) {
-	if !a.end.IsZero() && !a.end.After(h.now) {
-		end := a.end
+// refresh brings the account's quotas up to the present time.
+func (h *Holder) refresh(a *account) {
+	if !a.leaseEnd.IsZero() && !a.leaseEnd.After(h.now) {
+		end := a.leaseEnd
 		a.endLease()
-		h.resize(a, end)
+		h.updateQuotas(a, end)
 	}
-	for len(h.history) > 0 && !h.history[0].slots.After(h.now) {
-		h.history = h.history[1:]
+	for len(h.previous) > 0 && !h.previous[0].slotsUntil.After(h.now) {
+		h.previous = h.previous[1:]
 	}
-	if a.of != h.terms {
-		h.renewTerms(a)
+	if a.limits != h.limits {
+		h.applyLimits(a)
 	}
-	h.resize(a, h.now)
+	h.updateQuotas(a, h.now)
 }
 
 func (a *account) endLease() {
-	a.end = time.Time{}
+	a.leaseEnd = time.Time{}
 	a.slots.lent = 0
 	a.tokens.lent = 0
 }
 
-// renewTerms takes over the limits in force. Lent units of another shape are
-// given up.
-func (h *Holder) renewTerms(a *account) {
-	a.of = h.terms
-	a.limit = h.terms.accounts[a.name]
+// applyLimits applies the limits in force. Lent units are given up if the shape
+// changed.
+func (h *Holder) applyLimits(a *account) {
+	a.limits = h.limits
+	a.limit = h.limits.accounts[a.name]
 	a.limit.Account = a.name
-	a.home, _ = Home(a.name, h.terms.entries)
-	a.rank = h.terms.rank(a.name, h.self)
-	if shape := h.terms.shape(a.limit); shape != a.shape {
+	a.home, _ = Home(a.name, h.limits.entries)
+	a.rank = h.limits.rank(a.name, h.self)
+	if shape := h.limits.shape(a.limit); shape != a.shape {
 		a.shape = shape
 		a.endLease()
 	}
 }
 
-// resize computes the fixed shares, which bundles of late may hold back, and
-// fits the bucket to the units. A change of the limit alone holds back nothing:
-// see share.
-func (h *Holder) resize(a *account, now time.Time) {
-	slots, tokens, perSecond := h.fixed(h.terms, a.limit, a.rank)
-	for _, p := range h.history {
-		limit, listed := p.terms.accounts[a.name]
+// updateQuotas recomputes the fixed quotas and resizes the bucket. After a change of
+// the entries or of the burst, quotas grow only once the previous limits have expired.
+// Other changes of a limit need no delay; see fixedShare.
+func (h *Holder) updateQuotas(a *account, now time.Time) {
+	slots, tokens, perSecond := h.fixedQuotas(h.limits, a.limit, a.rank)
+	for _, p := range h.previous {
+		limit, listed := p.limits.accounts[a.name]
 		if !listed {
 			continue
 		}
-		moved := p.terms.digest != h.terms.digest
-		s, t, r := h.fixed(p.terms, limit, p.terms.rank(a.name, h.self))
-		if moved && p.slots.After(h.now) {
+		entriesChanged := p.limits.entriesDigest != h.limits.entriesDigest
+		s, t, r := h.fixedQuotas(p.limits, limit, p.limits.rank(a.name, h.self))
+		if entriesChanged && p.slotsUntil.After(h.now) {
 			slots = min(slots, s)
 		}
-		if (moved || limit.Burst != a.limit.Burst) && p.tokens.After(h.now) {
+		if (entriesChanged || limit.Burst != a.limit.Burst) && p.tokensUntil.After(h.now) {
 			tokens = min(tokens, t)
 			perSecond = min(perSecond, r)
 		}
@@ -178,63 +180,65 @@
 	}
 	perSecond += float64(a.tokens.lent) * a.limit.Rate / float64(a.limit.Burst)
 	if a.bucket == nil {
-		a.bucket = newBucket(h.started, a.tokens.all(), perSecond)
+		a.bucket = newBucket(h.started, a.tokens.total(), perSecond)
 		return
 	}
-	a.bucket.resize(now, a.tokens.all(), perSecond)
+	a.bucket.resize(now, a.tokens.total(), perSecond)
 }
 
-// fixed returns the fixed slots and tokens, and the rate of the latter.
-func (h *Holder) fixed(t *terms, l Limit, rank int) (int, int, float64) {
+// fixedQuotas returns the fixed slots, the fixed tokens and the rate of the tokens.
+func (h *Holder) fixedQuotas(t *indexedLimits, l Limit, rank int) (int, int, float64) {
 	n := len(t.entries)
 	slots := math.MaxInt32
 	if l.Concurrency > 0 {
-		slots = share(h.settings.fixed(l.Concurrency, n), rank, n)
+		slots = fixedShare(h.settings.fixedUnits(l.Concurrency, n), rank, n)
 	}
 	if l.Rate <= 0 {
 		return slots, math.MaxInt32, math.Inf(1)
 	}
-	tokens := share(h.settings.fixed(l.Burst, n), rank, n)
+	tokens := fixedShare(h.settings.fixedUnits(l.Burst, n), rank, n)
 	return slots, tokens, float64(tokens) * l.Rate / float64(l.Burst)
 }
 
-// slotFree tells whether a request may run. A long one needs a fixed slot.
+// slotFree reports whether a slot is free. A long request needs a fixed slot.
 func (a *account) slotFree(long bool) bool {
-	if long && a.long >= a.slots.fixed {
+	if long && a.runningLong >= a.slots.fixed {
 		return false
 	}
-	return a.running < a.slots.all()
+	return a.running < a.slots.total()
 }
 
-func (a *account) take(long bool) {
+func (a *account) addRunning(long bool) {
 	a.running++
-	a.current.slots = max(a.current.slots, a.running)
+	a.current.peakSlots = max(a.current.peakSlots, a.running)
 	if long {
-		a.long++
+		a.runningLong++
 	}
 }
 
-func (a *account) release(long bool, held time.Duration) {
+func (a *account) removeRunning(long bool, duration time.Duration) {
 	a.running--
 	if long {
-		a.long--
+		a.runningLong--
 	}
-	a.hold = time.Duration(holdDecay*float64(a.hold) + (1-holdDecay)*float64(held))
+	a.meanDuration = time.Duration(durationDecay*float64(a.meanDuration) + (1-durationDecay)*float64(duration))
 }
 
-// slotWait: running requests end one by one in the mean time that they run.
-func (a *account) slotWait() wait {
-	places := max(a.running, 1)
-	next := a.hold / time.Duration(places)
-	return wait{next: next, each: time.Duration(float64(next) / returnShare), booked: &a.slotBooked}
+// slotRetry estimates when a slot is free: running requests are assumed to end evenly
+// spread over their mean duration.
+func (a *account) slotRetry() retryEstimate {
+	slots := max(a.running, 1)
+	next := a.meanDuration / time.Duration(slots)
+	return retryEstimate{next: next, interval: time.Duration(float64(next) / retryShare), bookedUntil: &a.slotRetriesUntil}
 }
 
-func (a *account) tokenWait(now time.Time) wait {
-	if a.bucket.tokens == 0 || a.bucket.rate <= 0 {
-		each := time.Duration(float64(time.Second) / a.limit.Rate / returnShare)
-		return wait{each: each, booked: &a.tokenBooked}
+// tokenRetry estimates when the next token is available.
+func (a *account) tokenRetry(now time.Time) retryEstimate {
+	if a.bucket.burst == 0 || a.bucket.rate <= 0 {
+		interval := time.Duration(float64(time.Second) / a.limit.Rate / retryShare)
+		return retryEstimate{interval: interval, bookedUntil: &a.tokenRetriesUntil}
 	}
-	next := time.Duration(a.bucket.wait(now) * float64(time.Second))
-	each := time.Duration(float64(time.Second) / a.bucket.rate / returnShare)
-	return wait{next: next, each: each, booked: &a.tokenBooked}
+	next := time.Duration(a.bucket.waitSeconds(now) * float64(time.Second))
+	interval := time.Duration(float64(time.Second) / a.bucket.rate / retryShare)
+	return retryEstimate{next: next, interval: interval, bookedUntil: &a.tokenRetriesUntil}
 }
--- a/core/btlimit/btlimit.go
+++ b/core/btlimit/btlimit.go
@@ -1,25 +1,25 @@
-// Package btlimit holds client accounts to their limits over several entries
-// that share no state.
+// Package btlimit enforces the limits of client accounts over several entries that
+// share no state.
 //
-// A limit is counted in units: requests running at once (slots), and requests
-// of the burst, each with its part of the rate (tokens). A part of the units,
-// the reserve, is split as fixed shares that every entry computes alike from
-// the bundle and may use whatever it hears. The rest is lent by the account's
-// home entry in short leases to the entries that need it. An entry that is cut
-// off from the home is left with its fixed share, which can't break the limit;
-// with fewer units than entries, the rendezvous order decides who holds one.
+// A limit is counted in units: slots are requests running at once; tokens are
+// requests of the burst, each with its part of the rate. A fraction of the units is
+// divided into fixed shares, which every entry computes alike from the bundle and may
+// use without communicating. The account's home entry lends the rest in short leases
+// to the entries that need it. An entry that cannot reach the home keeps its fixed
+// share, which cannot exceed the limit. If there are fewer units than entries, the
+// rendezvous order decides which entries have one.
 //
-// Leases need no common clock. The holder counts a lease from when it sent the
-// ask and takes no answer but to its last ask; the home counts from when it
-// answered, which is later, so the holder always stops first. A lent slot runs
-// only requests that end within Settings.Tail, and the home holds it that much
-// longer. A home that restarts lends nothing new until all that its earlier
-// incarnation may have lent is over.
+// Leases need no common clock. The holder counts a lease from when it sent the ask,
+// and accepts only the answer to its last ask. The home counts from when it answered,
+// which is later, so the holder always stops first. A lent slot runs only requests
+// that end within Settings.LentSlotMax, and the home reserves the slot for that much
+// longer. After a restart, a home lends no new units until all loans of its earlier
+// incarnation have expired.
 //
-// At any moment, over all entries: the requests running are at most the
-// concurrency, and in any window the requests taken are at most the burst and
-// the rate times the window. While entries stand at different bundles, the
-// highest of their limits counts.
+// Over all entries, the requests running never exceed the concurrency, and the
+// requests admitted in any window never exceed the burst plus the rate times the
+// window. While entries have different bundles in force, the highest of their limits
+// applies.
 package btlimit
 
 import (
@@ -33,7 +33,7 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Holder decides at one entry which requests its shares admit.
+// Holder decides at one entry which requests to admit within the entry's shares.
 type Holder struct {
 	settings    Settings
 	self        btid.Entry
@@ -42,42 +42,43 @@
 	random      *rand.Rand
 
 	now      time.Time
-	terms    *terms
-	history  []past
+	limits   *indexedLimits
+	previous []previousLimits
 	accounts map[btid.Account]*account
 	names    []btid.Account
-	running  map[btid.Request]taken
-	// budget bounds asks, and first rotates whose turn is first.
-	budget *rate.Limiter
-	first  int
-	// number is the last ask's, over all accounts, so that an account that was
-	// forgotten uses none twice.
-	number  uint64
-	effects []HolderEffect
+	running  map[btid.Request]admittedRequest
+	// askLimiter limits the rate of asks; tickStart rotates which account asks first.
+	askLimiter *rate.Limiter
+	tickStart  int
+	// lastAskNumber counts asks over all accounts, so that an account whose state was
+	// dropped does not reuse a number.
+	lastAskNumber uint64
+	effects       []HolderEffect
 }
 
 var _ btcore.Machine[HolderEvent, HolderEffect] = (*Holder)(nil)
 
-// past is what was in force before, and bounds shares until all have settled.
-type past struct {
-	terms  *terms
-	tokens time.Time
-	slots  time.Time
+// previousLimits are limits that were replaced. They cap the shares until all entries
+// apply the new limits and requests admitted under the old ones have ended.
+type previousLimits struct {
+	limits      *indexedLimits
+	tokensUntil time.Time
+	slotsUntil  time.Time
 }
 
-// historyKept bounds the bundles that bound shares at a time.
-const historyKept = 32
+// maxPreviousLimits bounds how many replaced limits are kept.
+const maxPreviousLimits = 32
 
-// taken is a request that runs.
-type taken struct {
-	account btid.Account
-	since   time.Time
-	// long tells that it may outlast a lent slot.
+// admittedRequest is a running request.
+type admittedRequest struct {
+	account    btid.Account
+	admittedAt time.Time
+	// long means that the request may run for longer than a lent slot allows.
 	long bool
 }
 
-// NewHolder returns a holder that admits nothing until the first Limits. Jitter
-// is drawn from random.
+// NewHolder returns a holder that admits no request until the first Limits. Random
+// supplies the jitter.
 func NewHolder(settings Settings, self btid.Entry, incarnation btid.Incarnation, started time.Time, random *rand.Rand) *Holder {
 	return &Holder{
 		settings:    settings,
@@ -86,10 +87,10 @@
 		started:     started,
 		random:      random,
 		now:         started,
-		terms:       newTerms(Limits{}),
+		limits:      indexLimits(Limits{}),
 		accounts:    map[btid.Account]*account{},
-		running:     map[btid.Request]taken{},
-		budget:      rate.NewLimiter(rate.Limit(settings.AskRate), max(1, int(settings.AskRate))),
+		running:     map[btid.Request]admittedRequest{},
+		askLimiter:  rate.NewLimiter(rate.Limit(settings.AskRate), max(1, int(settings.AskRate))),
 	}
 }
 
@@ -101,35 +102,35 @@
 	h.effects = nil
 	switch e := event.(type) {
 	case Limits:
-		h.limits(e)
+		h.setLimits(e)
 	case Acquire:
 		h.acquire(e)
 	case Release:
 		h.release(e.ID)
 	case LeaseReceived:
-		h.lease(e.Lease)
+		h.applyLease(e.Lease)
 	case Tick:
 		h.tick()
 	}
 	return h.effects
 }
 
-func (h *Holder) limits(e Limits) {
-	if len(h.terms.entries) > 0 {
-		settled := h.now.Add(h.settings.PropagationTime)
-		h.history = append(h.history, past{terms: h.terms, tokens: settled, slots: settled.Add(h.terms.longestOr(h.settings.MaxRequestDuration))})
-		h.history = h.history[max(0, len(h.history)-historyKept):]
+func (h *Holder) setLimits(e Limits) {
+	if len(h.limits.entries) > 0 {
+		propagated := h.now.Add(h.settings.PropagationTime)
+		h.previous = append(h.previous, previousLimits{limits: h.limits, tokensUntil: propagated, slotsUntil: propagated.Add(h.limits.maxRequestDurationOr(h.settings.MaxRequestDuration))})
+		h.previous = h.previous[max(0, len(h.previous)-maxPreviousLimits):]
 	}
-	h.terms = newTerms(e)
+	h.limits = indexLimits(e)
 	for _, name := range h.names {
 		a := h.accounts[name]
-		h.settle(a)
+		h.refresh(a)
 	}
-	h.forget()
+	h.dropIdle()
 }
 
 func (h *Holder) acquire(e Acquire) {
-	if _, twice := h.running[e.ID]; twice {
+	if _, duplicate := h.running[e.ID]; duplicate {
 		return
 	}
 	a := h.account(e.Account)
@@ -137,32 +138,33 @@
 		h.effects = append(h.effects, Refused{ID: e.ID, Reason: ReasonAccount})
 		return
 	}
-	h.settle(a)
+	h.refresh(a)
 	long := e.Deadline.IsZero() || e.Deadline.After(h.now.Add(h.settings.LentSlotMax))
-	a.current.arrived++
+	a.current.arrivals++
 	switch {
 	case !a.slotFree(long):
-		a.current.slots = max(a.current.slots, a.running) + 1
-		h.refuse(e.ID, ReasonConcurrency, a.slotWait())
+		a.current.peakSlots = max(a.current.peakSlots, a.running) + 1
+		h.refuse(e.ID, ReasonConcurrency, a.slotRetry())
 	case a.bucket != nil && !a.bucket.allow(h.now):
-		h.refuse(e.ID, ReasonRate, a.tokenWait(h.now))
+		h.refuse(e.ID, ReasonRate, a.tokenRetry(h.now))
 	default:
-		h.take(a, e, long)
+		h.admit(a, e, long)
 	}
 	h.ask(a)
 }
 
-func (h *Holder) take(a *account, e Acquire, long bool) {
-	h.running[e.ID] = taken{account: e.Account, since: h.now, long: long}
-	a.take(long)
+func (h *Holder) admit(a *account, e Acquire, long bool) {
+	h.running[e.ID] = admittedRequest{account: e.Account, admittedAt: h.now, long: long}
+	a.addRunning(long)
 	h.effects = append(h.effects, Admitted{ID: e.ID})
 }
 
-// refuse tells the time to come back: after those that were told before.
-func (h *Holder) refuse(id btid.Request, reason btrequest.Reason, w wait) {
-	at := h.now.Add(max(w.next, h.settings.AskInterval))
-	at = later(at, *w.booked)
-	*w.booked = at.Add(w.each)
+// refuse refuses a request and sets RetryAfter, with jitter. Retries are spread out:
+// each is scheduled after the ones that were promised before it.
+func (h *Holder) refuse(id btid.Request, reason btrequest.Reason, e retryEstimate) {
+	at := h.now.Add(max(e.next, h.settings.AskInterval))
+	at = later(at, *e.bookedUntil)
+	*e.bookedUntil = at.Add(e.interval)
 	after := at.Sub(h.now)
 	after += time.Duration(h.random.Float64() * retryJitter * float64(after))
 	h.effects = append(h.effects, Refused{ID: id, Reason: reason, RetryAfter: after})
@@ -175,40 +177,40 @@
 	}
 	delete(h.running, id)
 	if a := h.accounts[t.account]; a != nil {
-		a.release(t.long, h.now.Sub(t.since))
+		a.removeRunning(t.long, h.now.Sub(t.admittedAt))
 	}
 }
 
-// lease takes an answer to the last ask.
-func (h *Holder) lease(l ShareLease) {
+// applyLease applies a lease that answers the last ask.
+func (h *Holder) applyLease(l ShareLease) {
 	a := h.accounts[l.Account]
-	if a == nil || l.To != h.self || l.Incarnation != h.incarnation || l.Number != a.number {
+	if a == nil || l.To != h.self || l.Incarnation != h.incarnation || l.Number != a.askNumber {
 		h.effects = append(h.effects, Ignored{Account: l.Account, Reason: ReasonLeaseOld})
 		return
 	}
-	h.settle(a)
+	h.refresh(a)
 	if l.Shape != a.shape {
 		h.effects = append(h.effects, Ignored{Account: l.Account, Reason: ReasonLeaseShape})
 		return
 	}
 	a.answered = true
-	end := a.asked.Add(min(l.Duration, h.settings.LeaseDuration))
+	end := a.askedAt.Add(min(l.Duration, h.settings.LeaseDuration))
 	if !end.After(h.now) {
 		h.effects = append(h.effects, Ignored{Account: l.Account, Reason: ReasonLeaseOld})
 		return
 	}
 	a.slots.lent = l.Slots
 	a.tokens.lent = l.Tokens
-	a.end = end
-	h.resize(a, h.now)
+	a.leaseEnd = end
+	h.updateQuotas(a, h.now)
 }
 
 func (h *Holder) tick() {
-	h.first++
+	h.tickStart++
 	for i := range h.names {
-		a := h.accounts[h.names[(h.first+i)%len(h.names)]]
-		h.settle(a)
+		a := h.accounts[h.names[(h.tickStart+i)%len(h.names)]]
+		h.refresh(a)
 		h.ask(a)
 	}
-	h.forget()
+	h.dropIdle()
 }
--- a/core/btlimit/btlimit_test.go
+++ b/core/btlimit/btlimit_test.go
@@ -18,8 +18,9 @@
 
 var seeds = flag.Uint64("seeds", 5, "seeds of each randomised run")
 
-// quick settings let a run of minutes hold many leases and tails.
-func quick() btlimit.Settings {
+// shortSettings returns settings that fit many leases and requests on lent slots into a
+// run of minutes.
+func shortSettings() btlimit.Settings {
 	s := btlimit.DefaultSettings()
 	s.LeaseDuration = 2 * time.Second
 	s.LentSlotMax = 3 * time.Second
@@ -36,8 +37,8 @@
 	}
 }
 
-// roaming demand gathers at two entries after the other.
-func roaming(w *world) func(btlimit.Limit, int) int {
+// rotatingDemand returns a demand that is concentrated at two entries at a time.
+func rotatingDemand(w *world) func(btlimit.Limit, int) int {
 	return func(_ btlimit.Limit, entry int) int {
 		turn := int(w.now.Sub(start)/(7*time.Second)) % len(w.processes)
 		if entry == turn || entry == (turn+1)%len(w.processes) {
@@ -47,40 +48,46 @@
 	}
 }
 
-func faulty(seed uint64) *world {
-	w := newWorld(seed, quick(), 5, threeAccounts()...)
+// newFaultyWorld returns a world with message loss, isolation, pauses and restarts.
+func newFaultyWorld(seed uint64) *world {
+	w := newWorld(seed, shortSettings(), 5, threeAccounts()...)
 	w.faults = true
-	w.kinds = 3
-	w.demand = roaming(w)
+	w.faultKinds = 3
+	w.demand = rotatingDemand(w)
 	return w
 }
 
+// TestLimitsHoldOverAllEntries guards against exceeding a limit under faults. Two
+// faulty variants must be detected: a home that lends right after a restart, while its
+// earlier loans are in use, and long requests that outlast a lent slot.
 func TestLimitsHoldOverAllEntries(t *testing.T) {
-	var forgetful, hasty, asserted int
+	var restartErrors, longErrors, violated int
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		w := faulty(seed)
+		w := newFaultyWorld(seed)
 		w.run(2 * time.Minute)
-		assert.Check(t, len(w.wrong) == 0 && len(w.violated) == 0, "seed %d: %q, violated %v", seed, w.wrong, w.violated)
-		assert.Check(t, w.gauges["large"].admitted > 200, "seed %d: admitted only %d", seed, w.gauges["large"].admitted)
+		assert.Check(t, len(w.limitErrors) == 0 && len(w.violations) == 0, "seed %d: limit errors %q, violated invariants %v", seed, w.limitErrors, w.violations)
+		assert.Check(t, w.totals["large"].admitted > 200, "seed %d: admitted only %d", seed, w.totals["large"].admitted)
 
-		naive := faulty(seed)
-		naive.forgetful = true
-		naive.run(2 * time.Minute)
-		forgetful += len(naive.wrong)
-		asserted += len(naive.violated)
-		naive = faulty(seed)
-		naive.hasty = true
-		naive.run(2 * time.Minute)
-		hasty += len(naive.wrong)
+		faulty := newFaultyWorld(seed)
+		faulty.lendsAfterRestart = true
+		faulty.run(2 * time.Minute)
+		restartErrors += len(faulty.limitErrors)
+		violated += len(faulty.violations)
+		faulty = newFaultyWorld(seed)
+		faulty.longOnLentSlots = true
+		faulty.run(2 * time.Minute)
+		longErrors += len(faulty.limitErrors)
 	}
-	t.Logf("wrong: lends at once %d (asserted at the home %d), long on lent slots %d", forgetful, asserted, hasty)
-	assert.Check(t, forgetful > 0, "the run does not find the home that lends at once")
-	assert.Check(t, asserted > 0, "the home's own assertion does not find it")
-	assert.Check(t, hasty > 0, "the run does not find long requests on lent slots")
+	t.Logf("limit errors: home lends after a restart %d (invariant violated %d times), long requests on lent slots %d", restartErrors, violated, longErrors)
+	assert.Check(t, restartErrors > 0, "the world does not detect a home that lends right after a restart")
+	assert.Check(t, violated > 0, "the home's invariant does not detect lending right after a restart")
+	assert.Check(t, longErrors > 0, "the world does not detect long requests on lent slots")
 }
 
-func TestFullLimitAtEachEntryBreaksIt(t *testing.T) {
-	w := newWorld(1, quick(), 5, threeAccounts()...)
+// TestFullLimitAtEachEntryExceedsLimit checks that the world detects entries that each
+// use the whole limit.
+func TestFullLimitAtEachEntryExceedsLimit(t *testing.T) {
+	w := newWorld(1, shortSettings(), 5, threeAccounts()...)
 	w.demand = func(btlimit.Limit, int) int { return 2 }
 	for _, p := range w.processes {
 		alone := btlimit.Limits{Entries: []btid.Entry{p.name}, Accounts: w.limits.Accounts}
@@ -88,19 +95,18 @@
 		p.holder.Step(w.now, alone)
 	}
 	w.run(10 * time.Second)
-	assert.Check(t, len(w.wrong) > 0)
+	assert.Check(t, len(w.limitErrors) > 0)
 }
 
-// changing is a run through changes of limits and of the list of entries. Each
-// entry hears of them at its own time, within the settling time, and the highest
-// limit counts.
-func changing(seed uint64, settle time.Duration) *world {
-	settings := quick()
-	spread := settings.PropagationTime * 9 / 10
-	settings.PropagationTime = settle
+// runLimitChanges runs a world through changes of limits and entries. Each entry applies
+// them at a different time within the propagation time, and the highest limit counts.
+func runLimitChanges(seed uint64, propagation time.Duration) *world {
+	settings := shortSettings()
+	delivery := settings.PropagationTime * 9 / 10
+	settings.PropagationTime = propagation
 	w := newWorld(seed, settings, 5, threeAccounts()...)
 	w.faults = true
-	w.spread = spread
+	w.propagation = delivery
 	all := w.limits
 	for range 5 {
 		w.run(12 * time.Second)
@@ -110,19 +116,21 @@
 	return w
 }
 
+// TestLimitsHoldWhileBundlesDiffer guards against exceeding a limit while entries apply
+// a bundle at different times. Shares that grow without delay must be detected.
 func TestLimitsHoldWhileBundlesDiffer(t *testing.T) {
-	var hasty int
+	var growthErrors int
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		w := changing(seed, quick().PropagationTime)
-		assert.Check(t, len(w.wrong) == 0 && len(w.violated) == 0, "seed %d: %q, violated %v", seed, w.wrong, w.violated)
-		hasty += len(changing(seed, -quick().MaxRequestDuration).wrong)
+		w := runLimitChanges(seed, shortSettings().PropagationTime)
+		assert.Check(t, len(w.limitErrors) == 0 && len(w.violations) == 0, "seed %d: limit errors %q, violated invariants %v", seed, w.limitErrors, w.violations)
+		growthErrors += len(runLimitChanges(seed, -shortSettings().MaxRequestDuration).limitErrors)
 	}
-	t.Logf("wrong: shares that grow at once %d", hasty)
-	assert.Check(t, hasty > 0, "the run does not find shares that grow at once")
+	t.Logf("limit errors: shares that grow without delay %d", growthErrors)
+	assert.Check(t, growthErrors > 0, "the world does not detect shares that grow without delay")
 }
 
-// publish brings a random part of the limits, or all, and of the entries to each
-// entry in its own time.
+// publish delivers new limits to each entry after a random delay: a random part of the
+// entries, and either the full limits or random fractions of them.
 func (w *world) publish(all btlimit.Limits) {
 	next := btlimit.Limits{Entries: all.Entries[:2+w.random.IntN(4)]}
 	lower := w.random.IntN(2) == 0
@@ -137,35 +145,39 @@
 	}
 	w.limits = next
 	for _, p := range w.processes {
-		delay := time.Duration(w.random.Int64N(int64(w.spread)))
-		w.network = append(w.network, letter{at: w.now.Add(delay), to: p.name, deliver: func(p *process) {
+		delay := time.Duration(w.random.Int64N(int64(w.propagation)))
+		w.packets = append(w.packets, packet{at: w.now.Add(delay), to: p.name, deliver: func(p *process) {
 			p.holder.Step(w.now, next)
 			p.home.Step(w.now, next)
 		}})
 	}
 }
 
-func TestCutOffEntryKeepsItsFixedShare(t *testing.T) {
-	w := newWorld(1, quick(), 4, btlimit.Limit{Account: "a", Concurrency: 16})
-	w.longest = time.Second
+// TestIsolatedEntryKeepsFixedShare guards against an entry using lent slots, or losing
+// its fixed share, when it cannot reach the home.
+func TestIsolatedEntryKeepsFixedShare(t *testing.T) {
+	w := newWorld(1, shortSettings(), 4, btlimit.Limit{Account: "a", Concurrency: 16})
+	w.maxDuration = time.Second
 	w.demand = func(_ btlimit.Limit, entry int) int { return 2 - min(entry, 1)*2 }
 	w.run(20 * time.Second)
 	view, _ := w.processes[0].holder.View("a")
 	loans := w.processes[slices.Index(w.limits.Entries, view.Home)].home.Loans("a")
 	assert.Check(t, len(loans) > 0 && loans[0].Slots >= view.LentSlots, "%v", loans)
-	assert.Check(t, w.gauges["a"].most >= 9, "gathered %d of 16", w.gauges["a"].most)
+	assert.Check(t, w.totals["a"].peakRunning >= 9, "at most %d of 16 requests running", w.totals["a"].peakRunning)
 	for _, p := range w.processes {
-		p.cut = w.now.Add(time.Hour)
+		p.isolatedUntil = w.now.Add(time.Hour)
 	}
 	w.run(5 * time.Second)
-	w.gauges["a"].most = 0
+	w.totals["a"].peakRunning = 0
 	w.run(5 * time.Second)
 	assert.Assert(t, view.Home != "entry-0")
-	assert.Equal(t, w.gauges["a"].most, 2)
+	assert.Equal(t, w.totals["a"].peakRunning, 2)
 }
 
-func TestAsksAreBounded(t *testing.T) {
-	s := quick()
+// TestAskRateIsBounded guards against sending more messages than AskRate allows, and
+// against sending none.
+func TestAskRateIsBounded(t *testing.T) {
+	s := shortSettings()
 	s.AskRate = 3
 	w := newWorld(1, s, 2, threeAccounts()...)
 	w.demand = func(_ btlimit.Limit, entry int) int { return 2 - 2*entry }
@@ -174,8 +186,10 @@
 	assert.Check(t, w.messages > 20, "%d messages", w.messages)
 }
 
-func TestRetryAfterIsTrue(t *testing.T) {
-	h := btlimit.NewHolder(quick(), "e1", 1, start, rand.New(rand.NewPCG(1, 1)))
+// TestRetryAfterIsReliable guards against refused requests being refused again when
+// they return after RetryAfter.
+func TestRetryAfterIsReliable(t *testing.T) {
+	h := btlimit.NewHolder(shortSettings(), "e1", 1, start, rand.New(rand.NewPCG(1, 1)))
 	h.Step(start, btlimit.Limits{Entries: []btid.Entry{"e1"}, Accounts: []btlimit.Limit{{Account: "a", Rate: 10, Burst: 4}}})
 	now := start.Add(time.Minute)
 	var number uint64
@@ -184,22 +198,23 @@
 		id := btid.Request{Entry: "e1", Incarnation: 1, Number: number}
 		return h.Step(now, btlimit.Acquire{ID: id, Account: "a", Deadline: now.Add(time.Second)})[0]
 	}
-	var back []time.Duration
+	var retryTimes []time.Duration
 	for range 30 {
 		if r, ok := acquire(now).(btlimit.Refused); ok {
 			assert.Equal(t, r.Reason, btlimit.ReasonRate)
-			back = append(back, r.RetryAfter)
+			retryTimes = append(retryTimes, r.RetryAfter)
 		}
 	}
-	var taken int
-	for _, after := range back {
+	var admitted int
+	for _, after := range retryTimes {
 		if _, ok := acquire(now.Add(after)).(btlimit.Admitted); ok {
-			taken++
+			admitted++
 		}
 	}
-	assert.Check(t, taken*10 >= len(back)*9, "%d of %d taken when they came back", taken, len(back))
+	assert.Check(t, admitted*10 >= len(retryTimes)*9, "%d of %d retries admitted", admitted, len(retryTimes))
 }
 
+// FuzzMessages decodes arbitrary bytes: valid messages must not break a holder or home.
 func FuzzMessages(f *testing.F) {
 	ask := btlimit.ShareAsk{Account: "a", From: "e1", Incarnation: 1, Number: 1, SentAt: start, Slots: btlimit.Need{Want: 2}}
 	lease := btlimit.ShareLease{Account: "a", To: "e1", Incarnation: 1, Number: 1, Slots: 2, Duration: time.Second}
@@ -208,7 +223,7 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := newWorld(1, quick(), 2, threeAccounts()...)
+		w := newWorld(1, shortSettings(), 2, threeAccounts()...)
 		var a btlimit.ShareAsk
 		if cbor.Unmarshal(data, &a) == nil && a.Validate() == nil {
 			w.processes[0].home.Step(w.now, btlimit.AskReceived{Ask: a})
@@ -230,8 +245,8 @@
 	// Output: {entry-1-1-1}
 }
 
-// BenchmarkShares prints the part of a limit that one entry reaches when all
-// demand is there, and the messages a second that it takes.
+// BenchmarkShares prints the part of a limit that one entry reaches if it receives all
+// requests, and the messages per second that this takes.
 func BenchmarkShares(b *testing.B) {
 	ask, _ := cbor.Marshal(btlimit.ShareAsk{Account: "account-001", From: "entry-dc1-001", Incarnation: 1893456000000000000,
 		Number: 100000, SentAt: start, Shape: 1 << 63, Slots: btlimit.Need{Held: 30, Want: 40}, HeldFor: time.Second})
@@ -244,7 +259,7 @@
 				s := btlimit.DefaultSettings()
 				s.FixedFraction = reserve
 				w := newWorld(1, s, entries, btlimit.Limit{Account: "rate", Rate: 200, Burst: 100}, btlimit.Limit{Account: "slots", Concurrency: 100})
-				w.longest = time.Second
+				w.maxDuration = time.Second
 				w.demand = func(_ btlimit.Limit, entry int) int {
 					if entry > 0 {
 						return 0
@@ -252,17 +267,17 @@
 					return 20
 				}
 				w.run(time.Minute)
-				before, messages := w.gauges["rate"].admitted, w.messages
+				before, messages := w.totals["rate"].admitted, w.messages
 				w.run(time.Minute)
 				fmt.Printf("entries %d reserve %.2f: rate %.2f concurrency %.2f of the limit, %.1f messages/s, wrong %d\n",
-					entries, reserve, float64(w.gauges["rate"].admitted-before)/60/200,
-					float64(w.gauges["slots"].most)/100, float64(w.messages-messages)/60, len(w.wrong))
+					entries, reserve, float64(w.totals["rate"].admitted-before)/60/200,
+					float64(w.totals["slots"].peakRunning)/100, float64(w.messages-messages)/60, len(w.limitErrors))
 			}
 		}
 	}
 }
 
-// BenchmarkAcquire measures a request taken and released, and the memory of an
+// BenchmarkAcquire measures admission and release of a request, and the memory per
 // account, with 690 accounts in use.
 func BenchmarkAcquire(b *testing.B) {
 	limits := btlimit.Limits{}
--- a/core/btlimit/capacity_test.go
+++ b/core/btlimit/capacity_test.go
@@ -13,9 +13,9 @@
 	"bilberrytide/core/btlimit"
 )
 
-// fleetLimits are so many accounts over so many entries, each with a fixed share
-// of two slots.
-func fleetLimits(accounts, entries int) btlimit.Limits {
+// limitsOfSize returns limits under which each entry has a fixed share of two slots of
+// each account.
+func limitsOfSize(accounts, entries int) btlimit.Limits {
 	var l btlimit.Limits
 	for i := range entries {
 		l.Entries = append(l.Entries, btid.Entry(fmt.Sprintf("entry-%03d", i)))
@@ -26,14 +26,14 @@
 	return l
 }
 
-var fleetSizes = []struct{ accounts, entries int }{{10, 3}, {100, 40}, {690, 380}}
+var sizes = []struct{ accounts, entries int }{{10, 3}, {100, 40}, {690, 380}}
 
-// BenchmarkHolderSizes measures a tick and the memory of an account at one
-// entry, with a request of each account running.
+// BenchmarkHolderSizes measures a tick and the memory per account at one entry that
+// runs a request of each account.
 func BenchmarkHolderSizes(b *testing.B) {
-	for _, s := range fleetSizes {
+	for _, s := range sizes {
 		b.Run(fmt.Sprintf("accounts=%d/entries=%d", s.accounts, s.entries), func(b *testing.B) {
-			limits := fleetLimits(s.accounts, s.entries)
+			limits := limitsOfSize(s.accounts, s.entries)
 			before := heap()
 			h := btlimit.NewHolder(btlimit.DefaultSettings(), limits.Entries[0], 1, start, rand.New(rand.NewPCG(1, 1)))
 			h.Step(start, limits)
@@ -52,13 +52,13 @@
 	}
 }
 
-// BenchmarkChange measures a new bundle's limits put in force at an entry that
-// has a request of each account running, with a thousand changes a day.
+// BenchmarkChange measures applying new limits at an entry that runs a request of each
+// account, at a thousand changes a day.
 func BenchmarkChange(b *testing.B) {
 	const apart = 24 * time.Hour / 1000
-	for _, s := range fleetSizes {
+	for _, s := range sizes {
 		b.Run(fmt.Sprintf("accounts=%d/entries=%d", s.accounts, s.entries), func(b *testing.B) {
-			limits := fleetLimits(s.accounts, s.entries)
+			limits := limitsOfSize(s.accounts, s.entries)
 			h := btlimit.NewHolder(btlimit.DefaultSettings(), limits.Entries[0], 1, start, rand.New(rand.NewPCG(1, 1)))
 			h.Step(start, limits)
 			now := start.Add(time.Minute)
@@ -86,13 +86,13 @@
 	}
 }
 
-// BenchmarkHome measures an ask answered by an account's home, and the memory of
-// one loan, with every entry holding a loan of each account that the home keeps.
+// BenchmarkHome measures the answer to an ask and the memory per loan at a home where
+// every entry has a loan of each account.
 func BenchmarkHome(b *testing.B) {
-	for _, s := range fleetSizes {
+	for _, s := range sizes {
 		b.Run(fmt.Sprintf("accounts=%d/entries=%d", s.accounts, s.entries), func(b *testing.B) {
-			limits := fleetLimits(s.accounts, s.entries)
-			asks := fleetAsks(limits)
+			limits := limitsOfSize(s.accounts, s.entries)
+			asks := asksToFirstEntry(limits)
 			self := limits.Entries[0]
 			before := heap()
 			home := btlimit.NewAccountHome(btlimit.DefaultSettings(), self, start, btassert.New(btassert.Panic()))
@@ -120,9 +120,9 @@
 	}
 }
 
-// fleetAsks returns the asks that the holders of all entries make, each with
-// demand for every account whose home is the first entry.
-func fleetAsks(limits btlimit.Limits) []btlimit.ShareAsk {
+// asksToFirstEntry returns the asks that all entries send, with demand for every account
+// whose home is the first entry.
+func asksToFirstEntry(limits btlimit.Limits) []btlimit.ShareAsk {
 	var asks []btlimit.ShareAsk
 	for _, entry := range limits.Entries {
 		settings := btlimit.DefaultSettings()
@@ -148,24 +148,24 @@
 	return asks
 }
 
-// BenchmarkAsks gives how many asks a second an entry sends at the size to come,
-// by how many accounts it has in use, each with more requests running than its
-// fixed share and each ask granted in full.
+// BenchmarkAsks measures how many asks per second an entry sends among 380 entries, by
+// the number of accounts in use. Each account runs more requests than its fixed share,
+// and each ask is granted in full.
 func BenchmarkAsks(b *testing.B) {
 	const seconds = 20
 	for _, used := range []int{10, 92, 300} {
 		b.Run(fmt.Sprint("accounts=", used), func(b *testing.B) {
 			asks := 0
 			for b.Loop() {
-				asks = asksOf(used, seconds)
+				asks = countAsks(used, seconds)
 			}
 			b.ReportMetric(float64(asks)/seconds, "asks/s")
 		})
 	}
 }
 
-func asksOf(used, seconds int) int {
-	limits := fleetLimits(690, 380)
+func countAsks(used, seconds int) int {
+	limits := limitsOfSize(690, 380)
 	h := btlimit.NewHolder(btlimit.DefaultSettings(), limits.Entries[0], 1, start, rand.New(rand.NewPCG(1, 1)))
 	h.Step(start, limits)
 	begin := start.Add(time.Minute)
@@ -174,7 +174,7 @@
 	for tick := range 10 * (seconds + 5) {
 		now := begin.Add(time.Duration(tick) * 100 * time.Millisecond)
 		for i := range used {
-			// Four requests of each account end and begin anew once a second.
+			// Four requests of each account end and start anew once a second.
 			if (tick+i)%10 != 0 {
 				continue
 			}
@@ -192,15 +192,15 @@
 				if tick >= 50 {
 					asks++
 				}
-				h.Step(now, btlimit.LeaseReceived{Lease: grantOf(ask.Ask)})
+				h.Step(now, btlimit.LeaseReceived{Lease: fullLease(ask.Ask)})
 			}
 		}
 	}
 	return asks
 }
 
-// grantOf is the lease of a home that lends all that is wanted.
-func grantOf(a btlimit.ShareAsk) btlimit.ShareLease {
+// fullLease returns a lease of everything that the ask wants.
+func fullLease(a btlimit.ShareAsk) btlimit.ShareLease {
 	return btlimit.ShareLease{
 		Account: a.Account, To: a.From, Incarnation: a.Incarnation, Number: a.Number, Shape: a.Shape,
 		Slots: a.Slots.Want, Tokens: a.Tokens.Want, Duration: btlimit.DefaultSettings().LeaseDuration,
--- a/core/btlimit/event.go
+++ b/core/btlimit/event.go
@@ -7,25 +7,24 @@
 	"bilberrytide/core/btrequest"
 )
 
-// HolderEvent is what a Holder hears: Limits or one of Acquire, Release,
-// LeaseHeard and Tick.
+// HolderEvent is an input of a Holder: Limits, Acquire, Release, LeaseReceived or Tick.
 type HolderEvent interface{ holderEvent() }
 
-// Acquire is a request of an account that asks to be taken.
+// Acquire asks to admit a request of an account.
 type Acquire struct {
 	ID      btid.Request
 	Account btid.Account
-	// Deadline is when the request ends at the latest.
+	// Deadline is when the request ends at the latest; zero if it has no deadline.
 	Deadline time.Time
 }
 
-// Release is the end of a request that was taken. A second one changes nothing.
+// Release reports the end of an admitted request. Repeated ones are ignored.
 type Release struct{ ID btid.Request }
 
-// LeaseReceived is a home's answer that arrived, already validated.
+// LeaseReceived delivers a validated lease from a home.
 type LeaseReceived struct{ Lease ShareLease }
 
-// Tick is the passing of time, due every Settings.Ask or so.
+// Tick reports that time has passed. It is due about every Settings.AskInterval.
 type Tick struct{}
 
 func (Acquire) holderEvent()       {}
@@ -33,17 +32,17 @@
 func (LeaseReceived) holderEvent() {}
 func (Tick) holderEvent()          {}
 
-// HolderEffect is what a Holder wants done: Admitted, Refused, Ask or Ignored.
+// HolderEffect is an output of a Holder: Admitted, Refused, SendAsk or Ignored.
 type HolderEffect interface{ holderEffect() }
 
-// Admitted takes the request; its Release is owed.
+// Admitted admits the request. A Release must follow when it ends.
 type Admitted struct{ ID btid.Request }
 
-// Refused answers the request with not_run at once.
+// Refused refuses the request, which is answered with not_run at once.
 type Refused struct {
 	ID     btid.Request
 	Reason btrequest.Reason
-	// RetryAfter is how long to wait before the request is likely to be taken.
+	// RetryAfter is the time after which the request is likely to be admitted.
 	RetryAfter time.Duration
 }
 
@@ -53,7 +52,7 @@
 	Ask ShareAsk
 }
 
-// Ignored says why a message was not believed.
+// Ignored reports that a message was ignored, and why.
 type Ignored struct {
 	Account btid.Account
 	Reason  btrequest.Reason
@@ -65,15 +64,15 @@
 func (Ignored) holderEffect()  {}
 func (Ignored) homeEffect()    {}
 
-// HomeEvent is what an AccountHome hears: Limits or AskHeard.
+// HomeEvent is an input of an AccountHome: Limits or AskReceived.
 type HomeEvent interface{ homeEvent() }
 
-// AskReceived is an entry's ask that arrived, already validated.
+// AskReceived delivers a validated ask from an entry.
 type AskReceived struct{ Ask ShareAsk }
 
 func (AskReceived) homeEvent() {}
 
-// HomeEffect is what an AccountHome wants done: Lend or Ignored.
+// HomeEffect is an output of an AccountHome: SendLease or Ignored.
 type HomeEffect interface{ homeEffect() }
 
 // SendLease sends a lease to the entry that asked.
@@ -84,22 +83,29 @@
 
 func (SendLease) homeEffect() {}
 
-// The reasons for which a request is refused.
+// Reasons for refusing a request.
 const (
 	// ReasonRate: the account's rate is used up.
 	ReasonRate btrequest.Reason = "limit_rate"
-	// ReasonConcurrency: the account runs as many requests as it may.
+	// ReasonConcurrency: the account already runs as many requests as it may.
 	ReasonConcurrency btrequest.Reason = "limit_concurrency"
-	// ReasonAccount: the bundle in force lists no such account.
+	// ReasonAccount: the bundle in force does not list the account.
 	ReasonAccount btrequest.Reason = "limit_unknown_account"
 )
 
-// The reasons for which a message is not believed.
+// Reasons for ignoring a message.
 const (
-	ReasonLeaseOld   btrequest.Reason = "share_lease_old"
+	// ReasonLeaseOld: the lease does not answer the last ask, or has expired.
+	ReasonLeaseOld btrequest.Reason = "share_lease_old"
+	// ReasonLeaseShape: the lease was computed from other entries or another burst.
 	ReasonLeaseShape btrequest.Reason = "share_lease_shape"
-	ReasonAskOld     btrequest.Reason = "share_ask_old"
-	ReasonAskLate    btrequest.Reason = "share_ask_late"
-	ReasonAskShape   btrequest.Reason = "share_ask_shape"
-	ReasonAskHome    btrequest.Reason = "share_ask_not_home"
+	// ReasonAskOld: this ask or a later one of the holder was already handled.
+	ReasonAskOld btrequest.Reason = "share_ask_old"
+	// ReasonAskLate: the ask was sent more than a lease ago.
+	ReasonAskLate btrequest.Reason = "share_ask_late"
+	// ReasonAskShape: the ask was computed from other entries or another burst, or its
+	// sender is not a listed entry.
+	ReasonAskShape btrequest.Reason = "share_ask_shape"
+	// ReasonAskHome: this entry is not the account's home, or the account is not listed.
+	ReasonAskHome btrequest.Reason = "share_ask_not_home"
 )
--- a/core/btlimit/home.go
+++ b/core/btlimit/home.go
@@ -12,77 +12,77 @@
 
 // The invariants that an AccountHome asserts.
 const (
-	// InvariantShareSum: lending never brings the sum of lent units above the part of the
-	// limit that isn't fixed shares.
+	// InvariantShareSum: a grant never raises the sum of lent units above the part of
+	// the limit that is not fixed shares.
 	InvariantShareSum btassert.Name = "limit_share_sum"
-	// InvariantShareKnown: no entry uses lent tokens that a home does not know of once it
-	// has waited out its earlier incarnation.
+	// InvariantShareKnown: once the loans of its earlier incarnation have expired, the
+	// home knows of all lent tokens that entries use.
 	InvariantShareKnown btassert.Name = "limit_share_known"
 )
 
-// clockMargin is the part of a lease by which clocks are thought to differ when
-// ShareKnown is checked. Nothing else rests on it.
-const clockMargin = 4
+// clockToleranceDivisor gives the assumed difference between clocks, as a fraction of
+// a lease, for the check of InvariantShareKnown. Nothing else depends on it.
+const clockToleranceDivisor = 4
 
-// AccountHome lends the units of the accounts whose home this entry is.
+// AccountHome lends the units of the accounts whose home is this entry.
 type AccountHome struct {
 	settings Settings
 	self     btid.Entry
 	asserter *btassert.Asserter
 	now      time.Time
-	terms    *terms
-	accounts map[btid.Account]*ledger
-	// slotsFrom and tokensFrom are when all that an earlier incarnation lent is
-	// over.
-	slotsFrom  time.Time
-	tokensFrom time.Time
+	limits   *indexedLimits
+	accounts map[btid.Account]*accountLoans
+	// slotsLendableFrom and tokensLendableFrom are when all loans of an earlier
+	// incarnation have expired.
+	slotsLendableFrom  time.Time
+	tokensLendableFrom time.Time
 }
 
 var _ btcore.Machine[HomeEvent, HomeEffect] = (*AccountHome)(nil)
 
-// ledger is what a home lent of one account.
-type ledger struct {
-	burst   int
-	holders map[holderKey]*loan
-	// tokensFrom is when tokens may be lent after a change of their number.
-	tokensFrom time.Time
+// accountLoans are a home's loans of one account.
+type accountLoans struct {
+	burst    int
+	byHolder map[holderKey]*loan
+	// tokensLendableFrom is when tokens may be lent after a change of the burst.
+	tokensLendableFrom time.Time
 }
 
-// holderKey is one incarnation of an entry: what an earlier incarnation holds
-// is not given back by the next.
+// holderKey identifies one incarnation of an entry. Units held by an earlier
+// incarnation are not returned by the next one.
 type holderKey struct {
 	entry       btid.Entry
 	incarnation btid.Incarnation
 }
 
-// loan is kept a lease longer than its units, so that an ask that overtook
-// another is known for what it is.
+// loan is what one holder has borrowed. It is kept for one lease longer than its
+// units, so that an ask that arrives out of order is recognised.
 type loan struct {
-	number uint64
-	heard  time.Time
-	slots  units
-	tokens units
+	number  uint64
+	askedAt time.Time
+	slots   lentUnits
+	tokens  lentUnits
 }
 
-// units are lent units of one kind.
-type units struct {
+// lentUnits are the lent units of one kind.
+type lentUnits struct {
 	held  int
 	want  int
 	until time.Time
 }
 
-// NewAccountHome returns a home that remembers nothing: it lends only once all
-// that an earlier incarnation may have lent is over.
+// NewAccountHome returns a home without loans. It lends new units only after all loans
+// of an earlier incarnation have expired.
 func NewAccountHome(settings Settings, self btid.Entry, started time.Time, asserter *btassert.Asserter) *AccountHome {
 	return &AccountHome{
-		settings:   settings,
-		self:       self,
-		asserter:   asserter,
-		now:        started,
-		terms:      newTerms(Limits{}),
-		accounts:   map[btid.Account]*ledger{},
-		slotsFrom:  started.Add(settings.slotsHeld()),
-		tokensFrom: started.Add(settings.tokensHeld()),
+		settings:           settings,
+		self:               self,
+		asserter:           asserter,
+		now:                started,
+		limits:             indexLimits(Limits{}),
+		accounts:           map[btid.Account]*accountLoans{},
+		slotsLendableFrom:  started.Add(settings.slotLoanTime()),
+		tokensLendableFrom: started.Add(settings.tokenLoanTime()),
 	}
 }
 
@@ -93,64 +93,64 @@
 	}
 	switch e := event.(type) {
 	case Limits:
-		h.limits(e)
+		h.setLimits(e)
 	case AskReceived:
 		return h.ask(e.Ask)
 	}
 	return nil
 }
 
-// limits puts new limits in force. A change of the entries moves homes and
-// fixed shares, so it counts as a restart after all have settled.
-func (h *AccountHome) limits(e Limits) {
-	next := newTerms(e)
-	first := len(h.terms.entries) == 0
-	moved := next.digest != h.terms.digest
-	longest := h.terms.longestOr(h.settings.MaxRequestDuration)
-	h.terms = next
-	if moved && !first {
-		settled := h.now.Add(h.settings.PropagationTime)
-		h.slotsFrom = later(h.slotsFrom, settled.Add(max(h.settings.slotsHeld(), longest)))
-		h.tokensFrom = later(h.tokensFrom, settled.Add(h.settings.tokensHeld()))
+// setLimits applies new limits. A change of the entries moves homes and fixed shares,
+// so the home then waits as after a restart, plus the propagation time.
+func (h *AccountHome) setLimits(e Limits) {
+	next := indexLimits(e)
+	first := len(h.limits.entries) == 0
+	entriesChanged := next.entriesDigest != h.limits.entriesDigest
+	longest := h.limits.maxRequestDurationOr(h.settings.MaxRequestDuration)
+	h.limits = next
+	if entriesChanged && !first {
+		propagated := h.now.Add(h.settings.PropagationTime)
+		h.slotsLendableFrom = later(h.slotsLendableFrom, propagated.Add(max(h.settings.slotLoanTime(), longest)))
+		h.tokensLendableFrom = later(h.tokensLendableFrom, propagated.Add(h.settings.tokenLoanTime()))
 	}
 	for name, l := range h.accounts {
 		limit, listed := next.accounts[name]
-		if !listed || moved {
+		if !listed || entriesChanged {
 			delete(h.accounts, name)
 			continue
 		}
 		if limit.Burst != l.burst {
 			l.burst = limit.Burst
-			l.tokensFrom = h.now.Add(h.settings.PropagationTime + h.settings.tokensHeld())
+			l.tokensLendableFrom = h.now.Add(h.settings.PropagationTime + h.settings.tokenLoanTime())
 		}
 	}
 }
 
 func (h *AccountHome) ask(a ShareAsk) []HomeEffect {
-	limit, reason, ok := h.believe(a)
+	limit, reason, ok := h.checkAsk(a)
 	if !ok {
 		return []HomeEffect{Ignored{Account: a.Account, Reason: reason}}
 	}
 	l := h.accounts[a.Account]
 	if l == nil {
-		l = &ledger{burst: limit.Burst, holders: map[holderKey]*loan{}}
+		l = &accountLoans{burst: limit.Burst, byHolder: map[holderKey]*loan{}}
 		h.accounts[a.Account] = l
 	}
-	h.forget(l)
+	h.expireLoans(l)
 	key := holderKey{entry: a.From, incarnation: a.Incarnation}
-	n := l.holders[key]
+	n := l.byHolder[key]
 	if n == nil {
 		n = &loan{}
-		l.holders[key] = n
+		l.byHolder[key] = n
 	}
 	if a.Number <= n.number {
 		return []HomeEffect{Ignored{Account: a.Account, Reason: ReasonAskOld}}
 	}
 	n.number = a.Number
-	n.heard = h.now
-	a.Tokens.Held = h.known(l, n, a)
-	slots := h.lend(l, slotsOf, n, a.Slots, limit.Concurrency, h.slotsFrom, h.settings.slotsHeld())
-	tokens := h.lend(l, tokensOf, n, a.Tokens, burstUnits(limit), later(h.tokensFrom, l.tokensFrom), h.settings.tokensHeld())
+	n.askedAt = h.now
+	a.Tokens.Held = h.knownTokens(l, n, a)
+	slots := h.lend(l, slotsOf, n, a.Slots, limit.Concurrency, h.slotsLendableFrom, h.settings.slotLoanTime())
+	tokens := h.lend(l, tokensOf, n, a.Tokens, burstUnits(limit), later(h.tokensLendableFrom, l.tokensLendableFrom), h.settings.tokenLoanTime())
 	return []HomeEffect{SendLease{To: a.From, Lease: ShareLease{
 		Account:     a.Account,
 		To:          a.From,
@@ -163,26 +163,27 @@
 	}}}
 }
 
-func (h *AccountHome) believe(a ShareAsk) (Limit, btrequest.Reason, bool) {
-	limit, listed := h.terms.accounts[a.Account]
-	home, _ := Home(a.Account, h.terms.entries)
+// checkAsk returns the account's limit, or the reason why the ask is ignored.
+func (h *AccountHome) checkAsk(a ShareAsk) (Limit, btrequest.Reason, bool) {
+	limit, listed := h.limits.accounts[a.Account]
+	home, _ := Home(a.Account, h.limits.entries)
 	if !listed || home != h.self {
 		return limit, ReasonAskHome, false
 	}
 	if h.now.Sub(a.SentAt) > h.settings.LeaseDuration {
 		return limit, ReasonAskLate, false
 	}
-	if a.Shape != h.terms.shape(limit) || !slices.Contains(h.terms.entries, a.From) {
+	if a.Shape != h.limits.shape(limit) || !slices.Contains(h.limits.entries, a.From) {
 		return limit, ReasonAskShape, false
 	}
 	return limit, "", true
 }
 
-func slotsOf(n *loan) *units { return &n.slots }
+func slotsOf(n *loan) *lentUnits { return &n.slots }
 
-func tokensOf(n *loan) *units { return &n.tokens }
+func tokensOf(n *loan) *lentUnits { return &n.tokens }
 
-// burstUnits is the number of tokens to share: none where no rate is set.
+// burstUnits returns the number of tokens to divide, which is zero without a rate.
 func burstUnits(l Limit) int {
 	if l.Rate <= 0 {
 		return 0
@@ -190,22 +191,22 @@
 	return l.Burst
 }
 
-// lend decides how many units of one kind the asker may use above its fixed
-// share, and holds them for it.
-func (h *AccountHome) lend(l *ledger, kind func(*loan) *units, n *loan, need Need, total int, from time.Time, hold time.Duration) int {
-	pool := total - h.settings.fixed(total, len(h.terms.entries))
+// lend decides how many units of one kind the asker may use above its fixed share, and
+// records them as lent.
+func (h *AccountHome) lend(l *accountLoans, kind func(*loan) *lentUnits, n *loan, need Need, total int, from time.Time, hold time.Duration) int {
+	pool := total - h.settings.fixedUnits(total, len(h.limits.entries))
 	u := kind(n)
-	*u = units{held: need.Held, want: need.Want, until: h.now.Add(hold)}
+	*u = lentUnits{held: need.Held, want: need.Want, until: h.now.Add(hold)}
 	var others int
-	for _, o := range l.holders {
+	for _, o := range l.byHolder {
 		if o != n {
 			others += kind(o).held
 		}
 	}
-	grant := max(0, min(fairPart(l, kind, n, pool), pool-others))
+	grant := max(0, min(maxMinShare(l, kind, n, pool), pool-others))
 	if h.now.Before(from) {
-		// What an earlier incarnation lent may be renewed, since it is in that
-		// incarnation's sum, but nothing more.
+		// Units lent by an earlier incarnation are in that incarnation's sum, so they may
+		// be renewed, but no more may be lent.
 		grant = min(grant, need.Held)
 	}
 	if grant <= need.Held {
@@ -219,33 +220,33 @@
 	return grant
 }
 
-// sum is the units that all holders may be using above their fixed shares.
-func (l *ledger) sum(kind func(*loan) *units) int {
+// sum returns the units that all holders may be using above their fixed shares.
+func (l *accountLoans) sum(kind func(*loan) *lentUnits) int {
 	var sum int
-	for _, n := range l.holders {
+	for _, n := range l.byHolder {
 		sum += kind(n).held
 	}
 	return sum
 }
 
-// known returns the tokens that the asker may still be using. Once the home has
-// outlived all loans of an earlier incarnation, that is no more than what it
-// lent: a higher figure is of a lease that ran out under way.
-func (h *AccountHome) known(l *ledger, n *loan, a ShareAsk) int {
-	if h.now.Before(later(h.tokensFrom, l.tokensFrom)) {
+// knownTokens returns the lent tokens that the asker may still be using. Once all loans
+// of an earlier incarnation have expired, that is at most what this home lent: a higher
+// number belongs to a lease that expired while the ask was on its way.
+func (h *AccountHome) knownTokens(l *accountLoans, n *loan, a ShareAsk) int {
+	if h.now.Before(later(h.tokensLendableFrom, l.tokensLendableFrom)) {
 		return a.Tokens.Held
 	}
-	age := h.now.Sub(a.SentAt) + h.settings.LeaseDuration/clockMargin
+	age := h.now.Sub(a.SentAt) + h.settings.LeaseDuration/clockToleranceDivisor
 	h.asserter.That(a.Tokens.Held <= n.tokens.held || age >= a.HeldFor, InvariantShareKnown,
 		"%s holds %d tokens of %s for %s, of which %d are known", a.From, a.Tokens.Held, a.Account, a.HeldFor, n.tokens.held)
 	return min(a.Tokens.Held, n.tokens.held)
 }
 
-// fairPart returns the asker's part when the pool is split so that the smallest
-// wants are met first and the rest is even.
-func fairPart(l *ledger, kind func(*loan) *units, asker *loan, pool int) int {
-	wants := make([]int, 0, len(l.holders))
-	for _, o := range l.holders {
+// maxMinShare returns the asker's max-min fair share of the pool: the smallest wants
+// are met in full and the remainder is divided evenly.
+func maxMinShare(l *accountLoans, kind func(*loan) *lentUnits, asker *loan, pool int) int {
+	wants := make([]int, 0, len(l.byHolder))
+	for _, o := range l.byHolder {
 		wants = append(wants, kind(o).want)
 	}
 	slices.Sort(wants)
@@ -254,33 +255,33 @@
 	for i, w := range wants {
 		even := left / (len(wants) - i)
 		if w >= want || w > even {
-			return min(want, max(even, spare(left, len(wants)-i)))
+			return min(want, max(even, scarceUnit(left, len(wants)-i)))
 		}
 		left -= w
 	}
 	return 0
 }
 
-// spare lets one unit go to whoever asks first when there are fewer units than
-// askers.
-func spare(left, askers int) int {
+// scarceUnit returns one unit if there are fewer units than askers, so that the first
+// to ask gets one.
+func scarceUnit(left, askers int) int {
 	if left > 0 && left < askers {
 		return 1
 	}
 	return 0
 }
 
-// forget drops loans that are over.
-func (h *AccountHome) forget(l *ledger) {
-	for key, n := range l.holders {
+// expireLoans drops expired units and loans.
+func (h *AccountHome) expireLoans(l *accountLoans) {
+	for key, n := range l.byHolder {
 		if !n.slots.until.After(h.now) {
-			n.slots = units{}
+			n.slots = lentUnits{}
 		}
 		if !n.tokens.until.After(h.now) {
-			n.tokens = units{}
+			n.tokens = lentUnits{}
 		}
-		if h.now.Sub(n.heard) > h.settings.slotsHeld()+h.settings.LeaseDuration {
-			delete(l.holders, key)
+		if h.now.Sub(n.askedAt) > h.settings.slotLoanTime()+h.settings.LeaseDuration {
+			delete(l.byHolder, key)
 		}
 	}
 }
--- a/core/btlimit/message.go
+++ b/core/btlimit/message.go
@@ -8,7 +8,7 @@
 	"bilberrytide/core/btid"
 )
 
-// ErrMessage is wrapped by the error of every malformed message.
+// ErrMessage is wrapped by the errors for malformed messages of this package.
 var ErrMessage = errors.New("malformed limit message")
 
 const (
@@ -18,11 +18,11 @@
 	MaxLease = time.Hour
 )
 
-// Need is what an entry asks of one kind of unit, above its fixed share.
+// Need is what an entry asks for of one kind of unit, above its fixed share.
 type Need struct {
-	// Held is what it may still be using until the home's answer arrives.
+	// Held is how many units it may still be using until the answer arrives.
 	Held int `cbor:"held" json:"held"`
-	// Want is what it could use.
+	// Want is how many units it could use.
 	Want int `cbor:"want" json:"want"`
 }
 
@@ -33,19 +33,20 @@
 	return nil
 }
 
-// ShareAsk asks the account's home entry for units above the fixed share, or
-// gives back those that it holds.
+// ShareAsk asks the account's home for units above the fixed share, or returns lent
+// units.
 type ShareAsk struct {
 	Account     btid.Account     `cbor:"account" json:"account"`
 	From        btid.Entry       `cbor:"from" json:"from"`
 	Incarnation btid.Incarnation `cbor:"incarnation" json:"incarnation"`
-	// Number rises with each ask of the incarnation. The entry takes no answer
-	// but to its last ask.
+	// Number increases with each ask of the incarnation. The entry accepts only the
+	// answer to its last ask.
 	Number uint64 `cbor:"number" json:"number"`
-	// SentAt is the entry's clock. An ask older than a lease is of no use to
-	// it; safety doesn't rest on the clock.
+	// SentAt is the time of sending by the entry's clock. The home ignores asks older
+	// than a lease, as their answers would be useless; safety does not depend on the
+	// clock.
 	SentAt time.Time `cbor:"sent_at" json:"sent_at"`
-	// Shape is the digest of what the shares are computed from.
+	// Shape is the digest of the inputs of the shares: the entries and the burst.
 	Shape  uint64 `cbor:"shape" json:"shape"`
 	Slots  Need   `cbor:"slots" json:"slots"`
 	Tokens Need   `cbor:"tokens" json:"tokens"`
@@ -53,8 +54,7 @@
 	HeldFor time.Duration `cbor:"held_for" json:"held_for"`
 }
 
-// Validate reports an ask that no entry could have sent. The error wraps
-// ErrMessage.
+// Validate rejects an ask that no entry could have sent. The error wraps ErrMessage.
 func (a ShareAsk) Validate() error {
 	if err := btid.CheckName(string(a.Account)); err != nil {
 		return fmt.Errorf("%w: ask account: %w", ErrMessage, err)
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// ShareLease is the home's answer: units that the entry may use above its
-// fixed share, for a duration counted from when it sent the ask.
+// ShareLease answers an ask: the entry may use the units above its fixed share for the
+// duration, counted from when it sent the ask.
 type ShareLease struct {
 	Account     btid.Account     `cbor:"account" json:"account"`
 	To          btid.Entry       `cbor:"to" json:"to"`
@@ -93,8 +93,7 @@
 	Duration    time.Duration    `cbor:"duration" json:"duration"`
 }
 
-// Validate reports a lease that no home could have sent. The error wraps
-// ErrMessage.
+// Validate rejects a lease that no home could have sent. The error wraps ErrMessage.
 func (l ShareLease) Validate() error {
 	if err := btid.CheckName(string(l.Account)); err != nil {
 		return fmt.Errorf("%w: lease account: %w", ErrMessage, err)
--- a/core/btlimit/share.go
+++ b/core/btlimit/share.go
@@ -11,56 +11,57 @@
 	"bilberrytide/core/btrendezvous"
 )
 
-// Limit is what one client account may use over all entries together. A zero
-// Rate or Concurrency sets no limit of that kind.
+// Limit is what one client account may use over all entries. A zero Rate or
+// Concurrency means no limit of that kind.
 type Limit struct {
 	Account btid.Account
-	// Rate is requests a second, Burst how many may come at once.
+	// Rate is in requests per second; Burst is how many may arrive at once.
 	Rate  float64
 	Burst int
 	// Concurrency is how many requests may run at once.
 	Concurrency int
 }
 
-// Limits is what a bundle says: both machines hear it when one comes into
-// force. Slices need no order.
+// Limits are a bundle's limits. Both machines receive them when the bundle comes into
+// force. The slices need not be sorted.
 type Limits struct {
 	Entries  []btid.Entry
 	Accounts []Limit
-	// MaxRequestDuration is how long any request runs at most; zero leaves it to Settings.
+	// MaxRequestDuration is how long a request runs at most; zero selects the value of
+	// Settings.
 	MaxRequestDuration time.Duration
 }
 
 func (Limits) holderEvent() {}
 func (Limits) homeEvent()   {}
 
-// Settings are shared by all entries.
+// Settings are the timing and division of shares; all entries use the same.
 type Settings struct {
-	// LeaseDuration is how long lent units may be used after they were asked for.
+	// LeaseDuration is how long lent units may be used, counted from the ask.
 	LeaseDuration time.Duration
-	// LentSlotMax is how long a request that runs on a lent unit may last: one with a
-	// later deadline runs on a fixed unit only.
+	// LentSlotMax is how long a request may run on a lent slot. A request with a later
+	// deadline needs a fixed slot.
 	LentSlotMax time.Duration
 	// MaxRequestDuration is how long any request runs at most.
 	MaxRequestDuration time.Duration
-	// PropagationTime is how long a new bundle takes to come into force everywhere. A
-	// share that grows because the entries changed, or the number of tokens,
-	// stays as it was for that long, and slots for Longest more: what a smaller
-	// share no longer covers may still run.
+	// PropagationTime is how long a new bundle takes to come into force at all
+	// entries. If a share grows because the entries or the burst changed, the growth
+	// is delayed by this time, and for slots by MaxRequestDuration more, because
+	// requests beyond another entry's smaller share may still be running.
 	PropagationTime time.Duration
 	// AskInterval is the shortest time between two asks for one account.
 	AskInterval time.Duration
-	// AskRate bounds the asks of an entry in a second, over all accounts. An
-	// account that isn't asked for in time is left with its fixed share.
+	// AskRate is how many asks an entry sends per second at most, over all accounts.
+	// Until its ask is sent, an account has only its fixed share.
 	AskRate float64
-	// FixedFraction is the part of a limit that is split evenly as fixed shares, 0 to
-	// 1; the home lends the rest. More of it means more is left during a cut,
-	// less that more can gather at one entry.
+	// FixedFraction is the part of a limit that is divided evenly into fixed shares,
+	// 0 to 1; the home lends the rest. A higher value leaves more to an entry that
+	// cannot reach the home, a lower one lets more units gather at one entry.
 	FixedFraction float64
 }
 
-// DefaultSettings returns settings for a fleet that has a new bundle in force
-// everywhere within nine seconds.
+// DefaultSettings returns settings for installations in which a new bundle is in force
+// at every entry within nine seconds.
 func DefaultSettings() Settings {
 	return Settings{
 		LeaseDuration:      4 * time.Second,
@@ -73,68 +74,68 @@
 	}
 }
 
-// drift is the share by which the home holds a lease longer than the holder,
-// for clocks that run at different speeds.
-const drift = 0.01
+// maxClockDrift is the tolerated relative difference in the speed of clocks. The home
+// holds a loan longer than the holder by this fraction.
+const maxClockDrift = 0.01
 
-func (s Settings) slotsHeld() time.Duration { return withDrift(s.LeaseDuration + s.LentSlotMax) }
+func (s Settings) slotLoanTime() time.Duration { return withDrift(s.LeaseDuration + s.LentSlotMax) }
 
-func (s Settings) tokensHeld() time.Duration { return withDrift(s.LeaseDuration) }
+func (s Settings) tokenLoanTime() time.Duration { return withDrift(s.LeaseDuration) }
 
-func withDrift(d time.Duration) time.Duration { return d + time.Duration(drift*float64(d)) }
+func withDrift(d time.Duration) time.Duration { return d + time.Duration(maxClockDrift*float64(d)) }
 
-// fixed returns how many of the units are split as fixed shares: the reserve,
-// or one for each entry where half of the units allow it. It never falls when
-// units rise, and never rises by more than they do.
-func (s Settings) fixed(units, entries int) int {
-	reserve := int(s.FixedFraction * float64(units))
-	return min(units, max(reserve, min(entries, units/2)))
+// fixedUnits returns how many of the units are divided into fixed shares: the fixed
+// fraction, but at least one per entry as far as half of the units suffice. It never
+// decreases when the units increase, and never increases by more than they do.
+func (s Settings) fixedUnits(units, entries int) int {
+	fraction := int(s.FixedFraction * float64(units))
+	return min(units, max(fraction, min(entries, units/2)))
 }
 
-// Home returns the entry that lends the account's units.
+// Home returns the entry that lends the account's units, and false without entries.
 func Home(account btid.Account, entries []btid.Entry) (btid.Entry, bool) {
 	return btrendezvous.First(homeKey(account), entries)
 }
 
 func homeKey(account btid.Account) string { return "limit/" + string(account) }
 
-// share returns the fixed units of the entry at a rank in the account's
-// rendezvous order. Over all ranks they sum to fixed, and each never falls when
-// fixed rises: entries that stand at different limits never sum to more than
-// the highest of them.
-func share(fixed, rank, entries int) int {
+// fixedShare returns the fixed units of the entry at the given rank in the account's
+// rendezvous order. The shares of all ranks sum to fixed, and no share decreases when
+// fixed increases: entries with different limits in force never sum to more than the
+// highest of them.
+func fixedShare(fixed, rank, entries int) int {
 	if rank < 0 || entries == 0 {
 		return 0
 	}
 	return (fixed + entries - 1 - rank) / entries
 }
 
-// terms is a Limits event in the form in which it is looked up.
-type terms struct {
-	entries  []btid.Entry
-	accounts map[btid.Account]Limit
-	digest   uint64
-	longest  time.Duration
+// indexedLimits are Limits indexed for lookups.
+type indexedLimits struct {
+	entries            []btid.Entry
+	accounts           map[btid.Account]Limit
+	entriesDigest      uint64
+	maxRequestDuration time.Duration
 }
 
-// longestOr returns how long a request runs at most that was admitted under the
-// terms.
-func (t *terms) longestOr(otherwise time.Duration) time.Duration {
-	if t.longest > 0 {
-		return t.longest
+// maxRequestDurationOr returns the longest duration of a request that was admitted
+// under these limits.
+func (t *indexedLimits) maxRequestDurationOr(fallback time.Duration) time.Duration {
+	if t.maxRequestDuration > 0 {
+		return t.maxRequestDuration
 	}
-	return otherwise
+	return fallback
 }
 
-func newTerms(l Limits) *terms {
-	t := &terms{longest: l.MaxRequestDuration, entries: slices.Clone(l.Entries), accounts: make(map[btid.Account]Limit, len(l.Accounts))}
+func indexLimits(l Limits) *indexedLimits {
+	t := &indexedLimits{maxRequestDuration: l.MaxRequestDuration, entries: slices.Clone(l.Entries), accounts: make(map[btid.Account]Limit, len(l.Accounts))}
 	slices.Sort(t.entries)
 	var d xxhash.Digest
 	d.Reset()
 	for _, e := range t.entries {
 		_, _ = d.WriteString(string(e) + "\n")
 	}
-	t.digest = d.Sum64()
+	t.entriesDigest = d.Sum64()
 	for _, a := range l.Accounts {
 		a.Burst = max(a.Burst, 1)
 		t.accounts[a.Account] = a
@@ -142,13 +143,13 @@
 	return t
 }
 
-// shape digests what a lease depends on: the entries and the number of tokens.
-func (t *terms) shape(l Limit) uint64 {
-	return t.digest ^ xxhash.Sum64String(strconv.Itoa(l.Burst))
+// shape returns a digest of what a lease depends on: the entries and the burst.
+func (t *indexedLimits) shape(l Limit) uint64 {
+	return t.entriesDigest ^ xxhash.Sum64String(strconv.Itoa(l.Burst))
 }
 
-// rank returns the entry's place in the account's rendezvous order, -1 where it
-// isn't listed.
-func (t *terms) rank(account btid.Account, entry btid.Entry) int {
+// rank returns the entry's position in the account's rendezvous order, or -1 if it is
+// not listed.
+func (t *indexedLimits) rank(account btid.Account, entry btid.Entry) int {
 	return slices.Index(btrendezvous.Order(homeKey(account), t.entries), entry)
 }
--- a/core/btlimit/view.go
+++ b/core/btlimit/view.go
@@ -13,18 +13,18 @@
 	Account btid.Account `json:"account"`
 	// Home is the entry that lends the account's units.
 	Home btid.Entry `json:"home"`
-	// FixedSlots and FixedTokens are used without asking; zero of a kind whose
-	// limit isn't set.
+	// FixedSlots and FixedTokens may be used without asking. They are zero if there is
+	// no limit of their kind.
 	FixedSlots  int `json:"fixed_slots"`
 	FixedTokens int `json:"fixed_tokens"`
 	LentSlots   int `json:"lent_slots"`
 	LentTokens  int `json:"lent_tokens"`
 	Running     int `json:"running"`
-	// LeaseEnd is when the lent units end; zero where there are none.
+	// LeaseEnd is when the lent units expire; zero if there are none.
 	LeaseEnd time.Time `json:"lease_end"`
 }
 
-// View returns the share of an account in use, false for one that isn't.
+// View returns the share of an account, and false if the account is not in use.
 func (h *Holder) View(name btid.Account) (View, bool) {
 	a := h.accounts[name]
 	if a == nil {
@@ -36,7 +36,7 @@
 		LentSlots:  a.slots.lent,
 		LentTokens: a.tokens.lent,
 		Running:    a.running,
-		LeaseEnd:   a.end,
+		LeaseEnd:   a.leaseEnd,
 	}
 	if a.limit.Concurrency > 0 {
 		v.FixedSlots = a.slots.fixed
@@ -50,7 +50,7 @@
 // AccountNames returns the accounts in use, sorted.
 func (h *Holder) AccountNames() []btid.Account { return slices.Clone(h.names) }
 
-// Loan is what a home holds for one incarnation of an entry, for operators.
+// Loan is what a home has lent to one incarnation of an entry, for operators.
 type Loan struct {
 	Entry       btid.Entry       `json:"entry"`
 	Incarnation btid.Incarnation `json:"incarnation"`
@@ -60,15 +60,15 @@
 	WantTokens  int              `json:"want_tokens"`
 }
 
-// Loans returns what the home holds of an account, by entry and incarnation.
+// Loans returns the loans of an account, sorted by entry and incarnation.
 func (h *AccountHome) Loans(name btid.Account) []Loan {
 	l := h.accounts[name]
 	if l == nil {
 		return nil
 	}
-	h.forget(l)
-	loans := make([]Loan, 0, len(l.holders))
-	for key, n := range l.holders {
+	h.expireLoans(l)
+	loans := make([]Loan, 0, len(l.byHolder))
+	for key, n := range l.byHolder {
 		loans = append(loans, Loan{
 			Entry:       key.entry,
 			Incarnation: key.incarnation,
--- a/core/btload/main_test.go
+++ b/core/btload/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict; a
-// longer run sets -rapid.checks and -rapid.seed.
+// TestMain fixes rapid's seed, so that runs are reproducible. Longer runs set
+// -rapid.checks and -rapid.seed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
