--- a/core/btlimit/btlimit_test.go
+++ b/core/btlimit/btlimit_test.go
@@ -38,23 +38,23 @@
 }
 
 // rotatingDemand returns a demand that is concentrated at two entries at a time.
-func rotatingDemand(w *world) func(btlimit.Limit, int) int {
+func rotatingDemand(sm *simulation) func(btlimit.Limit, int) int {
 	return func(_ btlimit.Limit, entry int) int {
-		turn := int(w.now.Sub(start)/(7*time.Second)) % len(w.processes)
-		if entry == turn || entry == (turn+1)%len(w.processes) {
-			return w.random.IntN(4)
+		turn := int(sm.now.Sub(start)/(7*time.Second)) % len(sm.processes)
+		if entry == turn || entry == (turn+1)%len(sm.processes) {
+			return sm.random.IntN(4)
 		}
-		return w.random.IntN(20) / 19
+		return sm.random.IntN(20) / 19
 	}
 }
 
-// newFaultyWorld returns a world with message loss, isolation, pauses and restarts.
-func newFaultyWorld(seed uint64) *world {
-	w := newWorld(seed, shortSettings(), 5, threeAccounts()...)
-	w.faults = true
-	w.faultKinds = 3
-	w.demand = rotatingDemand(w)
-	return w
+// newFaultySimulation returns a simulation with message loss, isolation, pauses and restarts.
+func newFaultySimulation(seed uint64) *simulation {
+	sm := newSimulation(seed, shortSettings(), 5, threeAccounts()...)
+	sm.faults = true
+	sm.faultKinds = 3
+	sm.demand = rotatingDemand(sm)
+	return sm
 }
 
 // TestLimitsHoldOverAllEntries guards against exceeding a limit under faults. Two
@@ -63,57 +63,57 @@
 func TestLimitsHoldOverAllEntries(t *testing.T) {
 	var restartErrors, longErrors, violated int
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		w := newFaultyWorld(seed)
-		w.run(2 * time.Minute)
-		assert.Check(t, len(w.limitErrors) == 0 && len(w.violations) == 0, "seed %d: limit errors %q, violated invariants %v", seed, w.limitErrors, w.violations)
-		assert.Check(t, w.totals["large"].admitted > 200, "seed %d: admitted only %d", seed, w.totals["large"].admitted)
+		sm := newFaultySimulation(seed)
+		sm.run(2 * time.Minute)
+		assert.Check(t, len(sm.limitErrors) == 0 && len(sm.violations) == 0, "seed %d: limit errors %q, violated invariants %v", seed, sm.limitErrors, sm.violations)
+		assert.Check(t, sm.totals["large"].admitted > 200, "seed %d: admitted only %d", seed, sm.totals["large"].admitted)
 
-		faulty := newFaultyWorld(seed)
+		faulty := newFaultySimulation(seed)
 		faulty.lendsAfterRestart = true
 		faulty.run(2 * time.Minute)
 		restartErrors += len(faulty.limitErrors)
 		violated += len(faulty.violations)
-		faulty = newFaultyWorld(seed)
+		faulty = newFaultySimulation(seed)
 		faulty.longOnLentSlots = true
 		faulty.run(2 * time.Minute)
 		longErrors += len(faulty.limitErrors)
 	}
 	t.Logf("limit errors: home lends after a restart %d (invariant violated %d times), long requests on lent slots %d", restartErrors, violated, longErrors)
-	assert.Check(t, restartErrors > 0, "the world does not detect a home that lends right after a restart")
+	assert.Check(t, restartErrors > 0, "the simulation does not detect a home that lends right after a restart")
 	assert.Check(t, violated > 0, "the home's invariant does not detect lending right after a restart")
-	assert.Check(t, longErrors > 0, "the world does not detect long requests on lent slots")
+	assert.Check(t, longErrors > 0, "the simulation does not detect long requests on lent slots")
 }
 
-// TestFullLimitAtEachEntryExceedsLimit checks that the world detects entries that each
-// use the whole limit.
+// TestFullLimitAtEachEntryExceedsLimit checks that the simulation detects entries that
+// each use the whole limit.
 func TestFullLimitAtEachEntryExceedsLimit(t *testing.T) {
-	w := newWorld(1, shortSettings(), 5, threeAccounts()...)
-	w.demand = func(btlimit.Limit, int) int { return 2 }
-	for _, p := range w.processes {
-		alone := btlimit.Limits{Entries: []btid.Entry{p.name}, Accounts: w.limits.Accounts}
-		p.holder = btlimit.NewHolder(w.settings, p.name, 1, w.now, w.random)
-		p.holder.Step(w.now, alone)
+	sm := newSimulation(1, shortSettings(), 5, threeAccounts()...)
+	sm.demand = func(btlimit.Limit, int) int { return 2 }
+	for _, p := range sm.processes {
+		alone := btlimit.Limits{Entries: []btid.Entry{p.name}, Accounts: sm.limits.Accounts}
+		p.holder = btlimit.NewHolder(sm.settings, p.name, 1, sm.now, sm.random)
+		p.holder.Step(sm.now, alone)
 	}
-	w.run(10 * time.Second)
-	assert.Check(t, len(w.limitErrors) > 0)
+	sm.run(10 * time.Second)
+	assert.Check(t, len(sm.limitErrors) > 0)
 }
 
-// runLimitChanges runs a world through changes of limits and entries. Each entry applies
+// runLimitChanges simulates changes of limits and entries. Each entry applies
 // them at a different time within the propagation time, and the highest limit counts.
-func runLimitChanges(seed uint64, propagation time.Duration) *world {
+func runLimitChanges(seed uint64, propagation time.Duration) *simulation {
 	settings := shortSettings()
 	delivery := settings.PropagationTime * 9 / 10
 	settings.PropagationTime = propagation
-	w := newWorld(seed, settings, 5, threeAccounts()...)
-	w.faults = true
-	w.propagation = delivery
-	all := w.limits
+	sm := newSimulation(seed, settings, 5, threeAccounts()...)
+	sm.faults = true
+	sm.propagation = delivery
+	all := sm.limits
 	for range 5 {
-		w.run(12 * time.Second)
-		w.publish(all)
+		sm.run(12 * time.Second)
+		sm.publish(all)
 	}
-	w.run(30 * time.Second)
-	return w
+	sm.run(30 * time.Second)
+	return sm
 }
 
 // TestLimitsHoldWhileBundlesDiffer guards against exceeding a limit while entries apply
@@ -121,34 +121,34 @@
 func TestLimitsHoldWhileBundlesDiffer(t *testing.T) {
 	var growthErrors int
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		w := runLimitChanges(seed, shortSettings().PropagationTime)
-		assert.Check(t, len(w.limitErrors) == 0 && len(w.violations) == 0, "seed %d: limit errors %q, violated invariants %v", seed, w.limitErrors, w.violations)
+		sm := runLimitChanges(seed, shortSettings().PropagationTime)
+		assert.Check(t, len(sm.limitErrors) == 0 && len(sm.violations) == 0, "seed %d: limit errors %q, violated invariants %v", seed, sm.limitErrors, sm.violations)
 		growthErrors += len(runLimitChanges(seed, -shortSettings().MaxRequestDuration).limitErrors)
 	}
 	t.Logf("limit errors: shares that grow without delay %d", growthErrors)
-	assert.Check(t, growthErrors > 0, "the world does not detect shares that grow without delay")
+	assert.Check(t, growthErrors > 0, "the simulation does not detect shares that grow without delay")
 }
 
 // publish delivers new limits to each entry after a random delay: a random part of the
 // entries, and either the full limits or random fractions of them.
-func (w *world) publish(all btlimit.Limits) {
-	next := btlimit.Limits{Entries: all.Entries[:2+w.random.IntN(4)]}
-	lower := w.random.IntN(2) == 0
+func (sm *simulation) publish(all btlimit.Limits) {
+	next := btlimit.Limits{Entries: all.Entries[:2+sm.random.IntN(4)]}
+	lower := sm.random.IntN(2) == 0
 	for _, a := range all.Accounts {
 		if lower {
-			part := 0.3 + 0.7*w.random.Float64()
+			part := 0.3 + 0.7*sm.random.Float64()
 			a.Rate *= part
 			a.Concurrency = max(1, int(float64(a.Concurrency)*part))
 			a.Burst = max(1, int(float64(a.Burst)*part))
 		}
 		next.Accounts = append(next.Accounts, a)
 	}
-	w.limits = next
-	for _, p := range w.processes {
-		delay := time.Duration(w.random.Int64N(int64(w.propagation)))
-		w.packets = append(w.packets, packet{at: w.now.Add(delay), to: p.name, deliver: func(p *process) {
-			p.holder.Step(w.now, next)
-			p.home.Step(w.now, next)
+	sm.limits = next
+	for _, p := range sm.processes {
+		delay := time.Duration(sm.random.Int64N(int64(sm.propagation)))
+		sm.packets = append(sm.packets, packet{at: sm.now.Add(delay), to: p.name, deliver: func(p *process) {
+			p.holder.Step(sm.now, next)
+			p.home.Step(sm.now, next)
 		}})
 	}
 }
@@ -156,22 +156,22 @@
 // TestIsolatedEntryKeepsFixedShare guards against an entry using lent slots, or losing
 // its fixed share, when it cannot reach the home.
 func TestIsolatedEntryKeepsFixedShare(t *testing.T) {
-	w := newWorld(1, shortSettings(), 4, btlimit.Limit{Account: "a", Concurrency: 16})
-	w.maxDuration = time.Second
-	w.demand = func(_ btlimit.Limit, entry int) int { return 2 - min(entry, 1)*2 }
-	w.run(20 * time.Second)
-	view, _ := w.processes[0].holder.View("a")
-	loans := w.processes[slices.Index(w.limits.Entries, view.Home)].home.Loans("a")
+	sm := newSimulation(1, shortSettings(), 4, btlimit.Limit{Account: "a", Concurrency: 16})
+	sm.maxDuration = time.Second
+	sm.demand = func(_ btlimit.Limit, entry int) int { return 2 - min(entry, 1)*2 }
+	sm.run(20 * time.Second)
+	view, _ := sm.processes[0].holder.View("a")
+	loans := sm.processes[slices.Index(sm.limits.Entries, view.Home)].home.Loans("a")
 	assert.Check(t, len(loans) > 0 && loans[0].Slots >= view.LentSlots, "%v", loans)
-	assert.Check(t, w.totals["a"].peakRunning >= 9, "at most %d of 16 requests running", w.totals["a"].peakRunning)
-	for _, p := range w.processes {
-		p.isolatedUntil = w.now.Add(time.Hour)
+	assert.Check(t, sm.totals["a"].peakRunning >= 9, "at most %d of 16 requests running", sm.totals["a"].peakRunning)
+	for _, p := range sm.processes {
+		p.isolatedUntil = sm.now.Add(time.Hour)
 	}
-	w.run(5 * time.Second)
-	w.totals["a"].peakRunning = 0
-	w.run(5 * time.Second)
+	sm.run(5 * time.Second)
+	sm.totals["a"].peakRunning = 0
+	sm.run(5 * time.Second)
 	assert.Assert(t, view.Home != "entry-0")
-	assert.Equal(t, w.totals["a"].peakRunning, 2)
+	assert.Equal(t, sm.totals["a"].peakRunning, 2)
 }
 
 // TestAskRateIsBounded guards against sending more messages than AskRate allows, and
@@ -179,11 +179,11 @@
 func TestAskRateIsBounded(t *testing.T) {
 	s := shortSettings()
 	s.AskRate = 3
-	w := newWorld(1, s, 2, threeAccounts()...)
-	w.demand = func(_ btlimit.Limit, entry int) int { return 2 - 2*entry }
-	w.run(20 * time.Second)
-	assert.Check(t, w.messages <= 2*(3*20+3), "%d messages", w.messages)
-	assert.Check(t, w.messages > 20, "%d messages", w.messages)
+	sm := newSimulation(1, s, 2, threeAccounts()...)
+	sm.demand = func(_ btlimit.Limit, entry int) int { return 2 - 2*entry }
+	sm.run(20 * time.Second)
+	assert.Check(t, sm.messages <= 2*(3*20+3), "%d messages", sm.messages)
+	assert.Check(t, sm.messages > 20, "%d messages", sm.messages)
 }
 
 // TestRetryAfterIsReliable guards against refused requests being refused again when
@@ -223,14 +223,14 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := newWorld(1, shortSettings(), 2, threeAccounts()...)
+		sm := newSimulation(1, shortSettings(), 2, threeAccounts()...)
 		var a btlimit.ShareAsk
 		if cbor.Unmarshal(data, &a) == nil && a.Validate() == nil {
-			w.processes[0].home.Step(w.now, btlimit.AskReceived{Ask: a})
+			sm.processes[0].home.Step(sm.now, btlimit.AskReceived{Ask: a})
 		}
 		var l btlimit.ShareLease
 		if cbor.Unmarshal(data, &l) == nil && l.Validate() == nil {
-			w.processes[0].holder.Step(w.now, btlimit.LeaseReceived{Lease: l})
+			sm.processes[0].holder.Step(sm.now, btlimit.LeaseReceived{Lease: l})
 		}
 	})
 }
@@ -258,20 +258,20 @@
 			for _, reserve := range []float64{1, 0.5, 0.25} {
 				s := btlimit.DefaultSettings()
 				s.FixedFraction = reserve
-				w := newWorld(1, s, entries, btlimit.Limit{Account: "rate", Rate: 200, Burst: 100}, btlimit.Limit{Account: "slots", Concurrency: 100})
-				w.maxDuration = time.Second
-				w.demand = func(_ btlimit.Limit, entry int) int {
+				sm := newSimulation(1, s, entries, btlimit.Limit{Account: "rate", Rate: 200, Burst: 100}, btlimit.Limit{Account: "slots", Concurrency: 100})
+				sm.maxDuration = time.Second
+				sm.demand = func(_ btlimit.Limit, entry int) int {
 					if entry > 0 {
 						return 0
 					}
 					return 20
 				}
-				w.run(time.Minute)
-				before, messages := w.totals["rate"].admitted, w.messages
-				w.run(time.Minute)
+				sm.run(time.Minute)
+				before, messages := sm.totals["rate"].admitted, sm.messages
+				sm.run(time.Minute)
 				fmt.Printf("entries %d reserve %.2f: rate %.2f concurrency %.2f of the limit, %.1f messages/s, wrong %d\n",
-					entries, reserve, float64(w.totals["rate"].admitted-before)/60/200,
-					float64(w.totals["slots"].peakRunning)/100, float64(w.messages-messages)/60, len(w.limitErrors))
+					entries, reserve, float64(sm.totals["rate"].admitted-before)/60/200,
+					float64(sm.totals["slots"].peakRunning)/100, float64(sm.messages-messages)/60, len(sm.limitErrors))
 			}
 		}
 	}
--- a/core/btlimit/home.go
+++ b/core/btlimit/home.go
@@ -193,18 +193,18 @@
 
 // lend decides how many units of one kind the asker may use above its fixed share, and
 // records them as lent.
-func (h *AccountHome) lend(l *accountLoans, kind func(*loan) *lentUnits, n *loan, need Need, total int, from time.Time, hold time.Duration) int {
-	pool := total - h.settings.fixedUnits(total, len(h.limits.entries))
+func (h *AccountHome) lend(l *accountLoans, kind func(*loan) *lentUnits, n *loan, need Need, total int, lendableFrom time.Time, holdFor time.Duration) int {
+	lendable := total - h.settings.fixedUnits(total, len(h.limits.entries))
 	u := kind(n)
-	*u = lentUnits{held: need.Held, want: need.Want, until: h.now.Add(hold)}
+	*u = lentUnits{held: need.Held, want: need.Want, until: h.now.Add(holdFor)}
 	var others int
 	for _, o := range l.byHolder {
 		if o != n {
 			others += kind(o).held
 		}
 	}
-	grant := max(0, min(maxMinShare(l, kind, n, pool), pool-others))
-	if h.now.Before(from) {
+	grant := max(0, min(maxMinShare(l, kind, n, lendable), lendable-others))
+	if h.now.Before(lendableFrom) {
 		// Units lent by an earlier incarnation are in that incarnation's sum, so they may
 		// be renewed, but no more may be lent.
 		grant = min(grant, need.Held)
@@ -213,7 +213,7 @@
 		return grant
 	}
 	u.held = grant
-	if sum := l.sum(kind); !h.asserter.That(sum <= pool, InvariantShareSum, "%d lent of %d", sum, pool) {
+	if sum := l.sum(kind); !h.asserter.That(sum <= lendable, InvariantShareSum, "%d lent of %d", sum, lendable) {
 		u.held = need.Held
 		return 0
 	}
@@ -244,28 +244,28 @@
 
 // maxMinShare returns the asker's max-min fair share of the pool: the smallest wants
 // are met in full and the remainder is divided evenly.
-func maxMinShare(l *accountLoans, kind func(*loan) *lentUnits, asker *loan, pool int) int {
+func maxMinShare(l *accountLoans, kind func(*loan) *lentUnits, asker *loan, lendable int) int {
 	wants := make([]int, 0, len(l.byHolder))
 	for _, o := range l.byHolder {
 		wants = append(wants, kind(o).want)
 	}
 	slices.Sort(wants)
-	left := pool
+	remaining := lendable
 	want := kind(asker).want
 	for i, w := range wants {
-		even := left / (len(wants) - i)
+		even := remaining / (len(wants) - i)
 		if w >= want || w > even {
-			return min(want, max(even, scarceUnit(left, len(wants)-i)))
+			return min(want, max(even, scarceUnit(remaining, len(wants)-i)))
 		}
-		left -= w
+		remaining -= w
 	}
 	return 0
 }
 
 // scarceUnit returns one unit if there are fewer units than askers, so that the first
 // to ask gets one.
-func scarceUnit(left, askers int) int {
-	if left > 0 && left < askers {
+func scarceUnit(remaining, askers int) int {
+	if remaining > 0 && remaining < askers {
 		return 1
 	}
 	return 0
--- a/core/btload/estimate.go
+++ b/core/btload/estimate.go
@@ -24,10 +24,10 @@
 }
 
 // prefillRate returns the mean seconds per prompt token.
-func (f *serviceRates) prefillRate() float64 { return f.prefill.valueOr(f.config.Prefill.Seconds()) }
+func (s *serviceRates) prefillRate() float64 { return s.prefill.valueOr(s.config.Prefill.Seconds()) }
 
 // decodeRate returns the mean seconds per generated token.
-func (f *serviceRates) decodeRate() float64 { return f.decode.valueOr(f.config.Decode.Seconds()) }
+func (s *serviceRates) decodeRate() float64 { return s.decode.valueOr(s.config.Decode.Seconds()) }
 
 // Estimate returns the estimate for a prompt of the given length and prefix chain. It
 // changes nothing and does not allocate.
--- a/core/btload/level_test.go
+++ b/core/btload/level_test.go
@@ -18,8 +18,8 @@
 		r := btload.New(btload.Defaults())
 		target := r.Target("s", "t1")
 		r.Step(epoch, btload.LevelRelayed{Target: "t1", Incarnation: 1, Level: btload.Level(report), Slots: 16})
-		told := target.Estimate(epoch, 0, nil).Outstanding
-		assert.Assert(t, told >= outstanding && told < outstanding+4, "level of %d outstanding requests stands for %d", outstanding, told)
+		relayed := target.Estimate(epoch, 0, nil).Outstanding
+		assert.Assert(t, relayed >= outstanding && relayed < outstanding+4, "level of %d outstanding requests stands for %d", outstanding, relayed)
 	}
 }
 
--- a/core/btroute/ejection.go
+++ b/core/btroute/ejection.go
@@ -104,7 +104,7 @@
 	slices.Sort(e.names)
 	e.names = slices.Compact(e.names)
 	kept := make(map[btid.Target]*targetState, len(e.names))
-	var out []btid.Target
+	var ejected []btid.Target
 	for _, name := range e.names {
 		s, ok := e.targets[name]
 		if !ok {
@@ -112,15 +112,15 @@
 		}
 		kept[name] = s
 		if s.ejected {
-			out = append(out, name)
+			ejected = append(ejected, name)
 		}
 	}
-	e.targets, e.ejected = kept, len(out)
-	slices.SortStableFunc(out, func(a, b btid.Target) int {
+	e.targets, e.ejected = kept, len(ejected)
+	slices.SortStableFunc(ejected, func(a, b btid.Target) int {
 		return cmp.Compare(kept[a].ejectedAt.UnixNano(), kept[b].ejectedAt.UnixNano())
 	})
 	var effects []EjectionEffect
-	for _, name := range out[:max(e.ejected-e.MaxEjected(), 0)] {
+	for _, name := range ejected[:max(e.ejected-e.MaxEjected(), 0)] {
 		effects = append(effects, e.restore(now, name, CapShrank))
 	}
 	return effects
