--- a/io/btagent/group.go
+++ b/io/btagent/group.go
@@ -36,5 +36,5 @@
 func (a *Agent) settleGroup(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, settleWait)
 	defer cancel()
-	a.group.Settle(ctx)
+	a.group.AwaitRelease(ctx)
 }
--- a/io/btagent/quarantine.go
+++ b/io/btagent/quarantine.go
@@ -29,7 +29,7 @@
 // progress is how far a target has come that has begun to answer; came tells that some of
 // the answer has.
 func (v *serving) progress(came bool) btquarantine.Progress {
-	if came || !v.agent.group.Shared() {
+	if came || !v.agent.group.MultiRank() {
 		return btquarantine.Answering
 	}
 	return btquarantine.BegunWithoutOutput
--- a/io/btagent/report.go
+++ b/io/btagent/report.go
@@ -16,7 +16,7 @@
 	if queue := a.queue(); queue != nil {
 		fill(&report, queue.load())
 	}
-	report.ExpertLoad, report.StepTime = a.group.Rank()
+	report.ExpertLoad, report.StepTime = a.group.RankLoad()
 	a.engine.fill(&report)
 	report.Draining = report.Draining || a.heartbeat.host.leaving()
 	return report
--- a/io/btgroup/beat.go
+++ b/io/btgroup/beat.go
@@ -90,7 +90,7 @@
 		}
 		answer, err := btpeer.Call[Report, ReportAnswer](ctx, g.options.Node, endpoint, btprocess.KindRank, r)
 		if err != nil {
-			g.refused(ReasonUnsent)
+			g.refused(ReasonMessageUnsent)
 			return
 		}
 		g.took(to, answer)
@@ -139,12 +139,12 @@
 // answerReport takes another rank's report.
 func (g *Group) answerReport(_ context.Context, from btpeer.Identity, r Report) (ReportAnswer, error) {
 	if from != btprocess.AgentIdentity(r.From.Target) {
-		g.refused(ReasonSender)
+		g.refused(ReasonForgedSender)
 		return ReportAnswer{}, fmt.Errorf("report of agent %s from %s", r.From.Target, from)
 	}
 	p := g.current()
 	if p == nil || p.group.Name != r.Group {
-		g.refused(ReasonNoGroup)
+		g.refused(ReasonUnknownGroup)
 		return ReportAnswer{}, fmt.Errorf("%w: %s", errNoPlace, r.Group)
 	}
 	rank := slices.Index(p.members.Ranks, r.From.Target)
@@ -152,7 +152,7 @@
 	if rank < 0 || r.Members != p.members.Digest {
 		// The two stand at different bundles for a moment: the rank lives, but what
 		// it measured can't be placed.
-		g.refused(ReasonMembers)
+		g.refused(ReasonMembersDiffer)
 		return ReportAnswer{Leads: g.leads()}, nil
 	}
 	return g.take(p, rank, r), nil
--- a/io/btgroup/btgroup.go
+++ b/io/btgroup/btgroup.go
@@ -247,12 +247,12 @@
 	return running.Wait()
 }
 
-// settleTick is how often Settle looks at the engine.
+// settleTick is how often AwaitRelease checks the engine's state.
 const settleTick = 50 * time.Millisecond
 
-// Settle waits until no round holds this rank's engine, or the context ends, so
-// that a process that stops leaves no group held behind.
-func (g *Group) Settle(ctx context.Context) {
+// AwaitRelease waits until no round holds this rank's engine, or until the context
+// ends. A process that stopped earlier would leave its group held.
+func (g *Group) AwaitRelease(ctx context.Context) {
 	select {
 	case <-g.started:
 	default:
@@ -269,8 +269,9 @@
 	}
 }
 
-// Shared tells whether the target is one of several ranks that compute each step together.
-func (g *Group) Shared() bool {
+// MultiRank reports whether the target is one of several ranks that compute each
+// step together.
+func (g *Group) MultiRank() bool {
 	p := g.current()
 	return p != nil && len(p.group.Ranks) > 1
 }
@@ -281,9 +282,10 @@
 	return state
 }
 
-// Rank returns what routing wants of this rank: its expert work over the mean
-// rank's, zero where unknown or out of date, and the time of a step.
-func (g *Group) Rank() (expertLoad float64, step time.Duration) {
+// RankLoad returns what routing uses of this rank: its expert work relative to the
+// mean rank's, and the time of a step. Both are zero if unknown; the expert load is
+// zero also if it is out of date.
+func (g *Group) RankLoad() (expertLoad float64, step time.Duration) {
 	state, known := g.sampler.state()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/io/btgroup/carry.go
+++ b/io/btgroup/carry.go
@@ -109,7 +109,7 @@
 	}
 	go func() {
 		if err := g.sendAway(to, m); err != nil && g.ctx.Err() == nil {
-			g.refused(ReasonUnsent)
+			g.refused(ReasonMessageUnsent)
 			g.options.Log.Debug("map agreement message not sent", "to", to, "error", err)
 		}
 	}()
@@ -152,12 +152,12 @@
 		return err
 	}
 	if from != btprocess.AgentIdentity(m.From().Target) {
-		g.refused(ReasonSender)
+		g.refused(ReasonForgedSender)
 		return fmt.Errorf("message of agent %s from %s", m.From().Target, from)
 	}
 	p := g.current()
 	if p == nil || p.group.Name != m.Group() {
-		g.refused(ReasonNoGroup)
+		g.refused(ReasonUnknownGroup)
 		return fmt.Errorf("%w: %s", errNoPlace, m.Group())
 	}
 	g.deliver(m)
--- a/io/btgroup/doc.go
+++ b/io/btgroup/doc.go
@@ -29,7 +29,7 @@
 //
 // A group can't step without all its ranks, so an agent with a planned stop
 // stays in its group, promising and carrying out rounds, until its requests are
-// finished and no round holds its engine (see Settle). From then on the group
+// finished and no round holds its engine (see AwaitRelease). From then on the group
 // steps on the map in force: no round can complete without the missing agent,
 // and the lead says so (ranks_missing). If an agent dies while its engine is
 // held, the group stays held until that agent's next incarnation
--- a/io/btgroup/group_test.go
+++ b/io/btgroup/group_test.go
@@ -44,7 +44,7 @@
 	f.await("the lead's answer at every rank", func() bool {
 		sum := 0.0
 		for _, a := range f.agents {
-			load, step := a.Rank()
+			load, step := a.RankLoad()
 			if load == 0 || step == 0 {
 				return false
 			}
@@ -165,7 +165,7 @@
 
 func (s *brittleStore) Probe(context.Context, btid.Service) error {
 	if s.down.Load() {
-		return btgroup.ErrStore
+		return btgroup.ErrStoreDown
 	}
 	return nil
 }
@@ -266,7 +266,7 @@
 	for r := range f.agents {
 		f.open(r)
 	}
-	f.agents[0].Settle(t.Context())
+	f.agents[0].AwaitRelease(t.Context())
 	f.agents[0].Configure(f.bundle())
 	f.await("the engine read", func() bool {
 		status, found := f.agents[0].Status()
@@ -274,7 +274,7 @@
 	})
 	settled := make(chan struct{})
 	go func() {
-		f.agents[0].Settle(t.Context())
+		f.agents[0].AwaitRelease(t.Context())
 		close(settled)
 	}()
 	assert.Equal(t, f.engines.Totals().Steps, uint64(0))
--- a/io/btgroup/rebalancer.go
+++ b/io/btgroup/rebalancer.go
@@ -77,7 +77,7 @@
 	}
 	if w != nil {
 		if err := r.tally.add(rank, w); err != nil {
-			r.group.refused(ReasonCounts)
+			r.group.refused(ReasonCountsMismatch)
 			r.group.options.Log.Warn("counts of a rank refused", "error", err)
 		}
 	}
--- a/io/btgroup/store.go
+++ b/io/btgroup/store.go
@@ -9,13 +9,13 @@
 	"bilberrytide/io/btplatform"
 )
 
-// ErrStore is wrapped by the error of a weight store that doesn't answer.
-var ErrStore = errors.New("weight store down")
+// ErrStoreDown is wrapped by the error of a weight store that doesn't answer.
+var ErrStoreDown = errors.New("weight store down")
 
 // Store tells whether the weight store answers.
 type Store interface {
 	// Probe asks for a model's weights without taking them. The error wraps
-	// ErrStore.
+	// ErrStoreDown.
 	Probe(ctx context.Context, model btid.Service) error
 }
 
@@ -36,7 +36,7 @@
 func (s *PlatformStore) Probe(ctx context.Context, model btid.Service) error {
 	weights, err := s.client.Weights(ctx, btplatform.Expert{Model: model})
 	if errors.Is(err, btplatform.ErrUnavailable) {
-		return fmt.Errorf("%w: %w", ErrStore, err)
+		return fmt.Errorf("%w: %w", ErrStoreDown, err)
 	}
 	if err == nil {
 		_ = weights.Close()
