--- a/io/btagent/btagent.go
+++ b/io/btagent/btagent.go
@@ -1,9 +1,9 @@
-// Package btagent is the process beside each target: the only path by which the
-// system gives that target work or orders.
+// Package btagent runs the agent, the process beside each target. The target gets
+// requests and orders only through its agent.
 //
-// It admits requests to the target's slots, runs what may run only once at most
-// once, keeps its share of the idempotency keys, reports the target's state to
-// entries, and stops without cutting off a request.
+// The agent admits requests to the target's slots, runs requests that may run only
+// once at most once, stores its share of the idempotency keys, reports the target's
+// state to entries, and stops without cutting off a request.
 package btagent
 
 import (
@@ -36,88 +36,90 @@
 	DataCentre btid.DataCentre
 	Node       *btpeer.Node
 	Bundles    *btprocess.Bundles
-	// Platform is asked whether its weight store answers; it may be nil.
+	// Platform is used to probe the weight store; it may be nil.
 	Platform  *btplatform.Client
 	Meter     *btmetric.Meter
 	Decisions *btmetric.Decisions
 	Log       *slog.Logger
 	Clock     btloop.Clock
-	// Elapsed tells the time that passes, also while the host is suspended. Its times are
-	// this process's own: none is compared with one of another host.
+	// Elapsed is a clock that also counts the time for which the host is suspended. Its
+	// times are valid only in this process and are never compared with those of another
+	// host.
 	Elapsed btloop.Clock
 	Assert  *btassert.Asserter
 	Random  *rand.Rand
 }
 
-// Agent stands beside one target.
+// Agent is the agent of one target.
 type Agent struct {
 	options   Options
 	self      btid.Executor
 	home      *keyHome
 	heartbeat *heartbeat
 	group     *btgroup.Group
-	engine    *engine
+	engine    *engineMonitor
 	isolation *btprocess.Isolation
-	// rate is what the target says of how many requests it takes.
+	// rate is the request rate that the target advertises.
 	rate targetRate
 	stop *btprocess.Stop
 
-	mu         sync.Mutex
-	service    btid.Service
-	firstToken time.Duration
-	endpoint   string
-	client     *bttarget.Client
-	admission  *admission
-	ledger     *ledger
-	ready      atomic.Bool
-	reports    atomic.Uint64
-	// starting runs what begins with the first bundle.
-	starting chan func(context.Context)
+	mu           sync.Mutex
+	service      btid.Service
+	firstToken   time.Duration
+	endpoint     string
+	client       *bttarget.Client
+	admission    *admission
+	ledger       *ledger
+	ready        atomic.Bool
+	reportNumber atomic.Uint64
+	// startup passes on the loops that start with the first bundle.
+	startup chan func(context.Context)
 }
 
-// startQueue is how many parts may begin with the first bundle.
-const startQueue = 8
+// startupCapacity limits the loops that start with the first bundle.
+const startupCapacity = 8
 
-// New returns an agent and sets the node's handlers. The bundles must not run
-// yet.
+// New returns an agent and sets the node's handlers. It must be called before the
+// bundles run.
 func New(o Options) *Agent {
 	a := &Agent{
-		options:  o,
-		self:     btid.Executor{Target: o.Target, Incarnation: btid.Incarnation(o.Clock().UnixNano())},
-		starting: make(chan func(context.Context), startQueue),
+		options: o,
+		self:    btid.Executor{Target: o.Target, Incarnation: btid.Incarnation(o.Clock().UnixNano())},
+		startup: make(chan func(context.Context), startupCapacity),
 	}
-	a.stop = btprocess.NewStop(btmember.DrainSettings{DeadlineGrace: stopGrace}, o.Elapsed, o.Assert, o.Log)
+	a.stop = btprocess.NewStop(btmember.DrainSettings{DeadlineGrace: deadlineGrace}, o.Elapsed, o.Assert, o.Log)
 	a.home = newKeyHome(o, a.self, o.Bundles)
 	a.isolation = btprocess.NewIsolation(o.Bundles)
-	a.heartbeat = newHeartbeat(o, a.self, a.report, a.remind)
+	a.heartbeat = newHeartbeat(o, a.self, a.report, a.sendCrashRecords)
 	a.group = newGroup(o, a.self)
-	a.engine = newEngine(o, a.self, a.modelClient, a.heartbeat.publish, a.engineChanged)
+	a.engine = newEngineMonitor(o, a.self, a.modelClient, a.heartbeat.publish, a.handleEngineChange)
 	o.Node.Handle(btprocess.KindServe, a.serve)
 	o.Bundles.OnChange(a.configure)
 	return a
 }
 
-// stopGrace is how long a request may be past its deadline before a planned
-// stop waits for it no longer.
-const stopGrace = time.Second
+// deadlineGrace is how long after its deadline a planned stop still waits for a
+// request.
+const deadlineGrace = time.Second
 
 // Stop returns the agent's planned stop.
 func (a *Agent) Stop() *btprocess.Stop { return a.stop }
 
-// Executor returns this life of the agent.
+// Executor returns the agent's target and incarnation.
 func (a *Agent) Executor() btid.Executor { return a.self }
 
-// Ready tells whether the agent has a bundle that lists its target.
+// Ready reports whether the bundle in force lists the agent's target and no planned
+// stop has begun.
 func (a *Agent) Ready() bool { return a.ready.Load() && !a.stop.Stopping() }
 
-// Run works until the context ends or a planned stop is complete.
+// Run runs the agent until the context ends or a planned stop is complete.
 func (a *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return a.options.Bundles.Run(ctx) })
 	group.Go(func() error { return a.options.Node.Serve(ctx) })
-	group.Go(func() error { return a.runStarted(ctx, group) })
+	group.Go(func() error { return a.runStartup(ctx, group) })
 	group.Go(func() error { a.home.run(ctx); return nil })
 	group.Go(func() error { a.heartbeat.run(ctx); return nil })
 	group.Go(func() error { return a.group.Run(ctx) })
@@ -127,74 +129,74 @@
 	return group.Wait()
 }
 
-// runStarted runs the parts that wait for the first bundle.
-func (a *Agent) runStarted(ctx context.Context, group *errgroup.Group) error {
+// runStartup runs the loops that wait for the first bundle.
+func (a *Agent) runStartup(ctx context.Context, group *errgroup.Group) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case part := <-a.starting:
+		case part := <-a.startup:
 			group.Go(func() error { part(ctx); return nil })
 		}
 	}
 }
 
-// runStop follows a planned stop to its end.
+// runStop carries out the steps of a planned stop.
 func (a *Agent) runStop(ctx context.Context, exit context.CancelFunc) {
 	a.stop.Run(ctx, btprocess.StopSteps{
 		Unready: func() {
-			a.heartbeat.set(btmember.Draining)
-			if queue := a.queue(); queue != nil {
+			a.heartbeat.setState(btmember.Draining)
+			if queue := a.currentAdmission(); queue != nil {
 				queue.loop.Post(btqueue.Drain{})
 			}
 		},
-		Goodbye: func() { a.heartbeat.sayGoodbye() },
+		Goodbye: func() { a.heartbeat.sendFinal() },
 		Exit: func() {
-			a.settleGroup(ctx)
-			a.deliver(ctx)
+			a.awaitGroupRelease(ctx)
+			a.closeNode(ctx)
 			exit()
 		},
 	})
 }
 
-// deliver closes the node once entries have received all that was sent to them: a
-// request has ended for the agent when its last bytes are handed to the connection,
-// and to end the process then would cut them off.
-func (a *Agent) deliver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, stopGrace)
+// closeNode closes the node once entries have received everything sent to them. For
+// the agent, a request ends when its last bytes are handed to the connection; if the
+// process exited then, these bytes would be lost.
+func (a *Agent) closeNode(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, deadlineGrace)
 	defer cancel()
 	if err := a.options.Node.Close(ctx); err != nil {
 		a.options.Log.Warn("planned stop: node closed before all was delivered", "error", err)
 	}
 }
 
-// engineChanged takes in that the engine has gone or come back.
-func (a *Agent) engineChanged() {
-	a.forgetRate()
-	a.heartbeat.hurry()
+// handleEngineChange handles an engine that has gone or come back.
+func (a *Agent) handleEngineChange() {
+	a.resetRate()
+	a.heartbeat.trigger()
 }
 
-func (a *Agent) queue() *admission {
+func (a *Agent) currentAdmission() *admission {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.admission
 }
 
-// place is what serving one request needs of the bundle in force.
-type place struct {
+// serveDeps is what serving one request needs from the bundle in force.
+type serveDeps struct {
 	service btid.Service
-	// firstToken is the service's goal, zero for none.
+	// firstToken is the service's goal for the time to the first token, zero for none.
 	firstToken time.Duration
 	client     *bttarget.Client
 	admission  *admission
 	ledger     *ledger
 }
 
-func (a *Agent) place() (place, bool) {
+func (a *Agent) serveDeps() (serveDeps, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	p := place{service: a.service, firstToken: a.firstToken, client: a.client, admission: a.admission, ledger: a.ledger}
+	p := serveDeps{service: a.service, firstToken: a.firstToken, client: a.client, admission: a.admission, ledger: a.ledger}
 	return p, a.admission != nil
 }
 
-func (a *Agent) refused(reason btrequest.Reason) { a.options.Meter.Refused(reason) }
+func (a *Agent) countRefusal(reason btrequest.Reason) { a.options.Meter.Refused(reason) }
--- a/io/btagent/cache.go
+++ b/io/btagent/cache.go
@@ -9,13 +9,13 @@
 	"bilberrytide/io/btprocess"
 )
 
-// cacheQueue is how many batches wait for one entry; the next are dropped, and
-// the gap in their numbers tells the entry.
-const cacheQueue = 4
+// cacheBatchCapacity limits the batches that wait for one entry. Further batches are
+// dropped; the entry detects the loss by the gap in the sequence numbers.
+const cacheBatchCapacity = 4
 
 const reasonCacheDropped btrequest.Reason = "cache_batch_dropped"
 
-// publish sends a batch of cache events to every watcher.
+// publish queues a batch of cache events for every watcher.
 func (h *heartbeat) publish(batch btload.CacheEvents) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// sendBatches carries batches to one entry. The stream opens with the first.
+// sendBatches sends batches to one entry. It opens the stream with the first batch.
 func (h *heartbeat) sendBatches(ctx context.Context, w *watcher) {
 	var s *btpeer.Stream
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// sendBatch returns the stream for the next batch, nil where it broke.
+// sendBatch sends a batch and returns the stream for the next one, nil if it failed.
 func (h *heartbeat) sendBatch(ctx context.Context, w *watcher, s *btpeer.Stream, batch btload.CacheEvents) *btpeer.Stream {
 	if s == nil {
 		opened, err := h.options.Node.Open(ctx, w.endpoint, btprocess.KindCache)
--- a/io/btagent/configure.go
+++ b/io/btagent/configure.go
@@ -15,18 +15,18 @@
 	target, found := approved.Index.Target(a.self.Target)
 	if !found {
 		a.heartbeat.configure(approved)
-		a.unlisted()
+		a.markUnlisted()
 		return
 	}
-	a.serveAs(approved, target)
+	a.applyTarget(approved, target)
 	// The state comes first: a heartbeat without one is malformed.
-	a.heartbeat.set(btmember.Serving)
+	a.heartbeat.setState(btmember.Serving)
 	a.heartbeat.configure(approved)
 	a.ready.Store(true)
 }
 
-// serveAs takes what a bundle says of this target.
-func (a *Agent) serveAs(approved *btbundle.Approved, target *btbundle.Target) {
+// applyTarget applies the bundle's settings of this target.
+func (a *Agent) applyTarget(approved *btbundle.Approved, target *btbundle.Target) {
 	service, _ := approved.Index.Service(target.Service)
 	a.mu.Lock()
 	a.service = target.Service
@@ -38,7 +38,7 @@
 	}
 	first := a.admission == nil
 	if first {
-		a.begin(approved, target)
+		a.initServing(approved, target)
 	}
 	queue := a.admission
 	ledger := a.ledger
@@ -47,27 +47,28 @@
 		return
 	}
 	if moved {
-		a.forgetRate()
+		a.resetRate()
 	}
 	queue.loop.Post(btqueue.Resize{Slots: target.Slots, QueueLimit: target.Queue})
-	ledger.ask(btclaim.RulesChanged{Rules: RulesOf(approved, service)})
+	ledger.handle(btclaim.RulesChanged{Rules: RulesOf(approved, service)})
 }
 
-// begin makes what needs the first bundle's values.
-func (a *Agent) begin(approved *btbundle.Approved, target *btbundle.Target) {
+// initServing creates the queue and the ledger, which need values of the first bundle.
+// a.mu must be held.
+func (a *Agent) initServing(approved *btbundle.Approved, target *btbundle.Target) {
 	o := a.options
 	a.admission = newAdmission(btqueue.DefaultSettings(target.Slots, target.Queue), o.Elapsed, o.Random, o.Assert)
 	service, _ := approved.Index.Service(target.Service)
 	settings := btclaim.DefaultLedgerSettings(a.self, RulesOf(approved, service))
 	a.ledger = newLedger(settings, o.Clock, o.Assert)
-	a.starting <- a.admission.run
-	a.starting <- a.ledger.run
+	a.startup <- a.admission.run
+	a.startup <- a.ledger.run
 }
 
-// unlisted takes the word of a bundle that the target is gone from the fleet:
-// what runs is finished, and entries with an earlier bundle are refused. It may
-// be listed again.
-func (a *Agent) unlisted() {
+// markUnlisted applies a bundle that no longer lists the target. Running requests
+// finish, and requests of entries with an earlier bundle are refused. A later bundle
+// may list the target again.
+func (a *Agent) markUnlisted() {
 	a.ready.Store(false)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/io/btagent/engine.go
+++ b/io/btagent/engine.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// enginePoll is the interval at which the engine is asked for its load and
-	// its cache events.
-	enginePoll = 500 * time.Millisecond
-	// engineWait bounds one question to the engine.
-	engineWait = time.Second
-	// engineStale is the age from which a load of the engine is not passed on.
-	engineStale = 3 * time.Second
-	// engineRefusals is how many refused connections in a row say that the
-	// engine is gone.
-	engineRefusals = 3
-	// cachePending bounds the cache events that wait for entries.
-	cachePending = 256
-	// cacheRate and cacheBurst bound the events sent to each entry: 8 a second
-	// of at most 23 bytes each keep the eight watchers' copies under 1.5 KB/s.
+	// enginePollInterval is how often the engine's load and cache events are fetched.
+	enginePollInterval = 500 * time.Millisecond
+	// engineTimeout limits one poll of the engine.
+	engineTimeout = time.Second
+	// maxEngineLoadAge is the age above which the engine's load is left out of reports.
+	maxEngineLoadAge = 3 * time.Second
+	// goneAfterRefusals is the number of consecutive refused connections after which
+	// the engine counts as gone.
+	goneAfterRefusals = 3
+	// maxPendingCacheEvents limits the cache events that wait to be sent.
+	maxPendingCacheEvents = 256
+	// cacheRate, per second, and cacheBurst limit the events sent to each entry: 8 per
+	// second, of at most 23 bytes each, keep the copies for eight watchers under
+	// 1.5 KB/s.
 	cacheRate  = 8
 	cacheBurst = 128
 
@@ -40,85 +40,86 @@
 	reasonCacheGap     btrequest.Reason = "engine_cache_events_lost"
 )
 
-// engine follows the own word of a model target: its load, its cache events,
-// and whether it is there at all.
-type engine struct {
+// engineMonitor polls the engine of a model target for its load and cache events, and
+// detects that it is gone.
+type engineMonitor struct {
 	options Options
 	client  func() (*bttarget.Client, bool)
 	publish func(btload.CacheEvents)
 	// changed is called when the engine goes or comes back.
 	changed func()
 	outbox  *btload.Outbox
-	allowed *rate.Limiter
-	// sequence is the engine's number of the last event taken.
+	limiter *rate.Limiter
+	// sequence is the engine's sequence number of the last event handled.
 	sequence uint64
-	// restarted has an empty batch sent, which tells of an empty cache.
-	restarted bool
-	// last is the client asked last.
-	last *bttarget.Client
+	// announceRestart is set until a batch has been sent after a restart. It causes an
+	// empty batch if need be, which tells entries that the cache is empty.
+	announceRestart bool
+	// lastClient is the client used last.
+	lastClient *bttarget.Client
 
 	mu       sync.Mutex
 	load     bttarget.Load
-	sampled  time.Time
+	loadTime time.Time
 	refusals int
 }
 
-func newEngine(o Options, self btid.Executor, client func() (*bttarget.Client, bool), publish func(btload.CacheEvents), changed func()) *engine {
-	return &engine{
+func newEngineMonitor(o Options, self btid.Executor, client func() (*bttarget.Client, bool), publish func(btload.CacheEvents), changed func()) *engineMonitor {
+	return &engineMonitor{
 		options: o,
 		client:  client,
 		publish: publish,
 		changed: changed,
-		outbox:  btload.NewOutbox(self.Target, uint64(self.Incarnation), cachePending),
-		allowed: rate.NewLimiter(cacheRate, cacheBurst),
+		outbox:  btload.NewOutbox(self.Target, uint64(self.Incarnation), maxPendingCacheEvents),
+		limiter: rate.NewLimiter(cacheRate, cacheBurst),
 	}
 }
 
-// run asks the engine at each interval until the context ends.
-func (e *engine) run(ctx context.Context) {
+// run polls the engine until the context ends.
+func (e *engineMonitor) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if client, model := e.client(); model {
-			e.follow(client)
+			e.detectMove(client)
 			e.poll(ctx, client)
 		}
-		pause(ctx, enginePoll)
+		pause(ctx, enginePollInterval)
 	}
 }
 
-// follow begins anew where the bundle has moved the target's endpoint.
-func (e *engine) follow(client *bttarget.Client) {
-	if e.last != nil && e.last != client {
-		e.restart()
+// detectMove resets the cache's state if the bundle has changed the target's endpoint.
+func (e *engineMonitor) detectMove(client *bttarget.Client) {
+	if e.lastClient != nil && e.lastClient != client {
+		e.resetCache()
 	}
-	e.last = client
+	e.lastClient = client
 }
 
-func (e *engine) restart() {
+func (e *engineMonitor) resetCache() {
 	e.sequence = 0
 	e.outbox.Reset()
-	e.restarted = true
+	e.announceRestart = true
 }
 
-func (e *engine) poll(ctx context.Context, client *bttarget.Client) {
-	ctx, cancel := context.WithTimeout(ctx, engineWait)
+func (e *engineMonitor) poll(ctx context.Context, client *bttarget.Client) {
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	load, err := client.Load(ctx)
 	if err != nil {
-		e.failed(err)
+		e.handleFailure(err)
 		return
 	}
-	e.answered(load)
+	e.handleLoad(load)
 	events, err := client.CacheEvents(ctx, e.sequence)
 	if err != nil {
 		e.options.Meter.Refused(reasonEngineSilent)
 		return
 	}
-	e.take(events)
+	e.handleCacheEvents(events)
 }
 
-// failed counts refused connections. An engine that is slow to answer may yet
-// be at work, and is for ejection to judge.
-func (e *engine) failed(err error) {
+// handleFailure counts refused connections. A slow engine may still be working and is
+// left to ejection.
+func (e *engineMonitor) handleFailure(err error) {
 	if !errors.Is(err, bttarget.ErrNotSent) {
 		e.options.Meter.Refused(reasonEngineSilent)
 		return
@@ -126,36 +127,36 @@
 	e.options.Meter.Refused(reasonEngineGone)
 	e.mu.Lock()
 	e.refusals++
-	went := e.refusals == engineRefusals
+	gone := e.refusals == goneAfterRefusals
 	e.mu.Unlock()
-	if !went {
+	if !gone {
 		return
 	}
-	e.decide("engine_gone", fmt.Sprintf("%d connections refused in a row: %v", engineRefusals, err), "entries send it no new work until it answers again")
+	e.recordDecision("engine_gone", fmt.Sprintf("%d connections refused in a row: %v", goneAfterRefusals, err), "entries send it no new work until it answers again")
 	e.changed()
 }
 
-// answered takes a load. An engine whose count of steps has fallen has
+// handleLoad stores the engine's load. An engine whose step count has fallen has
 // restarted, and its cache is empty.
-func (e *engine) answered(load bttarget.Load) {
+func (e *engineMonitor) handleLoad(load bttarget.Load) {
 	e.mu.Lock()
-	returned := e.refusals >= engineRefusals
+	returned := e.refusals >= goneAfterRefusals
 	restarted := e.refusals > 0 || load.Steps < e.load.Steps
 	e.load = load
-	e.sampled = e.options.Clock()
+	e.loadTime = e.options.Clock()
 	e.refusals = 0
 	e.mu.Unlock()
 	if restarted {
-		e.restart()
+		e.resetCache()
 	}
 	if returned {
-		e.decide("engine_back", "it answers again", "entries send it work")
+		e.recordDecision("engine_back", "it answers again", "entries send it work")
 		e.changed()
 	}
 }
 
-// take passes on what the rate allows.
-func (e *engine) take(events []bttarget.CacheEvent) {
+// handleCacheEvents queues new events and publishes as many as the rate limit allows.
+func (e *engineMonitor) handleCacheEvents(events []bttarget.CacheEvent) {
 	for _, event := range events {
 		if event.Sequence <= e.sequence {
 			continue
@@ -168,12 +169,12 @@
 		e.outbox.Add(opOf(event.Op), btload.EnginePrefixHash(event.Prefix))
 	}
 	now := e.options.Clock()
-	count := min(e.outbox.Len(), int(e.allowed.TokensAt(now)))
-	if count == 0 && !e.restarted {
+	count := min(e.outbox.Len(), int(e.limiter.TokensAt(now)))
+	if count == 0 && !e.announceRestart {
 		return
 	}
-	e.allowed.AllowN(now, count)
-	e.restarted = false
+	e.limiter.AllowN(now, count)
+	e.announceRestart = false
 	e.publish(e.outbox.Take(count))
 }
 
@@ -184,15 +185,15 @@
 	return btload.Evicted
 }
 
-// fill adds what only the engine knows. The counts of requests stay the
-// queue's: the agent is the only way to the engine, so it knows them without
-// the engine's lag, and the report's age stays that of the queue. An engine
-// load that is too old is left out.
-func (e *engine) fill(report *btload.Report) {
+// addTo adds the values that only the engine knows, unless they are too old. The
+// request counts stay those of the queue: all requests to the engine pass through the
+// agent, so its counts don't lag as the engine's do, and the age of the report stays
+// that of the queue.
+func (e *engineMonitor) addTo(report *btload.Report) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	report.Draining = report.Draining || e.refusals >= engineRefusals
-	if e.sampled.IsZero() || e.options.Clock().Sub(e.sampled) > engineStale {
+	report.Draining = report.Draining || e.refusals >= goneAfterRefusals
+	if e.loadTime.IsZero() || e.options.Clock().Sub(e.loadTime) > maxEngineLoadAge {
 		return
 	}
 	report.KVUsed = e.load.KVUsed
@@ -201,7 +202,7 @@
 	}
 }
 
-func (e *engine) decide(act, evidence, expected string) {
+func (e *engineMonitor) recordDecision(act, evidence, expected string) {
 	e.options.Decisions.Add(btmetric.Decision{
 		Time:     e.options.Clock(),
 		Act:      act,
@@ -212,8 +213,8 @@
 	})
 }
 
-// modelClient returns the client of a model target, false for other kinds and
-// before the first bundle.
+// modelClient returns the client of a model target. It returns false for other kinds
+// and before the first bundle.
 func (a *Agent) modelClient() (*bttarget.Client, bool) {
 	a.mu.Lock()
 	client, service := a.client, a.service
--- a/io/btagent/fleet_test.go
+++ b/io/btagent/fleet_test.go
@@ -18,7 +18,7 @@
 	"bilberrytide/io/btstandin/btinprocess"
 )
 
-// fleet is entries and agents in this process, with a platform.
+// fleet runs entries, agents and a platform in the test's process.
 type fleet struct {
 	*btinprocess.Fleet
 	nodes   map[btpeer.Identity]*btpeer.Node
@@ -48,7 +48,7 @@
 	}
 }
 
-// addTarget lists a target, and its service with the first.
+// addTarget lists a target, and with the first target of a service also the service.
 func (f *fleet) addTarget(name btid.Target, service btid.Service, kind btbundle.Kind, endpoint netip.AddrPort) {
 	address := f.node(btprocess.AgentIdentity(name)).Address()
 	f.AddTarget(btbundle.Target{Name: name, Service: service, Address: address, Endpoint: endpoint, Slots: 4, Queue: 8}, kind)
@@ -59,7 +59,8 @@
 	return f.nodes[id]
 }
 
-// start publishes the bundle and starts all that it lists.
+// start publishes the bundle, starts every process that it lists, and waits until each
+// entry has every target as eligible.
 func (f *fleet) start() {
 	f.Publish(1)
 	for _, e := range f.Bundle.Entries {
@@ -85,14 +86,14 @@
 	return btprocess.TargetStatus{}
 }
 
-// call sends a request over an entry and returns the status and the body.
+// call sends a request to an entry and returns the status and the body.
 func (f *fleet) call(entry btid.Entry, path, body string) (int, string) {
 	response, text := f.do(entry, path, body, "")
 	return response.StatusCode, text
 }
 
-// do sends a request, with an idempotency key unless it is empty, over an entry
-// and returns the answer and its body.
+// do sends a request to an entry, with the idempotency key unless that is empty, and
+// returns the response and its body.
 func (f *fleet) do(entry btid.Entry, path, body, key string) (*http.Response, string) {
 	request, err := http.NewRequest(http.MethodPost, f.entries[entry].URL+path, strings.NewReader(body))
 	assert.NilError(f.TB, err)
--- a/io/btagent/group.go
+++ b/io/btagent/group.go
@@ -9,11 +9,11 @@
 	"bilberrytide/io/btgroup"
 )
 
-// settleWait bounds how long a planned stop waits for a round that holds the
+// groupReleaseTimeout limits how long a planned stop waits for a round that holds the
 // rank's engine.
-const settleWait = 5 * time.Second
+const groupReleaseTimeout = 5 * time.Second
 
-// newGroup returns this agent's part in its target's group.
+// newGroup returns the agent's side of the agreement on its group's expert map.
 func newGroup(o Options, self btid.Executor) *btgroup.Group {
 	options := btgroup.Options{
 		Self:      self,
@@ -31,10 +31,9 @@
 	return btgroup.New(options)
 }
 
-// settleGroup lets a round that holds the rank's engine end before the agent
-// does.
-func (a *Agent) settleGroup(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, settleWait)
+// awaitGroupRelease waits, for a limited time, until no round holds the rank's engine.
+func (a *Agent) awaitGroupRelease(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, groupReleaseTimeout)
 	defer cancel()
 	a.group.AwaitRelease(ctx)
 }
--- a/io/btagent/heartbeat.go
+++ b/io/btagent/heartbeat.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// firstHeartbeat is the interval before a bundle states one.
-	firstHeartbeat = time.Second
-	// reconnect is the wait before a watcher that was lost is tried again.
-	reconnect = 300 * time.Millisecond
-	// goodbyeWait bounds the last heartbeats.
-	goodbyeWait = time.Second
+	// initialInterval is the heartbeat interval until a bundle states one.
+	initialInterval = time.Second
+	// reconnectDelay is the wait before a broken stream is opened again.
+	reconnectDelay = 300 * time.Millisecond
+	// finalTimeout limits the sending of the final heartbeats.
+	finalTimeout = time.Second
 )
 
-// heartbeat tells the entries that watch this agent how it and its target are.
+// heartbeat sends the state of the agent and its target to the entries that watch it.
 type heartbeat struct {
 	options Options
 	self    btid.Executor
 	report  func() btload.Report
-	// remind tells an entry what this agent remembers.
-	remind   func(context.Context, btpeer.Endpoint)
-	host     *hostWords
-	sequence atomic.Uint64
+	// sendCrashRecords sends this agent's crash records to an entry.
+	sendCrashRecords func(context.Context, btpeer.Endpoint)
+	hostStatus       *hostStatus
+	sequence         atomic.Uint64
 
 	mu       sync.Mutex
 	state    btmember.State
 	interval time.Duration
-	// watchers holds the senders by entry; its functions end them.
+	// watchers holds the sender to each entry that watches this agent.
 	watchers map[btid.Entry]*watcher
 	ctx      context.Context
 	approved *btbundle.Approved
@@ -47,7 +47,7 @@
 // watcher sends heartbeats to one entry.
 type watcher struct {
 	endpoint btpeer.Endpoint
-	// urgent is filled when a change must be told at once.
+	// urgent requests an immediate heartbeat.
 	urgent chan struct{}
 	// batches holds cache events to be sent.
 	batches chan btload.CacheEvents
@@ -55,16 +55,16 @@
 	done    chan struct{}
 }
 
-func newHeartbeat(o Options, self btid.Executor, report func() btload.Report, remind func(context.Context, btpeer.Endpoint)) *heartbeat {
+func newHeartbeat(o Options, self btid.Executor, report func() btload.Report, sendCrashRecords func(context.Context, btpeer.Endpoint)) *heartbeat {
 	h := &heartbeat{
-		options:  o,
-		self:     self,
-		report:   report,
-		remind:   remind,
-		interval: firstHeartbeat,
-		watchers: map[btid.Entry]*watcher{},
+		options:          o,
+		self:             self,
+		report:           report,
+		sendCrashRecords: sendCrashRecords,
+		interval:         initialInterval,
+		watchers:         map[btid.Entry]*watcher{},
 	}
-	h.host = newHostWords(o, h.hurry)
+	h.hostStatus = newHostStatus(o, h.trigger)
 	return h
 }
 
@@ -73,28 +73,28 @@
 	h.mu.Lock()
 	h.ctx = ctx
 	h.mu.Unlock()
-	h.match()
+	h.syncWatchers()
 	<-ctx.Done()
 }
 
-// configure takes the watchers of a bundle.
+// configure applies a bundle's watchers and heartbeat interval.
 func (h *heartbeat) configure(approved *btbundle.Approved) {
 	h.mu.Lock()
 	h.approved = approved
 	h.interval = approved.Bundle.Timeouts.Heartbeat.Duration
 	h.mu.Unlock()
-	h.match()
-	h.hurry()
+	h.syncWatchers()
+	h.trigger()
 }
 
-// match starts and ends senders so that they are the bundle's watchers.
-func (h *heartbeat) match() {
+// syncWatchers starts and stops senders so that they match the bundle's watchers.
+func (h *heartbeat) syncWatchers() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ctx == nil || h.approved == nil {
 		return
 	}
-	wanted := h.wanted()
+	wanted := h.desiredWatchers()
 	for name, w := range h.watchers {
 		if wanted[name] != w.endpoint {
 			w.cancel()
@@ -103,13 +103,14 @@
 	}
 	for name, endpoint := range wanted {
 		if h.watchers[name] == nil {
-			h.watchers[name] = h.start(endpoint)
+			h.watchers[name] = h.startWatcher(endpoint)
 		}
 	}
 }
 
-// wanted returns the endpoints of the entries that watch this agent.
-func (h *heartbeat) wanted() map[btid.Entry]btpeer.Endpoint {
+// desiredWatchers returns the endpoints of the entries that are to watch this agent.
+// h.mu must be held.
+func (h *heartbeat) desiredWatchers() map[btid.Entry]btpeer.Endpoint {
 	wanted := map[btid.Entry]btpeer.Endpoint{}
 	x := h.approved.Index
 	target, found := x.Target(h.self.Target)
@@ -125,12 +126,12 @@
 	return wanted
 }
 
-func (h *heartbeat) start(endpoint btpeer.Endpoint) *watcher {
+func (h *heartbeat) startWatcher(endpoint btpeer.Endpoint) *watcher {
 	ctx, cancel := context.WithCancel(h.ctx)
 	w := &watcher{
 		endpoint: endpoint,
 		urgent:   make(chan struct{}, 1),
-		batches:  make(chan btload.CacheEvents, cacheQueue),
+		batches:  make(chan btload.CacheEvents, cacheBatchCapacity),
 		cancel:   cancel,
 		done:     make(chan struct{}),
 	}
@@ -138,56 +139,58 @@
 	go func() {
 		defer close(w.done)
 		for ctx.Err() == nil {
-			h.stream(ctx, w)
-			pause(ctx, reconnect)
+			h.sendHeartbeats(ctx, w)
+			pause(ctx, reconnectDelay)
 		}
 	}()
 	return w
 }
 
-// stream sends heartbeats over one stream until it breaks.
-func (h *heartbeat) stream(ctx context.Context, w *watcher) {
+// sendHeartbeats sends heartbeats over one stream until it breaks.
+func (h *heartbeat) sendHeartbeats(ctx context.Context, w *watcher) {
 	s, err := h.options.Node.Open(ctx, w.endpoint, btprocess.KindHeartbeat)
 	if err != nil {
 		return
 	}
 	defer s.Close()
-	// The entry may have started anew, as may all others that knew.
-	go h.remind(ctx, w.endpoint)
-	go h.listen(s, w)
+	// The entry may have restarted and lost the crash records, and so may all other
+	// entries that had them.
+	go h.sendCrashRecords(ctx, w.endpoint)
+	go h.receiveAnnouncements(s, w)
 	for {
-		if err := btpeer.Send(s, h.next()); err != nil {
+		if err := btpeer.Send(s, h.nextHeartbeat()); err != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.urgent:
-		case <-time.After(h.every()):
+		case <-time.After(h.currentInterval()):
 		}
 	}
 }
 
-// listen takes what the entry announces of its bundle.
-func (h *heartbeat) listen(s *btpeer.Stream, w *watcher) {
+// receiveAnnouncements handles the announcements in which the entry names its bundle
+// and says whether the host is leaving.
+func (h *heartbeat) receiveAnnouncements(s *btpeer.Stream, w *watcher) {
 	for {
 		a, err := btpeer.Receive[btannounce.Announcement](s)
 		if err != nil {
 			return
 		}
 		h.options.Bundles.Heard(w.endpoint.Identity, a)
-		h.host.told(w.endpoint.Identity, a.HostLeaving)
+		h.hostStatus.update(w.endpoint.Identity, a.HostLeaving)
 	}
 }
 
-func (h *heartbeat) every() time.Duration {
+func (h *heartbeat) currentInterval() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.interval
 }
 
-// next returns the heartbeat to be sent now.
-func (h *heartbeat) next() btmember.Heartbeat {
+// nextHeartbeat returns a heartbeat with the current state.
+func (h *heartbeat) nextHeartbeat() btmember.Heartbeat {
 	h.mu.Lock()
 	state := h.state
 	h.mu.Unlock()
@@ -209,25 +212,26 @@
 	}
 }
 
-// set changes the state and tells it at once. Leaving states stay.
-func (h *heartbeat) set(state btmember.State) {
+// setState moves to a later state and sends it at once. States never go back, so an
+// agent that is leaving stays so.
+func (h *heartbeat) setState(state btmember.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.state >= state {
 		return
 	}
 	h.state = state
-	h.hurryLocked()
+	h.triggerLocked()
 }
 
-// hurry has every watcher told at once.
-func (h *heartbeat) hurry() {
+// trigger makes every watcher's sender send a heartbeat at once.
+func (h *heartbeat) trigger() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hurryLocked()
+	h.triggerLocked()
 }
 
-func (h *heartbeat) hurryLocked() {
+func (h *heartbeat) triggerLocked() {
 	for _, w := range h.watchers {
 		select {
 		case w.urgent <- struct{}{}:
@@ -236,10 +240,11 @@
 	}
 }
 
-// sayGoodbye tells every watcher that nothing is in flight any more.
-func (h *heartbeat) sayGoodbye() {
-	h.set(btmember.Stopped)
-	ctx, cancel := context.WithTimeout(context.Background(), goodbyeWait)
+// sendFinal sends every watcher the final heartbeat, which says that no request is in
+// flight any more.
+func (h *heartbeat) sendFinal() {
+	h.setState(btmember.Stopped)
+	ctx, cancel := context.WithTimeout(context.Background(), finalTimeout)
 	defer cancel()
 	h.mu.Lock()
 	endpoints := make([]btpeer.Endpoint, 0, len(h.watchers))
@@ -249,19 +254,19 @@
 	h.mu.Unlock()
 	var all sync.WaitGroup
 	for _, e := range endpoints {
-		all.Go(func() { h.last(ctx, e) })
+		all.Go(func() { h.sendFinalTo(ctx, e) })
 	}
 	all.Wait()
 }
 
-// last sends one heartbeat and waits until the entry has it.
-func (h *heartbeat) last(ctx context.Context, to btpeer.Endpoint) {
+// sendFinalTo sends one heartbeat and waits until the entry has received it.
+func (h *heartbeat) sendFinalTo(ctx context.Context, to btpeer.Endpoint) {
 	s, err := h.options.Node.Open(ctx, to, btprocess.KindHeartbeat)
 	if err != nil {
 		return
 	}
 	defer s.Close()
-	if err := btpeer.Send(s, h.next()); err != nil {
+	if err := btpeer.Send(s, h.nextHeartbeat()); err != nil {
 		return
 	}
 	_ = s.CloseWrite()
--- a/io/btagent/homes.go
+++ b/io/btagent/key_home.go
@@ -24,22 +24,22 @@
 var errNoHome = errors.New("no key home here")
 
 const (
-	// homeCallWait bounds a message between homes: a later answer would miss
-	// its round.
-	homeCallWait = time.Second
-	// replyWait bounds an entry's question, beyond the home's own waiting.
-	replyWait = 5 * time.Second
+	// homeCallTimeout limits a call to another home: a later answer would miss its
+	// round.
+	homeCallTimeout = time.Second
+	// replyTimeout limits an entry's query. It is longer than the home itself waits.
+	replyTimeout = 5 * time.Second
 	// grantLifetime is how long after its issue a grant may be started.
 	grantLifetime = 30 * time.Second
 )
 
-// question identifies one ask of an entry.
-type question struct {
+// query identifies a message of an entry; ask is its number within the request.
+type query struct {
 	request btid.Request
 	ask     uint32
 }
 
-// keyHome drives the key home of this agent's service and carries its messages.
+// keyHome runs the key home of this agent's service and sends its messages.
 type keyHome struct {
 	self    btid.Executor
 	started time.Time
@@ -51,9 +51,9 @@
 	log     *slog.Logger
 
 	mu      sync.Mutex
-	machine *btclaim.Home
+	core    *btclaim.Home
 	service btid.Service
-	replies map[question]chan btclaim.AcquireReply
+	replies map[query]chan btclaim.AcquireReply
 }
 
 func newKeyHome(o Options, self btid.Executor, bundles *btprocess.Bundles) *keyHome {
@@ -66,12 +66,12 @@
 		assert:  o.Assert,
 		meter:   o.Meter,
 		log:     o.Log,
-		replies: map[question]chan btclaim.AcquireReply{},
+		replies: map[query]chan btclaim.AcquireReply{},
 	}
-	o.Node.Handle(btprocess.KindAcquire, btpeer.Answer(h.answerAcquire))
-	o.Node.Handle(btprocess.KindRelease, btpeer.Answer(h.answerRelease))
-	o.Node.Handle(btprocess.KindLookup, btpeer.Answer(h.answerLookup))
-	o.Node.Handle(btprocess.KindLease, btpeer.Answer(h.answerLease))
+	o.Node.Handle(btprocess.KindAcquire, btpeer.Answer(h.handleAcquire))
+	o.Node.Handle(btprocess.KindRelease, btpeer.Answer(h.handleRelease))
+	o.Node.Handle(btprocess.KindLookup, btpeer.Answer(h.handleLookup))
+	o.Node.Handle(btprocess.KindLease, btpeer.Answer(h.handleLease))
 	return h
 }
 
@@ -100,30 +100,31 @@
 		return
 	}
 	h.mu.Lock()
-	fresh := h.machine == nil
-	if fresh {
+	isNew := h.core == nil
+	if isNew {
 		settings := btclaim.DefaultHomeSettings(h.self, service.Name, h.started)
-		h.machine, _ = btclaim.NewHome(h.clock(), settings, rules, h.assert)
+		h.core, _ = btclaim.NewHome(h.clock(), settings, rules, h.assert)
 	}
 	h.mu.Unlock()
-	if !fresh {
+	if !isNew {
 		h.post(btclaim.RulesChanged{Rules: rules})
 	}
 }
 
-// serviceOf returns the service whose keys are kept here: the first that the
-// target had. A target that the bundle no longer lists, or lists under another
-// service, stays with it, whose rules tell the home that it grants no more.
+// serviceOf returns the service whose keys this home stores: the first service of the
+// target. If a later bundle no longer lists the target, or lists it under another
+// service, the home still follows the rules of the first service. They tell it that it
+// grants no more.
 func (h *keyHome) serviceOf(a *btbundle.Approved) (*btbundle.Service, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if target, found := a.Index.Target(h.self.Target); found && h.machine == nil {
+	if target, found := a.Index.Target(h.self.Target); found && h.core == nil {
 		h.service = target.Service
 	}
 	return a.Index.Service(h.service)
 }
 
-// RulesOf returns what a bundle states for a service's key homes.
+// RulesOf returns a bundle's rules for a service's key homes.
 func RulesOf(a *btbundle.Approved, service *btbundle.Service) btclaim.Rules {
 	return btclaim.Rules{
 		Epochs:        service.Epochs,
@@ -135,43 +136,44 @@
 	}
 }
 
-// post applies an event and sends what it brings about.
+// post passes an event to the home and carries out the effects.
 func (h *keyHome) post(event btclaim.HomeEvent) {
 	for _, effect := range h.step(event) {
-		h.send(effect)
+		h.apply(effect)
 	}
 }
 
 func (h *keyHome) step(event btclaim.HomeEvent) []btclaim.HomeEffect {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.machine == nil {
+	if h.core == nil {
 		return nil
 	}
-	return h.machine.Step(h.clock(), event)
+	return h.core.Step(h.clock(), event)
 }
 
-// send carries one effect: replies to those who wait, asks to other homes.
-func (h *keyHome) send(effect btclaim.HomeEffect) {
+// apply carries out an effect: it passes a reply to the waiting query, or calls another
+// home.
+func (h *keyHome) apply(effect btclaim.HomeEffect) {
 	switch e := effect.(type) {
 	case btclaim.AcquireReply:
 		h.reply(e)
 	case btclaim.Lookup:
-		go carry[btclaim.Lookup, btclaim.LookupReply](h, e.To, btprocess.KindLookup, e)
+		go callHome[btclaim.Lookup, btclaim.LookupReply](h, e.To, btprocess.KindLookup, e)
 	case btclaim.LeaseAsk:
-		go carry[btclaim.LeaseAsk, btclaim.LeaseVote](h, e.To, btprocess.KindLease, e)
+		go callHome[btclaim.LeaseAsk, btclaim.LeaseVote](h, e.To, btprocess.KindLease, e)
 	}
 }
 
-// homeAnswer is a message that is both an answer and an event of a home.
+// homeAnswer is the answer to a call, which is also an event of the calling home.
 type homeAnswer interface {
 	btpeer.Validator
 	btclaim.HomeEvent
 }
 
-// carry asks another home and posts its answer. A lost message is the machine's
-// own business: it asks again.
-func carry[Q any, R homeAnswer](h *keyHome, to btid.Target, kind btpeer.Kind, message Q) {
+// callHome calls another home and posts its answer. It doesn't retry, because the home
+// itself repeats its messages.
+func callHome[Q any, R homeAnswer](h *keyHome, to btid.Target, kind btpeer.Kind, message Q) {
 	current := h.bundles.Current()
 	if current == nil {
 		return
@@ -180,7 +182,7 @@
 	if !found {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), homeCallWait)
+	ctx, cancel := context.WithTimeout(context.Background(), homeCallTimeout)
 	defer cancel()
 	answer, err := btpeer.Call[Q, R](ctx, h.node, endpoint, kind, message)
 	if err != nil {
@@ -190,26 +192,26 @@
 	h.post(answer)
 }
 
-func (h *keyHome) answerAcquire(ctx context.Context, from btpeer.Identity, a btclaim.Acquire) (btclaim.AcquireReply, error) {
-	return h.answer(ctx, from, question{request: a.Request, ask: a.Ask}, a)
+func (h *keyHome) handleAcquire(ctx context.Context, from btpeer.Identity, a btclaim.Acquire) (btclaim.AcquireReply, error) {
+	return h.answerEntry(ctx, from, query{request: a.Request, ask: a.Ask}, a)
 }
 
-func (h *keyHome) answerRelease(ctx context.Context, from btpeer.Identity, r btclaim.Release) (btclaim.AcquireReply, error) {
-	return h.answer(ctx, from, question{request: r.Request, ask: r.Ask}, r)
+func (h *keyHome) handleRelease(ctx context.Context, from btpeer.Identity, r btclaim.Release) (btclaim.AcquireReply, error) {
+	return h.answerEntry(ctx, from, query{request: r.Request, ask: r.Ask}, r)
 }
 
-// answer posts an entry's question and waits for the machine's reply.
-func (h *keyHome) answer(ctx context.Context, from btpeer.Identity, q question, event btclaim.HomeEvent) (btclaim.AcquireReply, error) {
+// answerEntry posts an entry's query and waits for the home's reply.
+func (h *keyHome) answerEntry(ctx context.Context, from btpeer.Identity, q query, event btclaim.HomeEvent) (btclaim.AcquireReply, error) {
 	if from != btprocess.EntryIdentity(q.request.Entry) {
-		return btclaim.AcquireReply{}, fmt.Errorf("question of %s from %s", q.request, from)
+		return btclaim.AcquireReply{}, fmt.Errorf("query of %s from %s", q.request, from)
 	}
 	reply := make(chan btclaim.AcquireReply, 1)
 	h.mu.Lock()
 	h.replies[q] = reply
 	h.mu.Unlock()
-	defer h.forget(q)
+	defer h.unregister(q)
 	h.post(event)
-	t := time.NewTimer(replyWait)
+	t := time.NewTimer(replyTimeout)
 	defer t.Stop()
 	select {
 	case r := <-reply:
@@ -226,7 +228,7 @@
 
 func (h *keyHome) reply(r btclaim.AcquireReply) {
 	h.mu.Lock()
-	waiting := h.replies[question{request: r.Request, ask: r.Ask}]
+	waiting := h.replies[query{request: r.Request, ask: r.Ask}]
 	h.mu.Unlock()
 	if waiting == nil {
 		return
@@ -237,17 +239,17 @@
 	}
 }
 
-func (h *keyHome) forget(q question) {
+func (h *keyHome) unregister(q query) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.replies, q)
 }
 
-func (h *keyHome) answerLookup(_ context.Context, from btpeer.Identity, l btclaim.Lookup) (btclaim.LookupReply, error) {
+func (h *keyHome) handleLookup(_ context.Context, from btpeer.Identity, l btclaim.Lookup) (btclaim.LookupReply, error) {
 	return answerHome[btclaim.LookupReply](h, from, l.From, l)
 }
 
-func (h *keyHome) answerLease(_ context.Context, from btpeer.Identity, a btclaim.LeaseAsk) (btclaim.LeaseVote, error) {
+func (h *keyHome) handleLease(_ context.Context, from btpeer.Identity, a btclaim.LeaseAsk) (btclaim.LeaseVote, error) {
 	vote, err := answerHome[btclaim.LeaseVote](h, from, a.From, a)
 	if err == nil && !vote.Granted {
 		h.meter.Refused(vote.Reason)
@@ -255,35 +257,35 @@
 	return vote, err
 }
 
-// answerHome posts another home's ask and returns the machine's answer to it,
-// which comes in the same step.
+// answerHome passes another home's message to this one and returns the answer, which is
+// an effect of the same step.
 func answerHome[R btclaim.HomeEffect](h *keyHome, from btpeer.Identity, name btid.Target, ask btclaim.HomeEvent) (R, error) {
-	var none R
+	var zero R
 	if from != btprocess.AgentIdentity(name) {
-		return none, fmt.Errorf("ask of agent %s from %s", name, from)
+		return zero, fmt.Errorf("message of agent %s from %s", name, from)
 	}
-	answer, found := none, false
+	answer, found := zero, false
 	for _, effect := range h.step(ask) {
 		if r, ok := effect.(R); ok && !found {
 			answer, found = r, true
 			continue
 		}
-		h.send(effect)
+		h.apply(effect)
 	}
 	if !found {
-		return none, errNoHome
+		return zero, errNoHome
 	}
 	return answer, nil
 }
 
-// status returns what operators see, false where there is no home.
+// status returns the home's status page, false if there is no home.
 func (h *keyHome) status() (btclaim.Status, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.machine == nil {
+	if h.core == nil {
 		return btclaim.Status{}, false
 	}
-	return h.machine.Status(), true
+	return h.core.Status(), true
 }
 
 const reasonHomeSilent btrequest.Reason = "home_silent"
--- a/io/btagent/keyed_test.go
+++ b/io/btagent/keyed_test.go
@@ -19,15 +19,15 @@
 	"bilberrytide/io/btstandin/btinprocess"
 )
 
-// callOnce sends a request with a new idempotency key.
-func (f *fleet) callOnce(entry btid.Entry, path string) (int, string) {
+// callKeyed sends a request with a new idempotency key.
+func (f *fleet) callKeyed(entry btid.Entry, path string) (int, string) {
 	key, err := btclaim.NewKey(time.Now(), rand.Reader)
 	assert.NilError(f.TB, err)
 	response, text := f.do(entry, path, "x", string(key))
 	return response.StatusCode, text
 }
 
-// counter returns a counter of an agent's.
+// counter returns the value of an agent's counter.
 func (f *fleet) counter(name btid.Target, counter string) int64 {
 	for _, c := range f.agents[name].Status().Counters {
 		if c.Name == counter {
@@ -37,26 +37,26 @@
 	return 0
 }
 
-// TestKeyedRequestsPassOverWhatIsGone: most homes of an earlier epoch are
-// destroyed, and a target refuses connections; keyed requests are done all the
-// same, by the target that is there.
-func TestKeyedRequestsPassOverWhatIsGone(t *testing.T) {
+// TestKeyedRequestsSkipLostHomesAndDownTarget guards against keyed requests that fail
+// because most key homes of an earlier epoch are destroyed, or because one target
+// refuses connections. The other target must serve them all.
+func TestKeyedRequestsSkipLostHomesAndDownTarget(t *testing.T) {
 	f := newFleet(t)
 	f.addEntries(1)
 	f.addTarget("t0", "pages", btbundle.Plain, f.Listen(f.plain("t0")))
-	// On an address of its own, so that no other test's server gets the port.
+	// A separate loopback address, so that no other test's server gets the port.
 	closed, err := net.Listen("tcp", "127.0.0.9:0")
 	assert.NilError(t, err)
 	refusing := netip.MustParseAddrPort(closed.Addr().String())
 	assert.NilError(t, closed.Close())
 	f.addTarget("t1", "pages", btbundle.Plain, refusing)
 	homes := f.Bundle.Services[0].Epochs[0]
-	lost := btbundle.HomeEpoch{Number: 1, Since: homes.Since, Homes: []btid.Target{"t0", "t8", "t9"}}
+	lostHomes := btbundle.HomeEpoch{Number: 1, Since: homes.Since, Homes: []btid.Target{"t0", "t8", "t9"}}
 	homes.Number = 2
-	f.Bundle.Services[0].Epochs = []btbundle.HomeEpoch{lost, homes}
+	f.Bundle.Services[0].Epochs = []btbundle.HomeEpoch{lostHomes, homes}
 	f.Bundle.DestroyedTargets = []btid.Target{"t8", "t9"}
-	// The voter at t1 stays in its first moment until it has been asked, so that
-	// it refuses the first ask on a host of any speed.
+	// The clock of t1 stands still until t1 has been asked for a vote, so that its voter
+	// is still starting and refuses the first request on a host of any speed.
 	var asked atomic.Bool
 	began := time.Now()
 	f.startAgent = func(node *btpeer.Node) *btinprocess.Agent {
@@ -78,11 +78,11 @@
 		s := f.agents["t0"].Status().Home
 		return s != nil && s.Leased && time.Since(s.Since) > 3*f.Bundle.Idempotency.ClockError.Duration
 	})
-	tried := false
+	refusalSeen := false
 	for i := range 40 {
-		status, body := f.callOnce("e0", fmt.Sprintf("/services/pages/%d", i))
+		status, body := f.callKeyed("e0", fmt.Sprintf("/services/pages/%d", i))
 		assert.Equal(t, status, http.StatusOK, body)
-		tried = tried || f.counter("t1", "refused.target_unreachable") > 0
+		refusalSeen = refusalSeen || f.counter("t1", "refused.target_unreachable") > 0
 	}
-	assert.Assert(t, tried, "the refusing target was never asked")
+	assert.Assert(t, refusalSeen, "the refusing target was never asked")
 }
--- a/io/btagent/ledger.go
+++ b/io/btagent/ledger.go
@@ -11,76 +11,76 @@
 	"bilberrytide/io/btloop"
 )
 
-// ledgerTick is how often expired records are dropped.
-const ledgerTick = time.Second
+// ledgerInterval is how often expired records are dropped.
+const ledgerInterval = time.Second
 
-// answer is a kept answer of a request that may run only once.
-type answer struct {
+// keptAnswer is the stored answer of a request that may run only once.
+type keptAnswer struct {
 	status int
 	header btserve.Header
 	body   []byte
 }
 
-// ledger drives the claim ledger and stores the answers that it keeps.
+// ledger runs the claim ledger and stores the answers that it keeps.
 type ledger struct {
 	clock btloop.Clock
 
 	mu      sync.Mutex
-	machine *btclaim.Ledger
-	answers map[btclaim.Claim]answer
+	core    *btclaim.Ledger
+	answers map[btclaim.Claim]keptAnswer
 }
 
 func newLedger(settings btclaim.LedgerSettings, clock btloop.Clock, assert *btassert.Asserter) *ledger {
 	return &ledger{
 		clock:   clock,
-		machine: btclaim.NewLedger(clock(), settings, assert),
-		answers: map[btclaim.Claim]answer{},
+		core:    btclaim.NewLedger(clock(), settings, assert),
+		answers: map[btclaim.Claim]keptAnswer{},
 	}
 }
 
 func (l *ledger) run(ctx context.Context) {
-	t := time.NewTicker(ledgerTick)
+	t := time.NewTicker(ledgerInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			l.ask(btclaim.Tick{})
+			l.handle(btclaim.Tick{})
 		}
 	}
 }
 
-// ask hands the ledger one event and returns its word; nil where it has none,
-// as for a malformed grant.
-func (l *ledger) ask(event btclaim.LedgerEvent) btclaim.LedgerEffect {
+// handle passes an event to the ledger and returns its reply. The reply is nil if there
+// is none, as for a malformed grant.
+func (l *ledger) handle(event btclaim.LedgerEvent) btclaim.LedgerEffect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.step(event)
+	return l.handleLocked(event)
 }
 
-func (l *ledger) step(event btclaim.LedgerEvent) btclaim.LedgerEffect {
-	var word btclaim.LedgerEffect
-	for _, effect := range l.machine.Step(l.clock(), event) {
+func (l *ledger) handleLocked(event btclaim.LedgerEvent) btclaim.LedgerEffect {
+	var reply btclaim.LedgerEffect
+	for _, effect := range l.core.Step(l.clock(), event) {
 		if drop, ok := effect.(btclaim.DropAnswer); ok {
 			delete(l.answers, drop.Claim)
 			continue
 		}
-		word = effect
+		reply = effect
 	}
-	return word
+	return reply
 }
 
-// keep stores the answer of a run that has ended.
-func (l *ledger) keep(claim btclaim.Claim, a answer) {
+// storeAnswer stores the answer of a run that has ended.
+func (l *ledger) storeAnswer(claim btclaim.Claim, a keptAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers[claim] = a
-	l.step(btclaim.RunFinished{Claim: claim, Bytes: len(a.body)})
+	l.handleLocked(btclaim.RunFinished{Claim: claim, Bytes: len(a.body)})
 }
 
-// saved returns the kept answer of a claim.
-func (l *ledger) saved(claim btclaim.Claim) (answer, bool) {
+// loadAnswer returns the stored answer of a claim.
+func (l *ledger) loadAnswer(claim btclaim.Claim) (keptAnswer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, found := l.answers[claim]
--- a/io/btagent/quarantine.go
+++ b/io/btagent/quarantine.go
@@ -9,52 +9,55 @@
 	"bilberrytide/io/bttarget"
 )
 
-// broke notes what an answer that broke off tells of the request: where the target's
-// process is gone, that it ended under it. The entry that sent the request knows of it
-// before it hears of the failure and decides on another attempt; others hear meanwhile.
-func (v *serving) broke(ctx context.Context, err error, p btquarantine.Progress) {
-	// The look at the target and the telling are not the caller's to cancel.
+// detectCrash handles an answer that broke off: if the target's process is gone, it
+// records that the target crashed while it ran the request. It waits, for a
+// limited time, until the entry that sent the request has the record, so that the entry
+// knows of the crash before it receives the failure and decides on another attempt.
+// Other entries get the record in the background.
+func (v *attempt) detectCrash(ctx context.Context, err error, p btquarantine.Progress) {
+	// Checking the target and sending the record continue if the caller cancels.
 	ctx = context.WithoutCancel(ctx)
-	if !bttarget.BrokeOff(err) || !v.place.client.Refused(ctx) {
+	if !bttarget.BrokeOff(err) || !v.deps.client.Refused(ctx) {
 		return
 	}
 	a := v.agent
 	f := v.fingerprint()
 	a.isolation.Ended(f, string(a.self.Target), p, "account", v.request.Account, "path", v.request.Path)
-	if to, found := v.asking(); found {
+	if to, found := v.entryEndpoint(); found {
 		a.isolation.Compare(ctx, to, btquarantine.Records{a.isolation.Record(f)})
 	}
 }
 
-// progress is how far a target has come that has begun to answer; came tells that some of
-// the answer has.
-func (v *serving) progress(came bool) btquarantine.Progress {
-	if came || !v.agent.group.MultiRank() {
+// progressAfter returns how far a target got that has begun to answer. hasOutput tells
+// that a part of the answer's body has arrived.
+func (v *attempt) progressAfter(hasOutput bool) btquarantine.Progress {
+	if hasOutput || !v.agent.group.MultiRank() {
 		return btquarantine.Answering
 	}
 	return btquarantine.BegunWithoutOutput
 }
 
-// remind tells an entry which requests this agent's target has ended under.
-func (a *Agent) remind(ctx context.Context, to btpeer.Endpoint) {
+// sendCrashRecords sends an entry the records of requests during which this agent's
+// target crashed.
+func (a *Agent) sendCrashRecords(ctx context.Context, to btpeer.Endpoint) {
 	if records := a.isolation.NewerThan(0); len(records) > 0 {
 		a.isolation.Compare(ctx, to, records)
 	}
 }
 
-// asking returns the entry that sent the request, false where the bundle lists none of
-// its name.
-func (v *serving) asking() (btpeer.Endpoint, bool) {
-	current := v.agent.options.Bundles.Current()
-	if current == nil {
+// entryEndpoint returns the endpoint of the entry that sent the request, false if the
+// bundle doesn't list it.
+func (v *attempt) entryEndpoint() (btpeer.Endpoint, bool) {
+	approved := v.agent.options.Bundles.Current()
+	if approved == nil {
 		return btpeer.Endpoint{}, false
 	}
-	return btprocess.EntryEndpoint(current.Index, v.request.ID.Entry)
+	return btprocess.EntryEndpoint(approved.Index, v.request.ID.Entry)
 }
 
-// fingerprint stands for the request's content, by which it is known when it comes
-// again.
-func (v *serving) fingerprint() btquarantine.Fingerprint {
+// fingerprint returns a digest of the request's content, which is the same if the
+// request is sent again.
+func (v *attempt) fingerprint() btquarantine.Fingerprint {
 	return btquarantine.Content{
 		Account: v.request.Account,
 		Host:    string(v.request.Service),
--- a/io/btagent/rate.go
+++ b/io/btagent/rate.go
@@ -9,32 +9,33 @@
 	"bilberrytide/core/btrate"
 )
 
-// metricRatesMalformed counts answers with a rate that can't be read.
+// metricRatesMalformed counts answers with a malformed rate.
 const metricRatesMalformed = "target_rates.malformed"
 
-// targetRate has the queue keep to the rate of requests that the target names. All of its
-// steps hold the lock, so that the queue hears of changes in their order.
+// targetRate applies the request rate that the target advertises to the queue. The lock
+// is held while a change is posted, so that the queue receives changes in order.
 type targetRate struct {
 	mu    sync.Mutex
 	limit btrate.Limit
-	// malformed tells that the target has named a rate that can't be read.
+	// malformed is set once the target has advertised a malformed rate.
 	malformed bool
 }
 
-// heard takes in what an answer says that has arrived now to a request which was sent
-// before. The target names what it takes of all callers, and all come through here.
-func (r *targetRate) heard(queue *admission, log *slog.Logger, now, sent time.Time, w btrate.Advertisement) {
+// observe handles the rate advertised by an answer that arrived now, to a request sent
+// at sentAt. The rate is for all callers together, and all of them pass through this
+// agent.
+func (r *targetRate) observe(queue *admission, log *slog.Logger, now, sentAt time.Time, advertisement btrate.Advertisement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.limit
-	after, news := before.Update(now, sent, w)
+	after, changed := before.Update(now, sentAt, advertisement)
 	r.limit = after
-	if w.Malformed != "" && !r.malformed {
-		// Each answer may be alike.
+	if advertisement.Malformed != "" && !r.malformed {
+		// Logged once only, as every answer may be malformed.
 		r.malformed = true
-		log.Warn("target rate refused", "value", w.Malformed, "kept", after.Active, "per_second", after.PerSecond)
+		log.Warn("target rate refused", "value", advertisement.Malformed, "kept", after.Active, "per_second", after.PerSecond)
 	}
-	if !news {
+	if !changed {
 		return
 	}
 	queue.loop.Post(btqueue.RateLimit{PerSecond: after.PerSecond, Active: after.Active})
@@ -45,8 +46,9 @@
 	log.Info("target rate ended", "before", before.PerSecond)
 }
 
-// forget ends a limit with the start of the target that named it.
-func (r *targetRate) forget(queue *admission, log *slog.Logger) {
+// reset removes the limit, which is valid only until the target that advertised it
+// restarts.
+func (r *targetRate) reset(queue *admission, log *slog.Logger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if queue != nil && r.limit.Active {
@@ -57,13 +59,13 @@
 	r.malformed = false
 }
 
-// hearRate takes in what the target says in an answer to a request that was sent then.
-func (a *Agent) hearRate(queue *admission, sent time.Time, w btrate.Advertisement) {
-	if w.Malformed != "" {
+// observeRate handles the rate advertised by an answer to a request sent at sentAt.
+func (a *Agent) observeRate(queue *admission, sentAt time.Time, advertisement btrate.Advertisement) {
+	if advertisement.Malformed != "" {
 		a.options.Meter.Counter(metricRatesMalformed).Inc(1)
 	}
-	a.rate.heard(queue, a.options.Log, a.options.Elapsed(), sent, w)
+	a.rate.observe(queue, a.options.Log, a.options.Elapsed(), sentAt, advertisement)
 }
 
-// forgetRate ends a limit of an earlier start of the target.
-func (a *Agent) forgetRate() { a.rate.forget(a.queue(), a.options.Log) }
+// resetRate removes a rate limit that an earlier start of the target advertised.
+func (a *Agent) resetRate() { a.rate.reset(a.currentAdmission(), a.options.Log) }
--- a/io/btagent/relay.go
+++ b/io/btagent/relay.go
@@ -14,74 +14,76 @@
 )
 
 const (
-	// relayBytes is the most that one read of a target's answer takes.
-	relayBytes = 32 << 10
-	// keptAnswerBytes is the longest answer that is kept for a repeat.
-	keptAnswerBytes = 1 << 20
+	// relayChunkBytes limits one read of a target's answer.
+	relayChunkBytes = 32 << 10
+	// maxKeptAnswerBytes is the size of the longest answer that is kept for a repeat.
+	maxKeptAnswerBytes = 1 << 20
 )
 
-// relayBuffers keeps buffers for reuse: one made for each answer is most of what
-// an agent allocates.
-var relayBuffers = sync.Pool{New: func() any { return new([relayBytes]byte) }}
+// relayBuffers pools buffers: allocating one for each answer would be most of what an
+// agent allocates.
+var relayBuffers = sync.Pool{New: func() any { return new([relayChunkBytes]byte) }}
 
-// keeper gathers an answer that a repeat of the request may ask for.
-type keeper struct {
+// answerRecorder collects an answer for repeats of the request. A nil answerRecorder
+// does nothing.
+type answerRecorder struct {
 	limit int
 	data  []byte
-	// ended takes what was gathered, once the target's answer has ended.
-	ended func(data []byte, whole bool)
+	// done is called with the collected data at the end of the target's answer.
+	done func(data []byte, complete bool)
 }
 
-func (k *keeper) add(data []byte) {
-	if k == nil || len(k.data) > k.limit {
+func (r *answerRecorder) add(data []byte) {
+	if r == nil || len(r.data) > r.limit {
 		return
 	}
-	k.data = append(k.data, data...)
+	r.data = append(r.data, data...)
 }
 
-func (k *keeper) finish(whole bool) {
-	if k != nil {
-		k.ended(k.data, whole)
+func (r *answerRecorder) finish(complete bool) {
+	if r != nil {
+		r.done(r.data, complete)
 	}
 }
 
-// relay sends the target's answer to the entry. Where kept is set, the answer
-// is gathered to its end even if the entry goes away.
-func (v *serving) relay(ctx context.Context, response *bttarget.Response, kept *keeper) error {
+// relay sends the target's answer to the entry. If recorder is set, the answer is read
+// to its end even if the entry disconnects.
+func (v *attempt) relay(ctx context.Context, response *bttarget.Response, recorder *answerRecorder) error {
 	head := v.head(btserve.Accepted)
 	head.Status = response.Status
 	head.Header = btserve.HeaderOf(response.Header)
 	sendErr := btpeer.Send(v.stream, head)
 	cutter := btanswer.NewCutter(v.request.ID)
-	pooled := relayBuffers.Get().(*[relayBytes]byte)
+	pooled := relayBuffers.Get().(*[relayChunkBytes]byte)
 	defer relayBuffers.Put(pooled)
 	buffer := pooled[:]
-	came := false
+	hasOutput := false
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			came = true
-			kept.add(buffer[:n])
+			hasOutput = true
+			recorder.add(buffer[:n])
 			if sendErr == nil {
 				sendErr = btpeer.Send(v.stream, cutter.Next(buffer[:n]))
 			}
 		}
-		if sendErr != nil && kept == nil {
+		if sendErr != nil && recorder == nil {
 			return sendErr
 		}
 		if err != nil {
-			whole := errors.Is(err, io.EOF) && response.Delimited
-			v.learn(ctx, response.Status, came, whole, err)
-			return v.finish(cutter, whole, kept, sendErr)
+			complete := errors.Is(err, io.EOF) && response.Delimited
+			v.recordEnd(ctx, response.Status, hasOutput, complete, err)
+			return v.finish(cutter, complete, recorder, sendErr)
 		}
 	}
 }
 
-// learn notes what the end of an answer tells of the request. A failure doesn't free it
-// from suspicion: the next target may end under it.
-func (v *serving) learn(ctx context.Context, status int, came, whole bool, err error) {
-	if !whole {
-		v.broke(ctx, err, v.progress(came))
+// recordEnd records how the target's answer ended for the quarantine. An answer with a
+// server error doesn't clear the request of suspicion, because the next target may
+// crash on it.
+func (v *attempt) recordEnd(ctx context.Context, status int, hasOutput, complete bool, err error) {
+	if !complete {
+		v.detectCrash(ctx, err, v.progressAfter(hasOutput))
 		return
 	}
 	if status < http.StatusInternalServerError {
@@ -89,30 +91,30 @@
 	}
 }
 
-// finish sends the end of the answer: whole only where the target said so. The
-// answer is kept and the slot given back first: a caller that has its whole
-// answer may use the slot, or repeat its key, at once.
-func (v *serving) finish(cutter *btanswer.Cutter, whole bool, kept *keeper, sendErr error) error {
-	kept.finish(whole)
+// finish sends the end of the answer, marked as complete only if the target's answer
+// was. It stores the answer and releases the slot first: a caller that has received its
+// complete answer may use the slot, or repeat its key, at once.
+func (v *attempt) finish(cutter *btanswer.Cutter, complete bool, recorder *answerRecorder, sendErr error) error {
+	recorder.finish(complete)
 	v.release()
 	if sendErr != nil {
 		return sendErr
 	}
-	return btpeer.Send(v.stream, cutter.Last(!whole))
+	return btpeer.Send(v.stream, cutter.Last(!complete))
 }
 
-// replay sends a kept answer, for which the target's slot isn't needed.
-func (v *serving) replay(saved answer) error {
+// replay sends a stored answer. It releases the target's slot, which isn't needed.
+func (v *attempt) replay(answer keptAnswer) error {
 	v.release()
 	head := v.head(btserve.Replayed)
-	head.Status = saved.status
-	head.Header = saved.header
+	head.Status = answer.status
+	head.Header = answer.header
 	if err := btpeer.Send(v.stream, head); err != nil {
 		return err
 	}
 	cutter := btanswer.NewCutter(v.request.ID)
-	for rest := saved.body; len(rest) > 0; {
-		size := min(len(rest), relayBytes)
+	for rest := answer.body; len(rest) > 0; {
+		size := min(len(rest), relayChunkBytes)
 		if err := btpeer.Send(v.stream, cutter.Next(rest[:size])); err != nil {
 			return err
 		}
--- a/io/btagent/report.go
+++ b/io/btagent/report.go
@@ -5,24 +5,24 @@
 	"bilberrytide/core/btqueue"
 )
 
-// report returns the target's load as the queue before it knows it.
+// report returns the load of the target's queue, group rank and engine.
 func (a *Agent) report() btload.Report {
 	report := btload.Report{
 		Target:      a.self.Target,
 		Incarnation: a.self.Incarnation,
-		Number:      a.reports.Add(1),
+		Number:      a.reportNumber.Add(1),
 		Draining:    a.stop.Stopping(),
 	}
-	if queue := a.queue(); queue != nil {
-		fill(&report, queue.load())
+	if queue := a.currentAdmission(); queue != nil {
+		addQueueLoad(&report, queue.load())
 	}
 	report.ExpertLoad, report.StepTime = a.group.RankLoad()
-	a.engine.fill(&report)
-	report.Draining = report.Draining || a.heartbeat.host.leaving()
+	a.engine.addTo(&report)
+	report.Draining = report.Draining || a.heartbeat.hostStatus.leaving()
 	return report
 }
 
-func fill(report *btload.Report, load btqueue.Load) {
+func addQueueLoad(report *btload.Report, load btqueue.Load) {
 	report.Running = load.Running
 	report.Waiting = load.Waiting
 	report.Slots = load.Slots
--- a/io/btagent/serve.go
+++ b/io/btagent/serve.go
@@ -20,20 +20,20 @@
 	"bilberrytide/io/bttarget"
 )
 
-// serving is one attempt of a request at this agent.
-type serving struct {
+// attempt is one attempt to serve a request at this agent.
+type attempt struct {
 	agent    *Agent
 	stream   *btpeer.Stream
 	request  btserve.Request
-	place    place
+	deps     serveDeps
 	deadline time.Time
 	// grant is set for a request that may run only once.
 	grant *btclaim.Grant
-	// release gives the slot back, once; it does nothing where none was got.
+	// release releases the slot, once; it does nothing if there is none.
 	release func()
 }
 
-// serve takes one attempt from an entry and answers it.
+// serve receives one attempt from an entry and answers it.
 func (a *Agent) serve(ctx context.Context, from btpeer.Identity, s *btpeer.Stream) error {
 	request, err := btpeer.Receive[btserve.Request](s)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if from.Role != btpeer.Entry || from.Name != string(request.ID.Entry) {
 		return fmt.Errorf("request of entry %s from %s", request.ID.Entry, from)
 	}
-	v := &serving{
+	v := &attempt{
 		agent:    a,
 		stream:   s,
 		request:  request,
@@ -54,25 +54,25 @@
 	return v.serve(ctx)
 }
 
-func (v *serving) serve(ctx context.Context) error {
-	p, ready := v.agent.place()
+func (v *attempt) serve(ctx context.Context) error {
+	p, ready := v.agent.serveDeps()
 	if !ready || p.service != v.request.Service {
 		return v.refuse(btrequest.NotRun, ReasonWrongService, 0, nil)
 	}
-	v.place = p
+	v.deps = p
 	if err := v.readGrant(); err != nil {
 		return v.refuse(btrequest.Unknown, ReasonGrantMalformed, 0, nil)
 	}
 	if !v.agent.ready.Load() {
-		return v.turnAway(&btqueue.Refuse{ID: v.request.ID, Reason: ReasonWrongService})
+		return v.refuseAdmission(&btqueue.Refuse{ID: v.request.ID, Reason: ReasonWrongService})
 	}
-	refusal := p.admission.admit(ctx, v.arrived())
+	refusal := p.admission.admit(ctx, v.arrival())
 	if refusal != nil && refusal.Reason == ReasonRepeated {
-		// The first stream of this identity tells what becomes of it.
+		// The stream of the attempt in progress carries its outcome.
 		return v.refuse(btrequest.Unknown, ReasonRepeated, 0, nil)
 	}
 	if refusal != nil {
-		return v.turnAway(refusal)
+		return v.refuseAdmission(refusal)
 	}
 	began := v.agent.options.Clock()
 	v.release = sync.OnceFunc(func() { p.admission.finish(v.request.ID, v.agent.options.Clock().Sub(began)) })
@@ -80,10 +80,10 @@
 	if v.grant != nil {
 		return v.serveOnce(ctx)
 	}
-	return v.serveAny(ctx)
+	return v.serveRepeatable(ctx)
 }
 
-func (v *serving) readGrant() error {
+func (v *attempt) readGrant() error {
 	if len(v.request.Grant) == 0 {
 		return nil
 	}
@@ -95,13 +95,13 @@
 		return fmt.Errorf("grant of %s for a request of %s", grant.Claim.Account, v.request.Account)
 	}
 	if grant.Content != v.request.Content() {
-		return fmt.Errorf("grant of other content")
+		return fmt.Errorf("grant is for other content")
 	}
 	v.grant = &grant
 	return nil
 }
 
-func (v *serving) arrived() btqueue.Arrived {
+func (v *attempt) arrival() btqueue.Arrived {
 	return btqueue.Arrived{
 		ID:       v.request.ID,
 		Account:  v.request.Account,
@@ -114,84 +114,87 @@
 	}
 }
 
-// startBy returns the goal for the start, the zero time where there is none.
-func (v *serving) startBy() time.Time {
-	if v.place.firstToken == 0 {
+// startBy returns when the request should have started, the zero time if the service
+// has no such goal.
+func (v *attempt) startBy() time.Time {
+	if v.deps.firstToken == 0 {
 		return time.Time{}
 	}
-	return v.agent.options.Elapsed().Add(v.place.firstToken)
+	return v.agent.options.Elapsed().Add(v.deps.firstToken)
 }
 
-// turnAway answers a refusal of the queue. A granted request is sealed first,
-// so that it may run elsewhere.
-func (v *serving) turnAway(refusal *btqueue.Refuse) error {
+// refuseAdmission answers with a refusal of the queue. A grant is sealed first, so that
+// the request may run elsewhere.
+func (v *attempt) refuseAdmission(refusal *btqueue.Refuse) error {
 	if v.grant == nil {
 		return v.refuse(btrequest.NotRun, refusal.Reason, refusal.RetryAfter, nil)
 	}
-	word := v.place.ledger.ask(btclaim.SealRequested{Grant: *v.grant, Reason: refusal.Reason})
-	refused, ok := word.(btclaim.Refused)
+	reply := v.deps.ledger.handle(btclaim.SealRequested{Grant: *v.grant, Reason: refusal.Reason})
+	refused, ok := reply.(btclaim.Refused)
 	if !ok {
-		return v.answerWord(word)
+		return v.answerLedger(reply)
 	}
 	refused.RetryAfter = refusal.RetryAfter
 	return v.refuseClaim(refused)
 }
 
-// left returns the time that the request has. Timers go by the steady clock, which
-// stands still while the host is suspended.
-func (v *serving) left() time.Duration { return v.deadline.Sub(v.agent.options.Elapsed()) }
+// remaining returns the time until the request's deadline. Timers are set by this
+// duration: the deadline is a time of the Elapsed clock, whereas timers use the
+// monotonic clock, which stops while the host is suspended.
+func (v *attempt) remaining() time.Duration { return v.deadline.Sub(v.agent.options.Elapsed()) }
 
-// serveAny runs a request that may be repeated.
-func (v *serving) serveAny(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, v.left())
+// serveRepeatable runs a request that may run more than once.
+func (v *attempt) serveRepeatable(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, v.remaining())
 	defer cancel()
-	response, err := v.toldTarget(ctx)
+	response, err := v.callTarget(ctx)
 	if errors.Is(err, bttarget.ErrNotSent) || errors.Is(err, bttarget.ErrRequest) {
 		return v.refuse(btrequest.NotRun, ReasonTargetUnreachable, 0, nil)
 	}
 	if err != nil {
-		v.broke(ctx, err, btquarantine.Sent)
+		v.detectCrash(ctx, err, btquarantine.Sent)
 		return v.refuse(btrequest.Unknown, v.lostReason(ctx), 0, nil)
 	}
 	defer response.Body.Close()
 	return v.relay(ctx, response, nil)
 }
 
-// toldTarget gives the target the request, and hears how many it takes.
-func (v *serving) toldTarget(ctx context.Context) (*bttarget.Response, error) {
-	sent := v.agent.options.Elapsed()
-	response, err := v.place.client.Do(ctx, v.toTarget())
+// callTarget sends the request to the target and handles the rate that the answer
+// advertises.
+func (v *attempt) callTarget(ctx context.Context) (*bttarget.Response, error) {
+	sentAt := v.agent.options.Elapsed()
+	response, err := v.deps.client.Do(ctx, v.targetRequest())
 	if err == nil {
-		v.agent.hearRate(v.place.admission, sent, response.Rate)
+		v.agent.observeRate(v.deps.admission, sentAt, response.Rate)
 	}
 	return response, err
 }
 
-// serveOnce runs a request that may run only once, under its grant. The run
-// goes on when the entry goes away, so that its answer is there for a repeat.
-func (v *serving) serveOnce(ctx context.Context) error {
-	word := v.place.ledger.ask(btclaim.RunRequested{Grant: *v.grant})
-	if _, start := word.(btclaim.Start); !start {
-		return v.answerWord(word)
+// serveOnce runs a request that may run only once, under its grant. The run continues
+// if the entry disconnects, so that the answer is stored for a repeat.
+func (v *attempt) serveOnce(ctx context.Context) error {
+	reply := v.deps.ledger.handle(btclaim.RunRequested{Grant: *v.grant})
+	if _, start := reply.(btclaim.Start); !start {
+		return v.answerLedger(reply)
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), v.left())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), v.remaining())
 	defer cancel()
-	response, err := v.toldTarget(ctx)
+	response, err := v.callTarget(ctx)
 	if errors.Is(err, bttarget.ErrNotSent) || errors.Is(err, bttarget.ErrRequest) {
-		return v.answerWord(v.place.ledger.ask(btclaim.RunNotSent{Grant: *v.grant, Reason: ReasonTargetUnreachable}))
+		return v.answerLedger(v.deps.ledger.handle(btclaim.RunNotSent{Grant: *v.grant, Reason: ReasonTargetUnreachable}))
 	}
 	if err != nil {
-		v.broke(ctx, err, btquarantine.Sent)
-		v.lost()
+		v.detectCrash(ctx, err, btquarantine.Sent)
+		v.recordLost()
 		return v.refuse(btrequest.Unknown, v.lostReason(ctx), 0, nil)
 	}
 	defer response.Body.Close()
-	return v.relay(ctx, response, &keeper{limit: keptAnswerBytes, ended: func(body []byte, whole bool) {
-		if !whole {
-			v.lost()
+	return v.relay(ctx, response, &answerRecorder{limit: maxKeptAnswerBytes, done: func(body []byte, complete bool) {
+		if !complete {
+			v.recordLost()
 			return
 		}
-		v.place.ledger.keep(v.grant.Claim, answer{
+		v.deps.ledger.storeAnswer(v.grant.Claim, keptAnswer{
 			status: response.Status,
 			header: btserve.HeaderOf(response.Header),
 			body:   body,
@@ -199,41 +202,41 @@
 	}})
 }
 
-// lost tells the ledger that the answer of a granted run will not come.
-func (v *serving) lost() {
-	v.place.ledger.ask(btclaim.RunLost{Claim: v.grant.Claim})
+// recordLost tells the ledger that a granted run ended without a complete answer.
+func (v *attempt) recordLost() {
+	v.deps.ledger.handle(btclaim.RunLost{Claim: v.grant.Claim})
 }
 
-// answerWord answers a claim that the ledger does not start.
-func (v *serving) answerWord(word btclaim.LedgerEffect) error {
-	switch e := word.(type) {
+// answerLedger answers with the ledger's reply to a claim that it doesn't start.
+func (v *attempt) answerLedger(reply btclaim.LedgerEffect) error {
+	switch e := reply.(type) {
 	case btclaim.Replay:
-		saved, found := v.place.ledger.saved(e.Grant.Claim)
+		answer, found := v.deps.ledger.loadAnswer(e.Grant.Claim)
 		if !found {
 			return v.refuse(btrequest.Unknown, btclaim.AnswerDropped, 0, nil)
 		}
-		return v.replay(saved)
+		return v.replay(answer)
 	case btclaim.InProgress:
-		return v.refuse(btrequest.Unknown, btclaim.InProgressElsewhere, inProgressWait, nil)
+		return v.refuse(btrequest.Unknown, btclaim.InProgressElsewhere, inProgressRetryAfter, nil)
 	case btclaim.Refused:
 		return v.refuseClaim(e)
 	}
 	return v.refuse(btrequest.Unknown, ReasonGrantMalformed, 0, nil)
 }
 
-// inProgressWait is when a caller should ask again for a running request.
-const inProgressWait = time.Second
+// inProgressRetryAfter is when a caller should retry while its request is running.
+const inProgressRetryAfter = time.Second
 
-// drained returns how long the queue needs for what waits in it now.
-func (v *serving) drained() time.Duration {
-	if v.place.admission == nil {
+// queueWait returns how long the queue needs for the requests that wait in it now.
+func (v *attempt) queueWait() time.Duration {
+	if v.deps.admission == nil {
 		return 0
 	}
-	return v.place.admission.load().Wait
+	return v.deps.admission.load().Wait
 }
 
-// refuseClaim carries the ledger's refusal, with its seal, to the entry.
-func (v *serving) refuseClaim(refused btclaim.Refused) error {
+// refuseClaim sends the entry the ledger's refusal with its seal.
+func (v *attempt) refuseClaim(refused btclaim.Refused) error {
 	data, err := btwire.Encode(refused)
 	if err != nil {
 		return err
@@ -241,16 +244,16 @@
 	return v.refuse(btrequest.Unknown, refused.Reason, refused.RetryAfter, data)
 }
 
-// lostReason tells a deadline that passed from a target that went away.
-func (v *serving) lostReason(ctx context.Context) btrequest.Reason {
+// lostReason distinguishes a deadline that passed from a lost target.
+func (v *attempt) lostReason(ctx context.Context) btrequest.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonDeadline
 	}
 	return ReasonTargetLost
 }
 
-// toTarget returns the request as the target is to see it.
-func (v *serving) toTarget() bttarget.Request {
+// targetRequest returns the request to be sent to the target.
+func (v *attempt) targetRequest() bttarget.Request {
 	r := v.request
 	if r.Resume > 0 {
 		return bttarget.ResumeRequest(r.First, r.Resume)
@@ -260,24 +263,24 @@
 	return bttarget.Request{Method: r.Method, URI: r.Path, Header: header, Body: r.Body}
 }
 
-// headerRequestID names a stream at the engine, by which it can be resumed.
+// headerRequestID identifies the stream at the engine, so that it can be resumed.
 const headerRequestID = "X-Request-Id"
 
-// refuse answers that this agent gives no answer of the target.
-func (v *serving) refuse(outcome btrequest.Outcome, reason btrequest.Reason, after time.Duration, refused cbor.RawMessage) error {
+// refuse releases the slot and answers with a refusal in place of the target's answer.
+func (v *attempt) refuse(outcome btrequest.Outcome, reason btrequest.Reason, retryAfter time.Duration, seal cbor.RawMessage) error {
 	v.release()
-	v.agent.refused(reason)
+	v.agent.countRefusal(reason)
 	head := v.head(btserve.Refused)
 	head.Outcome = outcome
 	head.Reason = reason
-	head.RetryAfter = after
-	head.Drained = v.drained()
-	head.Sealed = refused
+	head.RetryAfter = retryAfter
+	head.Drained = v.queueWait()
+	head.Sealed = seal
 	return btpeer.Send(v.stream, head)
 }
 
-// head returns the start of an answer, with the load that it left behind.
-func (v *serving) head(verdict btserve.Verdict) btserve.Head {
+// head returns the head of an answer, with the agent's current load.
+func (v *attempt) head(verdict btserve.Verdict) btserve.Head {
 	load, err := btwire.Encode(v.agent.report())
 	if err != nil {
 		// A report is plain numbers and always encodes.
--- a/io/btagent/slot_test.go
+++ b/io/btagent/slot_test.go
@@ -15,9 +15,9 @@
 	"bilberrytide/io/btstandin/btinprocess"
 )
 
-// startPaused starts an agent that, once paused is set, stands still for a
-// moment at every few readings of its clock, as a process does on a busy host.
-func (f *fleet) startPaused(node *btpeer.Node, paused *atomic.Bool) *btinprocess.Agent {
+// startSlowAgent starts an agent that, once paused is set, pauses at every few readings
+// of its clock, as a process does on a busy host.
+func (f *fleet) startSlowAgent(node *btpeer.Node, paused *atomic.Bool) *btinprocess.Agent {
 	const pause, every = 10 * time.Millisecond, 4
 	var readings atomic.Int64
 	return f.StartAgentWith(node, func() time.Time {
@@ -28,9 +28,9 @@
 	})
 }
 
-// TestSlotIsFreeAfterAnswer: a caller that has its whole answer may send its
-// next request, or the same key again, at once: the only slot is free and the
-// answer is kept, however slow the agent is.
+// TestSlotIsFreeAfterAnswer guards against an agent that completes its answer before it
+// releases the slot or stores the answer. A caller that then sends its next request, or
+// the same key, at once could be refused, especially if the agent is slow.
 func TestSlotIsFreeAfterAnswer(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -40,10 +40,10 @@
 	f.addTarget("t0", "pages", btbundle.Plain, f.Listen(f.plain("t0")))
 	f.Bundle.Targets[0].Slots, f.Bundle.Targets[0].Queue = 1, 0
 	var paused atomic.Bool
-	f.startAgent = func(node *btpeer.Node) *btinprocess.Agent { return f.startPaused(node, &paused) }
+	f.startAgent = func(node *btpeer.Node) *btinprocess.Agent { return f.startSlowAgent(node, &paused) }
 	f.start()
 	f.Await("keys granted", func() bool {
-		status, _ := f.callOnce("e0", "/services/pages/x")
+		status, _ := f.callKeyed("e0", "/services/pages/x")
 		return status == http.StatusOK
 	})
 	paused.Store(true)
--- a/io/btagent/status.go
+++ b/io/btagent/status.go
@@ -2,7 +2,7 @@
 
 import "bilberrytide/io/btprocess"
 
-// Status returns the page on which this agent says how it is.
+// Status returns the agent's status page.
 func (a *Agent) Status() btprocess.Status {
 	o := a.options
 	s := btprocess.StatusOf(o.Node.Identity(), o.Bundles, o.Meter, o.Decisions)
--- a/io/btagent/wiring_test.go
+++ b/io/btagent/wiring_test.go
@@ -27,9 +27,9 @@
 	return p
 }
 
-// TestSummariesReachEveryEntry: with more entries than watchers, each entry
-// gives work to every target, and none to one that left, though most don't hear
-// its agent themselves.
+// TestSummariesReachEveryEntry guards against entries that don't learn of a target.
+// With more entries than watchers, most entries get no heartbeats of an agent and rely
+// on summaries. Each must use every target, and none that has left.
 func TestSummariesReachEveryEntry(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -53,16 +53,17 @@
 	}
 }
 
-// TestEngineGoneAndBack: an engine that refuses connections gets no work, and
-// work again when it is back; another entry learns its cache from its events.
+// TestEngineGoneAndBack guards against requests to an engine that refuses connections,
+// against an engine that gets none after it is back, and against cache events that
+// don't reach an entry that sent the engine nothing.
 func TestEngineGoneAndBack(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.addEntries(2)
 	engine, err := btstandin.NewEngine(btstandin.EngineOptions{Name: "m1", Clock: btstandin.SystemClock{}, PrefillRate: 1e9, DecodeRate: 1e5})
 	assert.NilError(t, err)
-	// At an address of its own, so that no other test's server gets the port while the
-	// target is away.
+	// A separate loopback address, so that no other test's server gets the port while
+	// the target is gone.
 	first, err := net.Listen("tcp", "127.0.0.10:0")
 	assert.NilError(t, err)
 	server := &httptest.Server{Listener: first, Config: &http.Server{Handler: engine}}
@@ -85,14 +86,14 @@
 
 	listener, err := net.Listen("tcp", endpoint.String())
 	assert.NilError(t, err)
-	back := httptest.NewUnstartedServer(engine)
-	back.Listener = listener
-	back.Start()
-	t.Cleanup(back.Close)
-	t.Cleanup(back.CloseClientConnections)
+	restarted := httptest.NewUnstartedServer(engine)
+	restarted.Listener = listener
+	restarted.Start()
+	t.Cleanup(restarted.Close)
+	t.Cleanup(restarted.CloseClientConnections)
 	f.Await("back", func() bool { return !f.target("e0", "m1").Draining && !f.target("e1", "m1").Draining })
-	// Until e1 has connected to the agent, which it never has before, it may refuse:
-	// truly, and only so.
+	// e1 may refuse until it has connected to the agent for the first time, but only
+	// with this status, outcome and reason.
 	f.Await("served again", func() bool {
 		status, text = f.call("e1", "/v1/chat/completions", body)
 		if status != http.StatusOK {
@@ -104,9 +105,9 @@
 	})
 }
 
-// TestEjectionOutlivesABundle: a target that is out for failing stays out when a
-// bundle that leaves it alone comes into force.
-func TestEjectionOutlivesABundle(t *testing.T) {
+// TestEjectionSurvivesNewBundle guards against a new bundle that ends the ejection of a
+// failing target, although it doesn't change the target.
+func TestEjectionSurvivesNewBundle(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.addEntries(1)
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestUnlistedTarget: an agent whose target a bundle removes is not ready, says
-// so, and is ready again when it is listed again.
+// TestUnlistedTarget guards against an agent that stays ready when a bundle removes its
+// target, or that isn't ready again when a later bundle lists it.
 func TestUnlistedTarget(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -168,8 +169,8 @@
 	f.Await("eligible again", func() bool { return f.target("e0", "t1").Eligible })
 }
 
-// TestUnlistedEntry: an entry that a bundle removes is not ready, says so, and
-// refuses at once; it takes callers again when it is listed again.
+// TestUnlistedEntry guards against an entry that stays ready when a bundle removes it.
+// It must explain this, refuse callers at once, and serve again when it is listed again.
 func TestUnlistedEntry(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -199,23 +200,23 @@
 	assert.Assert(t, response.Header.Get(bthttp.HeaderReason) != "entry_unlisted")
 }
 
-// TestHostLeaving: the list's word on a host reaches every entry, and work comes
-// back when the list takes it back.
+// TestHostLeaving guards against entries that still send requests to a target whose
+// host is listed as leaving, or that send none after the list has changed back.
 func TestHostLeaving(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.addEntries(2)
 	f.addTarget("t0", "pages", btbundle.Plain, f.Listen(f.plain("t0")))
 	f.start()
-	words := func(state btstandin.HostState) {
+	setHost := func(state btstandin.HostState) {
 		assert.NilError(t, f.Store.PutHosts(btstandin.HostList{Hosts: []btstandin.Host{{Name: "host-t0", State: state}}}))
 	}
-	words(btstandin.HostLeaving)
+	setHost(btstandin.HostLeaving)
 	for name := range f.entries {
 		f.Await("no work from "+string(name), func() bool { return f.target(name, "t0").Draining })
 	}
 	assert.Assert(t, !f.agents["t0"].Status().Stopping)
-	words(btstandin.HostLive)
+	setHost(btstandin.HostLive)
 	for name := range f.entries {
 		f.Await("work from "+string(name), func() bool {
 			s := f.target(name, "t0")
