--- a/io/btgroup/tally.go
+++ b/io/btgroup/aggregator.go
@@ -8,66 +8,66 @@
 	"bilberrytide/core/btexpert"
 )
 
-// tally gathers the ranks' windows at the lead until it has one of each.
-type tally struct {
+// aggregator collects the ranks' windows at the lead until there is one of each rank.
+type aggregator struct {
 	shape   btexpert.Shape
 	windows []*Window
 }
 
-func newTally(shape btexpert.Shape) *tally {
-	return &tally{shape: shape, windows: make([]*Window, shape.Ranks)}
+func newAggregator(shape btexpert.Shape) *aggregator {
+	return &aggregator{shape: shape, windows: make([]*Window, shape.Ranks)}
 }
 
-// measure is what one window of every rank adds up to.
-type measure struct {
+// aggregate is the sum of one window of every rank.
+type aggregate struct {
 	counts btexpert.CountsReported
 	times  btexpert.TimesReported
-	// loads holds each rank's tokens over the mean rank's.
+	// loads holds each rank's tokens divided by the mean rank's.
 	loads []float64
-	// skew is the step over the mean rank's own part, minus 1.
+	// skew is the step time divided by the mean rank's own part, minus 1.
 	skew float64
 }
 
-// add takes a rank's window, in place of one that it sent before. It reports
-// counts of other layers or experts than the group's.
-func (t *tally) add(rank int, w *Window) error {
-	if len(w.Counts) != t.shape.Layers {
-		return fmt.Errorf("rank %d: %d layers, want %d", rank, len(w.Counts), t.shape.Layers)
+// add stores a rank's window in place of its previous one. It returns an error for a
+// window with other layers or experts than the group's.
+func (a *aggregator) add(rank int, w *Window) error {
+	if len(w.Counts) != a.shape.Layers {
+		return fmt.Errorf("rank %d: %d layers, want %d", rank, len(w.Counts), a.shape.Layers)
 	}
 	for l, layer := range w.Counts {
 		for _, e := range layer.Experts {
-			if int(e) >= t.shape.Experts {
-				return fmt.Errorf("rank %d: layer %d: expert %d of %d", rank, l, e, t.shape.Experts)
+			if int(e) >= a.shape.Experts {
+				return fmt.Errorf("rank %d: layer %d: expert %d of %d", rank, l, e, a.shape.Experts)
 			}
 		}
 	}
-	t.windows[rank] = w
+	a.windows[rank] = w
 	return nil
 }
 
-// collect returns the sum once there is a window of every rank, and begins
-// anew. The windows may cover different numbers of steps: all ranks step
-// together, so that each rank's counts are brought to the mean number.
-func (t *tally) collect() (measure, bool) {
+// collect returns the sum once there is a window of every rank, and clears the windows.
+// They may cover different numbers of steps. As all ranks step together, each rank's
+// counts are scaled to the mean number of steps.
+func (a *aggregator) collect() (aggregate, bool) {
 	steps := 0.0
-	for _, w := range t.windows {
+	for _, w := range a.windows {
 		if w == nil {
-			return measure{}, false
+			return aggregate{}, false
 		}
-		steps += float64(w.Steps) / float64(len(t.windows))
+		steps += float64(w.Steps) / float64(len(a.windows))
 	}
-	m := measure{loads: make([]float64, len(t.windows))}
-	sums := make([][]float64, t.shape.Layers)
+	m := aggregate{loads: make([]float64, len(a.windows))}
+	sums := make([][]float64, a.shape.Layers)
 	for l := range sums {
-		sums[l] = make([]float64, t.shape.Experts)
+		sums[l] = make([]float64, a.shape.Experts)
 	}
-	for r, w := range t.windows {
+	for r, w := range a.windows {
 		m.loads[r] = w.addTo(sums, steps/float64(w.Steps))
 		m.times.Ranks = append(m.times.Ranks, w.Own)
 		m.times.Step = max(m.times.Step, w.Own, w.Group)
 	}
-	m.finish(sums)
-	clear(t.windows)
+	m.normalise(sums)
+	clear(a.windows)
 	return m, true
 }
 
@@ -84,7 +84,7 @@
 	return total
 }
 
-func (m *measure) finish(sums [][]float64) {
+func (m *aggregate) normalise(sums [][]float64) {
 	m.counts.Counts = make(btexpert.Counts, len(sums))
 	for l, experts := range sums {
 		m.counts.Counts[l] = make([]int64, len(experts))
--- a/io/btgroup/capacity_test.go
+++ b/io/btgroup/bench_test.go
@@ -26,14 +26,14 @@
 	"bilberrytide/io/btstandin"
 )
 
-func sizedShape(ranks, layers int) btexpert.Shape {
+func benchShape(ranks, layers int) btexpert.Shape {
 	return btexpert.Shape{Ranks: ranks, Layers: layers, Experts: 64, Slots: max(2, 2*64/ranks), ExpertBytes: 1}
 }
 
-// BenchmarkMapSizes gives the size of an encoded map, and the time to write and
-// check it, by ranks and layers.
+// BenchmarkMapSizes reports the size of an encoded map, and the time to encode and
+// decode it, by ranks and layers.
 func BenchmarkMapSizes(b *testing.B) {
-	for _, s := range []btexpert.Shape{sizedShape(16, 8), sizedShape(32, 8), sizedShape(64, 8), sizedShape(64, 58)} {
+	for _, s := range []btexpert.Shape{benchShape(16, 8), benchShape(32, 8), benchShape(64, 8), benchShape(64, 58)} {
 		b.Run(fmt.Sprintf("ranks=%d/layers=%d", s.Ranks, s.Layers), func(b *testing.B) {
 			m := btexpert.Uniform(s)
 			size := 0
@@ -48,8 +48,8 @@
 	}
 }
 
-// sizedReport is a rank's report with a window of its own experts.
-func sizedReport(s btexpert.Shape, rank int) btgroup.Report {
+// benchReport returns a rank's report with a window of the rank's experts.
+func benchReport(s btexpert.Shape, rank int) btgroup.Report {
 	w := &btgroup.Window{Steps: 1000, Own: 4 * time.Millisecond, Group: 5 * time.Millisecond}
 	for l := range s.Layers {
 		layer := btgroup.LayerCounts{Experts: btexpert.Uniform(s).Layers[l].Ranks[rank]}
@@ -65,43 +65,43 @@
 	}
 }
 
-// BenchmarkLeadWindows measures what a lead does with one window of every rank,
-// decoding and summing, and gives the sizes of a report without and with it.
+// BenchmarkLeadWindows measures the lead's work for one window of every rank, which is
+// decoding and summing, and reports the sizes of a report without and with a window.
 func BenchmarkLeadWindows(b *testing.B) {
-	for _, s := range []btexpert.Shape{sizedShape(16, 8), sizedShape(32, 8), sizedShape(64, 8), sizedShape(64, 58)} {
+	for _, s := range []btexpert.Shape{benchShape(16, 8), benchShape(32, 8), benchShape(64, 8), benchShape(64, 58)} {
 		b.Run(fmt.Sprintf("ranks=%d/layers=%d", s.Ranks, s.Layers), func(b *testing.B) {
-			var files [][]byte
+			var encodedReports [][]byte
 			for r := range s.Ranks {
-				data, err := cbor.Marshal(sizedReport(s, r))
+				data, err := cbor.Marshal(benchReport(s, r))
 				assert.NilError(b, err)
-				files = append(files, data)
+				encodedReports = append(encodedReports, data)
 			}
-			idle := sizedReport(s, 0)
+			idle := benchReport(s, 0)
 			idle.Window = nil
-			alive, err := cbor.Marshal(idle)
+			encodedIdle, err := cbor.Marshal(idle)
 			assert.NilError(b, err)
-			tally := btgroup.NewTally(s)
+			aggregator := btgroup.NewAggregator(s)
 			for b.Loop() {
-				for r, data := range files {
+				for r, data := range encodedReports {
 					var report btgroup.Report
 					assert.NilError(b, cbor.Unmarshal(data, &report))
 					assert.NilError(b, report.Validate())
-					assert.NilError(b, tally.Add(r, report.Window))
+					assert.NilError(b, aggregator.Add(r, report.Window))
 				}
-				_, _, _, whole := tally.Collect()
-				assert.Assert(b, whole)
+				_, _, _, complete := aggregator.Collect()
+				assert.Assert(b, complete)
 			}
-			b.ReportMetric(float64(len(files[0])), "report_B")
-			b.ReportMetric(float64(len(alive)), "alive_B")
+			b.ReportMetric(float64(len(encodedReports[0])), "report_B")
+			b.ReportMetric(float64(len(encodedIdle)), "alive_B")
 		})
 	}
 }
 
-// BenchmarkGroupTraffic reports the bytes a second, both ways with the headers
-// of UDP and IPv4, of a group's lead and of its other ranks, over real
-// connections in one process, while moves are too dear to change the map: a
-// heartbeat a second, measurements as an interval of ten seconds has them. Run
-// it with -benchtime 1x.
+// BenchmarkGroupTraffic reports the traffic of a group's lead and of its other ranks, in
+// bytes per second in both directions together, with UDP and IPv4 headers. The
+// connections are real, in one process. Moves are too expensive for the map to change;
+// there is one heartbeat per second, and windows follow from a placement interval of ten
+// seconds. Run it with -benchtime 1x.
 func BenchmarkGroupTraffic(b *testing.B) {
 	for _, ranks := range []int{8, 16, 32, 64} {
 		b.Run(fmt.Sprint("ranks=", ranks), func(b *testing.B) {
@@ -113,8 +113,8 @@
 }
 
 func measureGroup(b *testing.B, ranks int) {
-	const settle, window = 14 * time.Second, 12 * time.Second
-	s := sizedShape(ranks, 8)
+	const warmup, window = 14 * time.Second, 12 * time.Second
+	s := benchShape(ranks, 8)
 	engines, err := btstandin.NewGroup(btstandin.GroupOptions{
 		Name: "g", Barrier: true, Step: 5 * time.Millisecond, Engine: btstandin.EngineOptions{Clock: btstandin.SystemClock{}},
 		Shape: btstandin.GroupShape{Ranks: s.Ranks, Layers: s.Layers, Experts: s.Experts, SlotsPerRank: s.Slots},
@@ -137,7 +137,7 @@
 	for r := range ranks {
 		server := httptest.NewServer(engines.Rank(r))
 		b.Cleanup(server.Close)
-		node, agent := sizedAgent(b, authority, r)
+		node, agent := newBenchAgent(b, authority, r)
 		running.Go(func() { _ = node.Serve(ctx) })
 		running.Go(func() { _ = agent.Run(ctx) })
 		nodes, agents = append(nodes, node), append(agents, agent)
@@ -151,7 +151,7 @@
 	for _, a := range agents {
 		a.Configure(approved)
 	}
-	time.Sleep(settle)
+	time.Sleep(warmup)
 	before := make([]float64, ranks)
 	for r, n := range nodes {
 		before[r] = wireBytes(n)
@@ -177,9 +177,8 @@
 	running.Wait()
 }
 
-// sizedAgent returns a rank's node and its part in the group, with the settings
-// of production.
-func sizedAgent(b *testing.B, authority *btkeys.Authority, rank int) (*btpeer.Node, *btgroup.Group) {
+// newBenchAgent returns a rank's node and Group, with the production settings.
+func newBenchAgent(b *testing.B, authority *btkeys.Authority, rank int) (*btpeer.Node, *btgroup.Group) {
 	issued, err := authority.Issue(btprocess.AgentIdentity(name(rank)), time.Now(), time.Hour)
 	assert.NilError(b, err)
 	files, err := issued.Write(b.TempDir())
@@ -201,7 +200,7 @@
 	})
 }
 
-// wireBytes is what a node sent and received, with the headers of UDP and IPv4.
+// wireBytes returns the bytes that a node sent and received, with UDP and IPv4 headers.
 func wireBytes(n *btpeer.Node) float64 {
 	const headers = 28
 	s := n.Stats()
--- a/io/btgroup/btgroup.go
+++ b/io/btgroup/btgroup.go
@@ -32,41 +32,42 @@
 	Assert    *btassert.Asserter
 	// Random is used by the Group alone.
 	Random *rand.Rand
-	// Store tells whether the weight store answers; nil where that isn't known.
+	// Store probes the weight store; if it is nil, the store counts as available.
 	Store Store
-	// Switch and Expert bound the cores; the zero values mean their defaults.
+	// Switch and Expert are the settings of the state machines; a zero value means the
+	// defaults.
 	Switch btswitch.Settings
 	Expert btexpert.Settings
 }
 
-// Group is one agent's part in its target's group. It is safe for concurrent
-// use.
+// Group is one agent's side of the agreement on its group's expert map. It is safe for
+// concurrent use.
 type Group struct {
 	options    Options
 	shapes     shapes
 	sampler    sampler
 	rebalancer *rebalancer
 	started    chan struct{}
-	// ctx ends with Run; it governs every call.
+	// ctx ends with Run. All calls use it.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mutex  sync.Mutex
-	place  *place
-	view   *view
-	answer ReportAnswer
-	heard  time.Time
-	// asking holds the ranks whose answer to a report is awaited.
-	asking map[btid.Target]bool
+	mutex      sync.Mutex
+	config     *rankConfig
+	liveness   *liveness
+	leadAnswer ReportAnswer
+	answeredAt time.Time
+	// pending holds the ranks that have not answered a report yet.
+	pending map[btid.Target]bool
 
-	// The loops are set before started is closed, and then stay.
+	// The loops are set before started is closed and don't change afterwards.
 	member     *btloop.Loop[btswitch.MemberEvent, btswitch.MemberEffect]
 	memberCore *btswitch.Member
 	lead       *btloop.Loop[btswitch.LeadEvent, btswitch.LeadEffect]
 }
 
-// place is the target's place in its group, by the bundle in force.
-type place struct {
+// rankConfig describes the target's rank and its group in the bundle in force.
+type rankConfig struct {
 	approved  *btbundle.Approved
 	members   btswitch.Members
 	group     btbundle.Group
@@ -77,8 +78,7 @@
 	engine    Engine
 }
 
-// New returns the part of an agent that is in no group yet, and sets the node's
-// handlers.
+// New returns a Group whose target is in no group yet, and sets the node's handlers.
 func New(o Options) *Group {
 	if o.Switch == (btswitch.Settings{}) {
 		o.Switch = btswitch.Defaults()
@@ -86,21 +86,20 @@
 	if o.Expert == (btexpert.Settings{}) {
 		o.Expert = btexpert.DefaultSettings()
 	}
-	g := &Group{options: o, started: make(chan struct{}), asking: make(map[btid.Target]bool)}
+	g := &Group{options: o, started: make(chan struct{}), pending: make(map[btid.Target]bool)}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.rebalancer = &rebalancer{group: g}
-	o.Node.Handle(btprocess.KindSwitch, g.serveSwitch)
-	o.Node.Handle(btprocess.KindRank, btpeer.Answer(g.answerReport))
+	o.Node.Handle(btprocess.KindSwitch, g.handleSwitch)
+	o.Node.Handle(btprocess.KindRank, btpeer.Answer(g.handleReport))
 	return g
 }
 
-// Configure takes the target's place in its group from the bundle in force. A
-// group that the bundle shapes so that it can't be served keeps its place of
-// before, and the log says why.
+// Configure applies a bundle. If the target's group in it is invalid, the previous
+// configuration stays in force and the error is logged.
 func (g *Group) Configure(approved *btbundle.Approved) {
-	next, err := placeOf(approved, g.options.Self.Target)
+	next, err := rankConfigOf(approved, g.options.Self.Target)
 	if err != nil {
-		g.options.Log.Error("the bundle's group can not be served; the place before stays", "error", err)
+		g.options.Log.Error("the bundle's group is invalid; the previous configuration stays in force", "error", err)
 		return
 	}
 	if next == nil {
@@ -109,10 +108,10 @@
 	}
 	g.shapes.add(next.members.Digest, next.shape)
 	g.mutex.Lock()
-	g.settle(next)
+	g.setConfig(next)
 	first := g.member == nil
 	if first {
-		g.build(next)
+		g.buildCores(next)
 	}
 	g.mutex.Unlock()
 	if first {
@@ -123,8 +122,8 @@
 	g.lead.Post(btswitch.Configured{Members: next.members})
 }
 
-// placeOf returns the target's place by a bundle, nil where it is in no group.
-func placeOf(approved *btbundle.Approved, self btid.Target) (*place, error) {
+// rankConfigOf returns the rank of the target in a bundle, nil if it is in no group.
+func rankConfigOf(approved *btbundle.Approved, self btid.Target) (*rankConfig, error) {
 	target, found := approved.Index.Target(self)
 	if !found {
 		return nil, nil
@@ -141,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &place{
+	return &rankConfig{
 		approved:  approved,
 		members:   members,
 		group:     *rank.Group,
@@ -153,31 +152,31 @@
 	}, nil
 }
 
-// settle puts the place in force. The mutex must be held.
-func (g *Group) settle(next *place) {
-	before := g.place
-	g.place = next
-	if before != nil && before.endpoint == next.endpoint {
-		next.engine = before.engine
+// setConfig puts a configuration in force. The mutex must be held.
+func (g *Group) setConfig(next *rankConfig) {
+	previous := g.config
+	g.config = next
+	if previous != nil && previous.endpoint == next.endpoint {
+		next.engine = previous.engine
 	}
-	if before == nil || before.members.Digest != next.members.Digest {
-		g.view = newView(g.options.Clock(), next.rank, len(next.members.Ranks), next.lease())
+	if previous == nil || previous.members.Digest != next.members.Digest {
+		g.liveness = newLiveness(g.options.Clock(), next.rank, len(next.members.Ranks), next.lease())
 	}
-	g.view.lease = next.lease()
+	g.liveness.lease = next.lease()
 }
 
-// leave takes the target out of its group. The engine keeps its map; its former
-// group's rounds are refused, as its members differ.
+// leave removes the target from its group. The engine keeps its map. Rounds of the
+// former group are refused, because its members differ.
 func (g *Group) leave() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.place = nil
+	g.config = nil
 }
 
-// build makes the cores of the first group.
-func (g *Group) build(first *place) {
+// buildCores creates the state machines when the target first is in a group.
+func (g *Group) buildCores(first *rankConfig) {
 	o := g.options
-	// Weights that the planner thinks worth loading must be given the time.
+	// The planner accepts transfers of up to the horizon, so staging may take that long.
 	o.Switch.StageTimeout = max(o.Switch.StageTimeout, first.placement.Horizon.Duration)
 	g.memberCore = btswitch.NewMember(o.Self, first.members, o.Switch, g.shapes.check, o.Assert)
 	g.member = btloop.New(g.memberCore, o.Clock, g.applyMember)
@@ -185,45 +184,45 @@
 	g.lead = btloop.New(lead, o.Clock, g.applyLead)
 }
 
-// lease is how long a silent rank is taken for live.
-func (p *place) lease() time.Duration { return p.approved.Bundle.Timeouts.TargetLease.Duration }
+// lease is how long a rank counts as live after its last message.
+func (c *rankConfig) lease() time.Duration { return c.approved.Bundle.Timeouts.TargetLease.Duration }
 
-func (p *place) heartbeat() time.Duration { return p.approved.Bundle.Timeouts.Heartbeat.Duration }
+func (c *rankConfig) heartbeat() time.Duration { return c.approved.Bundle.Timeouts.Heartbeat.Duration }
 
 const (
-	// windowsInInterval is how many times a rank measures in each interval at
+	// windowsPerInterval is the number of windows that a rank sends in each interval at
 	// which the lead considers the map.
-	windowsInInterval = 4
-	// countBytes is the encoded size of one expert's count in a window.
-	countBytes = 17
-	// windowRate bounds what a lead gets in windows, in bytes per second.
-	windowRate = 4 << 10
+	windowsPerInterval = 4
+	// countSize is the encoded size, in bytes, of one expert's count in a window.
+	countSize = 17
+	// maxWindowRate limits the windows that a lead receives, in bytes per second.
+	maxWindowRate = 4 << 10
 )
 
-// window is the time between two reports that carry measurements. In a large
-// group it is longer, so that the lead's traffic stays bounded.
-func (p *place) window() time.Duration {
-	bytes := p.shape.Ranks * p.shape.Layers * p.shape.Slots * countBytes
-	bounded := time.Duration(bytes) * time.Second / windowRate
-	return max(p.heartbeat(), p.placement.Interval.Duration/windowsInInterval, bounded)
+// windowInterval is the time between two reports with a window. It is longer in a large
+// group, so that the lead's traffic stays bounded.
+func (c *rankConfig) windowInterval() time.Duration {
+	bytes := c.shape.Ranks * c.shape.Layers * c.shape.Slots * countSize
+	bounded := time.Duration(bytes) * time.Second / maxWindowRate
+	return max(c.heartbeat(), c.placement.Interval.Duration/windowsPerInterval, bounded)
 }
 
-// current returns the place in force, nil for none.
-func (g *Group) current() *place {
+// current returns the configuration in force, nil if the target is in no group.
+func (g *Group) current() *rankConfig {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.place
+	return g.config
 }
 
-// leads tells whether this agent takes itself for the lead of its group.
-func (g *Group) leads() bool {
+// isLead reports whether this agent considers itself the lead of its group.
+func (g *Group) isLead() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.place != nil && g.view.lead(g.options.Clock()) == g.place.rank
+	return g.config != nil && g.liveness.lead(g.options.Clock()) == g.config.rank
 }
 
-// Run works until the context ends. It waits for the first bundle that places
-// the target in a group.
+// Run runs the agreement until the context ends. It waits for the first bundle that
+// lists the target in a group.
 func (g *Group) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, g.cancel)()
 	defer g.cancel()
@@ -242,13 +241,13 @@
 		g.lead.Every(ctx, tick, func() btswitch.LeadEvent { return btswitch.Tick{} })
 		return nil
 	})
-	running.Go(func() error { g.beat(ctx); return nil })
+	running.Go(func() error { g.sendReports(ctx); return nil })
 	running.Go(func() error { g.rebalancer.run(ctx); return nil })
 	return running.Wait()
 }
 
-// settleTick is how often AwaitRelease checks the engine's state.
-const settleTick = 50 * time.Millisecond
+// releaseCheckInterval is how often AwaitRelease checks the engine's state.
+const releaseCheckInterval = 50 * time.Millisecond
 
 // AwaitRelease waits until no round holds this rank's engine, or until the context
 // ends. A process that stopped earlier would leave its group held.
@@ -258,7 +257,7 @@
 	default:
 		return
 	}
-	t := time.NewTicker(settleTick)
+	t := time.NewTicker(releaseCheckInterval)
 	defer t.Stop()
 	for g.current() != nil && g.engineState().Held {
 		select {
@@ -272,8 +271,8 @@
 // MultiRank reports whether the target is one of several ranks that compute each
 // step together.
 func (g *Group) MultiRank() bool {
-	p := g.current()
-	return p != nil && len(p.group.Ranks) > 1
+	c := g.current()
+	return c != nil && len(c.group.Ranks) > 1
 }
 
 func (g *Group) engineState() btswitch.EngineState {
@@ -289,40 +288,42 @@
 	state, known := g.sampler.state()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.place == nil || !known {
+	if g.config == nil || !known {
 		return 0, 0
 	}
-	return g.fresh().ExpertLoad, stepTime(state)
+	return g.recentAnswer().ExpertLoad, stepTime(state)
 }
 
-// fresh returns the lead's last answer, unless it is old. The mutex must be held.
-func (g *Group) fresh() ReportAnswer {
-	if g.options.Clock().Sub(g.heard) > answerLeases*g.place.lease() {
+// recentAnswer returns the lead's last answer, or the zero value if it is out of date.
+// The mutex must be held.
+func (g *Group) recentAnswer() ReportAnswer {
+	if g.options.Clock().Sub(g.answeredAt) > maxAnswerLeases*g.config.lease() {
 		return ReportAnswer{}
 	}
-	return g.answer
+	return g.leadAnswer
 }
 
-// answerLeases is for how many leases the lead's answer counts.
-const answerLeases = 3
+// maxAnswerLeases is the number of leases for which the lead's answer stays valid.
+const maxAnswerLeases = 3
 
-// Status returns what operators see, false where the target is in no group.
+// Status returns the group's part of the status page, false if the target is in no
+// group.
 func (g *Group) Status() (btprocess.GroupStatus, bool) {
-	p := g.current()
-	if p == nil {
+	c := g.current()
+	if c == nil {
 		return btprocess.GroupStatus{}, false
 	}
 	state := g.engineState()
-	leads := g.leads()
+	leads := g.isLead()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	s := btprocess.GroupStatus{
-		Group: p.group.Name,
-		Rank:  p.rank,
+		Group: c.group.Name,
+		Rank:  c.rank,
 		Step:  state.Step,
 		Held:  state.Held,
 		Leads: leads,
-		Skew:  g.fresh().Skew,
+		Skew:  g.recentAnswer().Skew,
 	}
 	if !state.InForce.IsZero() {
 		s.Map = state.InForce.Map.String()
--- a/io/btgroup/explain.go
+++ b/io/btgroup/decisions.go
@@ -9,7 +9,7 @@
 	"bilberrytide/io/btmetric"
 )
 
-// Acts in the decisions that operators see.
+// Acts in the decisions that are shown to operators.
 const (
 	actFirst   = "map_first"
 	actPropose = "map_proposed"
@@ -20,27 +20,27 @@
 // causeFirst is the cause of a round that gives a group its first map.
 const causeFirst = "no rank has a usable map"
 
-// explain keeps one line for operators.
-func (g *Group) explain(d btmetric.Decision) {
+// recordDecision records a decision for operators.
+func (g *Group) recordDecision(d btmetric.Decision) {
 	d.Time = g.options.Clock()
 	g.options.Decisions.Add(d)
 }
 
-func decisionOfFirst(p *place, m btexpert.Map) btmetric.Decision {
+func decisionOfFirst(c *rankConfig, m btexpert.Map) btmetric.Decision {
 	return btmetric.Decision{
 		Act:      actFirst,
-		Subject:  "group " + string(p.group.Name),
+		Subject:  "group " + string(c.group.Name),
 		Cause:    causeFirst,
 		Evidence: fmt.Sprintf("%d ranks, %d layers, %d experts in %d slots", m.Shape.Ranks, m.Shape.Layers, m.Shape.Experts, m.Shape.Slots),
 		Expected: "experts dealt in turn, until counts tell better",
 	}
 }
 
-func decisionOfPropose(p *place, e btexpert.Propose) btmetric.Decision {
+func decisionOfPropose(c *rankConfig, e btexpert.Propose) btmetric.Decision {
 	f := e.Forecast
 	return btmetric.Decision{
 		Act:     actPropose,
-		Subject: "group " + string(p.group.Name),
+		Subject: "group " + string(c.group.Name),
 		Cause:   string(e.Cause),
 		Evidence: fmt.Sprintf("skew %.3f, no map below %.3f; gain %.3f over price %.3f weighted seconds",
 			f.SkewBefore, f.SkewBound, f.Gain, f.Price),
@@ -49,10 +49,10 @@
 	}
 }
 
-func decisionOfKeep(p *place, e btexpert.Keep) btmetric.Decision {
+func decisionOfKeep(c *rankConfig, e btexpert.Keep) btmetric.Decision {
 	d := btmetric.Decision{
 		Act:      actKeep,
-		Subject:  "group " + string(p.group.Name),
+		Subject:  "group " + string(c.group.Name),
 		Cause:    string(e.Reason),
 		Evidence: e.Detail,
 		Expected: "the map in force stays",
@@ -64,16 +64,16 @@
 	return d
 }
 
-func decisionOfExplain(p *place, e btexpert.Explain) btmetric.Decision {
+func decisionOfExplain(c *rankConfig, e btexpert.Explain) btmetric.Decision {
 	return btmetric.Decision{
 		Act:      string(e.Reason),
-		Subject:  "group " + string(p.group.Name),
+		Subject:  "group " + string(c.group.Name),
 		Cause:    "measured at the group",
 		Evidence: e.Detail,
 	}
 }
 
-// expectedOf says what follows from each end of a round.
+// expectedOf describes the consequence of each outcome of a round.
 var expectedOf = map[btswitch.Outcome]string{
 	btswitch.Committed:  "every rank steps on the map",
 	btswitch.Aborted:    "the map of before stays in force",
--- a/io/btgroup/carry.go
+++ b/io/btgroup/effects.go
@@ -13,67 +13,69 @@
 	"bilberrytide/io/bttarget"
 )
 
-// sendWait bounds the delivery of one message; a core sends it again.
-const sendWait = time.Second
+// sendTimeout limits the delivery of one message. Lost messages are repeated by the
+// member or the lead.
+const sendTimeout = time.Second
 
-// applyMember carries out what the member asks. It runs between the core's
-// steps and must not block.
+// applyMember carries out an effect of the member. It runs between the member's steps
+// and must not block.
 func (g *Group) applyMember(effect btswitch.MemberEffect) {
 	switch e := effect.(type) {
 	case btswitch.Send:
 		g.send(e.To, e.Message)
 	case btswitch.Order:
-		go g.order(e)
+		go g.runOrder(e)
 	case btswitch.Read:
-		go g.read(e)
+		go g.runRead(e)
 	case btswitch.Diagnostic:
-		g.noted(e)
+		g.logDiagnostic(e)
 	}
 }
 
-// applyLead carries out what the lead asks, likewise.
+// applyLead carries out an effect of the lead. It must not block either.
 func (g *Group) applyLead(effect btswitch.LeadEffect) {
 	switch e := effect.(type) {
 	case btswitch.Send:
 		g.send(e.To, e.Message)
 	case btswitch.Diagnostic:
-		g.noted(e)
+		g.logDiagnostic(e)
 	case btswitch.RoundResult:
-		g.rebalancer.decided(e)
+		g.rebalancer.addResult(e)
 	case btswitch.MapNeeded:
 		g.rebalancer.mapNeeded()
 	}
 }
 
-func (g *Group) noted(n btswitch.Diagnostic) {
-	g.refused(n.Reason)
-	g.options.Log.Info("map agreement", "reason", n.Reason, "detail", n.Detail)
+func (g *Group) logDiagnostic(d btswitch.Diagnostic) {
+	g.countRefusal(d.Reason)
+	g.options.Log.Info("map agreement", "reason", d.Reason, "detail", d.Detail)
 }
 
-func (g *Group) refused(reason btrequest.Reason) { g.options.Meter.Refused(reason) }
+func (g *Group) countRefusal(reason btrequest.Reason) { g.options.Meter.Refused(reason) }
 
-// order gives the engine one order and hands the member its outcome.
-func (g *Group) order(o btswitch.Order) {
+// runOrder gives the engine an order and posts the outcome to the member.
+func (g *Group) runOrder(o btswitch.Order) {
 	limit := g.options.Switch.OrderTimeout
 	ctx, cancel := context.WithTimeout(g.ctx, limit)
 	defer cancel()
-	p := g.current()
-	if p == nil {
+	c := g.current()
+	if c == nil {
 		g.member.Post(btswitch.OrderRefused{Fencing: o.Fencing})
 		return
 	}
-	event := carryOut(ctx, p.engine, o)
+	event := executeOrder(ctx, c.engine, o)
 	g.options.Log.Info("order to engine", "op", o.Op, "version", o.Version, "fencing", o.Fencing, "outcome", fmt.Sprintf("%T", event))
 	g.member.Post(event)
 }
 
-// read reads the engine's state, and its map where that is wanted.
-func (g *Group) read(r btswitch.Read) {
+// runRead reads the engine's state, with its map if requested, and posts the result to
+// the member.
+func (g *Group) runRead(r btswitch.Read) {
 	ctx, cancel := context.WithTimeout(g.ctx, g.options.Switch.OrderTimeout)
 	defer cancel()
 	read, err := g.readEngine(ctx, r)
 	if err != nil {
-		g.refused(ReasonEngineUnread)
+		g.countRefusal(ReasonEngineUnread)
 		g.options.Log.Info("engine not read", "error", err)
 		g.member.Post(btswitch.ReadFailed{Number: r.Number})
 		return
@@ -82,11 +84,11 @@
 }
 
 func (g *Group) readEngine(ctx context.Context, r btswitch.Read) (btswitch.EngineRead, error) {
-	p := g.current()
-	if p == nil {
-		return btswitch.EngineRead{}, errNoPlace
+	c := g.current()
+	if c == nil {
+		return btswitch.EngineRead{}, errNotInGroup
 	}
-	state, err := p.engine.Group(ctx)
+	state, err := c.engine.Group(ctx)
 	if err != nil {
 		return btswitch.EngineRead{}, err
 	}
@@ -96,7 +98,7 @@
 	}
 	g.sampler.add(state)
 	if r.Map {
-		read.Map, err = p.engine.GroupMap(ctx)
+		read.Map, err = c.engine.GroupMap(ctx)
 	}
 	return read, err
 }
@@ -108,20 +110,21 @@
 		return
 	}
 	go func() {
-		if err := g.sendAway(to, m); err != nil && g.ctx.Err() == nil {
-			g.refused(ReasonMessageUnsent)
+		if err := g.sendRemote(to, m); err != nil && g.ctx.Err() == nil {
+			g.countRefusal(ReasonMessageUnsent)
 			g.options.Log.Debug("map agreement message not sent", "to", to, "error", err)
 		}
 	}()
 }
 
-// sendAway sends one message one way: it returns once the peer has it.
-func (g *Group) sendAway(to btid.Target, m btswitch.Message) error {
-	ctx, cancel := context.WithTimeout(g.ctx, sendWait)
+// sendRemote sends a message that has no answer. It returns once the peer has received
+// it.
+func (g *Group) sendRemote(to btid.Target, m btswitch.Message) error {
+	ctx, cancel := context.WithTimeout(g.ctx, sendTimeout)
 	defer cancel()
 	endpoint, found := g.endpoint(to)
 	if !found {
-		return fmt.Errorf("%w: no address of %s", errNoPlace, to)
+		return fmt.Errorf("%w: no address of %s", errNotInGroup, to)
 	}
 	s, err := g.options.Node.Open(ctx, endpoint, btprocess.KindSwitch)
 	if err != nil {
@@ -138,35 +141,35 @@
 }
 
 func (g *Group) endpoint(to btid.Target) (btpeer.Endpoint, bool) {
-	p := g.current()
-	if p == nil {
+	c := g.current()
+	if c == nil {
 		return btpeer.Endpoint{}, false
 	}
-	return btprocess.AgentEndpoint(p.approved.Index, to)
+	return btprocess.AgentEndpoint(c.approved.Index, to)
 }
 
-// serveSwitch takes one message of the agreement from another agent.
-func (g *Group) serveSwitch(_ context.Context, from btpeer.Identity, s *btpeer.Stream) error {
+// handleSwitch receives one message of the agreement from another agent.
+func (g *Group) handleSwitch(_ context.Context, from btpeer.Identity, s *btpeer.Stream) error {
 	m, err := btpeer.Receive[btswitch.Message](s)
 	if err != nil {
 		return err
 	}
 	if from != btprocess.AgentIdentity(m.From().Target) {
-		g.refused(ReasonForgedSender)
+		g.countRefusal(ReasonForgedSender)
 		return fmt.Errorf("message of agent %s from %s", m.From().Target, from)
 	}
-	p := g.current()
-	if p == nil || p.group.Name != m.Group() {
-		g.refused(ReasonUnknownGroup)
-		return fmt.Errorf("%w: %s", errNoPlace, m.Group())
+	c := g.current()
+	if c == nil || c.group.Name != m.Group() {
+		g.countRefusal(ReasonUnknownGroup)
+		return fmt.Errorf("%w: %s", errNotInGroup, m.Group())
 	}
 	g.deliver(m)
 	return nil
 }
 
-// deliver hands a message to the core that takes it.
+// deliver posts a message to the lead or the member.
 func (g *Group) deliver(m btswitch.Message) {
-	g.hear(m.From().Target)
+	g.observeRank(m.From().Target)
 	if m.ForLead() {
 		g.lead.Post(btswitch.Received{Message: m})
 		return
--- a/io/btgroup/engine.go
+++ b/io/btgroup/engine.go
@@ -12,20 +12,20 @@
 	"bilberrytide/io/bttarget"
 )
 
-// Engine is this rank's engine, as its target client knows it.
+// Engine is the client of this rank's engine.
 type Engine interface {
 	// Order gives an order, once.
 	Order(ctx context.Context, o bttarget.Order) error
-	// Group reads the engine's place in its group.
+	// Group reads the state of the engine's rank in its group.
 	Group(ctx context.Context) (bttarget.GroupState, error)
-	// GroupMap reads the map in use as it came with its order, nil for none.
+	// GroupMap reads the map in use, encoded as in its order; nil if there is none.
 	GroupMap(ctx context.Context) ([]byte, error)
 }
 
 var _ Engine = (*bttarget.Client)(nil)
 
-// carryOut gives the engine an order and returns what came of it.
-func carryOut(ctx context.Context, e Engine, o btswitch.Order) btswitch.MemberEvent {
+// executeOrder gives the engine an order and returns the outcome.
+func executeOrder(ctx context.Context, e Engine, o btswitch.Order) btswitch.MemberEvent {
 	err := e.Order(ctx, bttarget.Order{
 		Fencing: o.Fencing,
 		Op:      bttarget.Op(o.Op),
@@ -45,7 +45,7 @@
 	return btswitch.OrderFailed{Fencing: o.Fencing}
 }
 
-// stateOf returns the engine's state in the terms of the agreement.
+// stateOf converts the engine's state for the agreement.
 func stateOf(g bttarget.GroupState) (btswitch.EngineState, error) {
 	s := btswitch.EngineState{
 		Held:     g.Held,
@@ -64,8 +64,8 @@
 	return s, nil
 }
 
-// stepTime returns the group's step, or the rank's own part of it where the
-// engine tells no more.
+// stepTime returns the time of the group's step, or the rank's own part of it if the
+// engine reports nothing else.
 func stepTime(g bttarget.GroupState) time.Duration {
 	if g.GroupStepMillis > 0 {
 		return g.GroupStepTime()
--- a/io/btgroup/export_test.go
+++ b/io/btgroup/export_test.go
@@ -6,28 +6,29 @@
 	"bilberrytide/io/bttarget"
 )
 
-// The parts of a Group that have tests of their own.
+// The unexported types that are tested on their own.
 type (
-	View    = view
-	Sampler = sampler
-	Tally   = tally
+	Liveness   = liveness
+	Sampler    = sampler
+	Aggregator = aggregator
 )
 
 var (
-	NewView  = newView
-	NewTally = newTally
+	NewLiveness   = newLiveness
+	NewAggregator = newAggregator
 )
 
-func (v *view) Hear(now time.Time, rank int)   { v.hear(now, rank) }
-func (v *view) Lead(now time.Time) int         { return v.lead(now) }
-func (v *view) Lost(now time.Time) int         { return v.lost(now) }
-func (v *view) Missing(now time.Time) []int    { return v.missing(now) }
-func (s *sampler) Add(g bttarget.GroupState)   { s.add(g) }
-func (s *sampler) Take() *Window               { return s.take() }
-func (t *tally) Add(rank int, w *Window) error { return t.add(rank, w) }
+func (l *liveness) Observe(now time.Time, rank int) { l.observe(now, rank) }
+func (l *liveness) Lead(now time.Time) int          { return l.lead(now) }
+func (l *liveness) NextProbe(now time.Time) int     { return l.nextProbe(now) }
+func (l *liveness) Missing(now time.Time) []int     { return l.missing(now) }
+func (s *sampler) Add(g bttarget.GroupState)        { s.add(g) }
+func (s *sampler) TakeWindow() *Window              { return s.takeWindow() }
+func (a *aggregator) Add(rank int, w *Window) error { return a.add(rank, w) }
 
-// Collect returns the counts, the ranks' loads and the skew of whole windows.
-func (t *tally) Collect() (counts [][]int64, loads []float64, skew float64, whole bool) {
-	m, whole := t.collect()
-	return m.counts.Counts, m.loads, m.skew, whole
+// Collect returns the counts, the ranks' loads and the skew once every rank's window is
+// there.
+func (a *aggregator) Collect() (counts [][]int64, loads []float64, skew float64, complete bool) {
+	m, complete := a.collect()
+	return m.counts.Counts, m.loads, m.skew, complete
 }
--- a/io/btgroup/fixture_test.go
+++ b/io/btgroup/fixture_test.go
@@ -30,8 +30,9 @@
 	"bilberrytide/io/btstandin"
 )
 
-// bound is how long a test waits for what must come about; it judges no speed.
-const bound = 90 * time.Second
+// awaitTimeout limits the wait for a condition. It is generous, so that no test fails
+// because the host is slow.
+const awaitTimeout = 90 * time.Second
 
 const (
 	layers  = 2
@@ -39,8 +40,7 @@
 	slots   = 4
 )
 
-// fleet is a group of engines and the agents beside them, which speak with each
-// other and with the engines over loopback.
+// fleet is a group of engines and their agents, which communicate over loopback.
 type fleet struct {
 	t         *testing.T
 	authority *btkeys.Authority
@@ -49,16 +49,17 @@
 	addresses []netip.AddrPort
 	agents    []*agent
 	store     btgroup.Store
-	// slots is how many experts a rank may hold by the bundle, which may be fewer
-	// than its engine can.
+	// slots is the number of experts per rank in the bundle. It may be lower than the
+	// engine's.
 	slots int
 
 	mutex sync.Mutex
-	// tap sees every order before its engine; false loses it on the way.
-	tap func(rank int, o btstandin.Order) bool
+	// interceptor is called with every order before the engine gets it. The order is
+	// lost if it returns false.
+	interceptor func(rank int, o btstandin.Order) bool
 }
 
-// agent is one life of the process beside a rank.
+// agent is one incarnation of a rank's agent.
 type agent struct {
 	*btgroup.Group
 	node      *btpeer.Node
@@ -79,7 +80,7 @@
 	assert.NilError(t, err)
 	f := &fleet{t: t, authority: authority, engines: engines, slots: slots}
 	for r := range ranks {
-		server := httptest.NewServer(f.tapped(r))
+		server := httptest.NewServer(f.intercept(r))
 		t.Cleanup(server.Close)
 		f.servers = append(f.servers, server)
 		f.addresses = append(f.addresses, netip.MustParseAddrPort("127.0.0.1:0"))
@@ -93,17 +94,17 @@
 	return f
 }
 
-// tapped shows the rank's orders to the tap.
-func (f *fleet) tapped(rank int) http.Handler {
+// intercept returns the handler of a rank's engine behind the interceptor.
+func (f *fleet) intercept(rank int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mutex.Lock()
-		tap := f.tap
+		interceptor := f.interceptor
 		f.mutex.Unlock()
-		if tap != nil && r.Method == http.MethodPost && r.URL.Path == "/orders" {
+		if interceptor != nil && r.Method == http.MethodPost && r.URL.Path == "/orders" {
 			body, _ := io.ReadAll(r.Body)
 			var o btstandin.Order
 			_ = json.Unmarshal(body, &o)
-			if !tap(rank, o) {
+			if !interceptor(rank, o) {
 				panic(http.ErrAbortHandler)
 			}
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
@@ -112,32 +113,32 @@
 	})
 }
 
-func (f *fleet) setTap(tap func(rank int, o btstandin.Order) bool) {
+func (f *fleet) setInterceptor(interceptor func(rank int, o btstandin.Order) bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.tap = tap
+	f.interceptor = interceptor
 }
 
 func name(rank int) btid.Target { return btid.Target(fmt.Sprintf("rank-%02d", rank)) }
 
-// startAll starts an agent beside every rank and gives them the bundle.
+// startAll starts every rank's agent and configures them with the bundle.
 func (f *fleet) startAll() {
 	for r := range f.agents {
-		f.open(r)
+		f.startAgent(r)
 	}
 	for _, a := range f.agents {
 		a.Configure(f.bundle())
 	}
 }
 
-// restart begins the next life of a killed agent.
+// restart starts the next incarnation of a killed agent.
 func (f *fleet) restart(rank int) {
-	f.open(rank)
+	f.startAgent(rank)
 	f.agents[rank].Configure(f.bundle())
 }
 
-// open makes a rank's agent, which waits for a bundle.
-func (f *fleet) open(rank int) {
+// startAgent starts a rank's agent, which then waits for a bundle.
+func (f *fleet) startAgent(rank int) {
 	id := btprocess.AgentIdentity(name(rank))
 	issued, err := f.authority.Issue(id, time.Now(), time.Hour)
 	assert.NilError(f.t, err)
@@ -160,14 +161,14 @@
 		Assert:    btassert.New(btassert.SinkFunc(func(v btassert.Violation) { f.t.Error(v) })),
 		Random:    rand.New(rand.NewPCG(1, uint64(rank))),
 		Store:     f.store,
-		Switch:    quick(),
+		Switch:    fastSettings(),
 	})
-	f.run(a)
+	f.runAgent(a)
 	f.agents[rank] = a
 }
 
-// run works until the agent is killed, which closes its socket at once.
-func (f *fleet) run(a *agent) {
+// runAgent runs the agent until it is killed, which closes its socket at once.
+func (f *fleet) runAgent(a *agent) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = a.node.Serve(ctx) })
@@ -180,8 +181,8 @@
 	f.t.Cleanup(a.kill)
 }
 
-// quick are settings for tests that shall not take long.
-func quick() btswitch.Settings {
+// fastSettings returns settings with short intervals, so that tests don't take long.
+func fastSettings() btswitch.Settings {
 	s := btswitch.Defaults()
 	s.TickInterval = 10 * time.Millisecond
 	s.PauseThreshold = 5 * time.Second
@@ -218,16 +219,16 @@
 // await waits until the condition holds.
 func (f *fleet) await(what string, holds func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(bound); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.report()
+			f.logDecisions()
 			f.t.Fatalf("%s did not come about", what)
 		}
 	}
 }
 
-// report logs what the agents decided.
-func (f *fleet) report() {
+// logDecisions logs the agents' decisions.
+func (f *fleet) logDecisions() {
 	for r, a := range f.agents {
 		status, _ := a.Status()
 		f.t.Logf("rank %d: %+v", r, status)
@@ -237,23 +238,23 @@
 	}
 }
 
-// steps waits until the group has made so many further steps.
-func (f *fleet) steps(count uint64) {
+// awaitSteps waits until the group has made this many further steps.
+func (f *fleet) awaitSteps(count uint64) {
 	f.t.Helper()
 	before := f.engines.Totals().Steps
 	f.await(fmt.Sprintf("%d steps", count), func() bool { return f.engines.Totals().Steps >= before+count })
 }
 
-// change waits until the group steps on another map than now.
-func (f *fleet) change() {
+// awaitMapChange waits until the group steps on a different map.
+func (f *fleet) awaitMapChange() {
 	f.t.Helper()
-	f.steps(1)
-	before := f.digest()
-	f.await("a change of map", func() bool { return f.digest() != before })
+	f.awaitSteps(1)
+	before := f.mapInForce()
+	f.await("a change of map", func() bool { return f.mapInForce() != before })
 }
 
-// digest returns the map of the last step.
-func (f *fleet) digest() string {
+// mapInForce returns the digest of the last step's map, empty if there was no step.
+func (f *fleet) mapInForce() string {
 	records := f.engines.Records().Records
 	if len(records) == 0 {
 		return ""
@@ -261,15 +262,16 @@
 	return records[len(records)-1].Digests[0]
 }
 
-// decided tells whether the agent took a decision with the act and cause; an
-// empty cause stands for any.
-func (a *agent) decided(act, cause string) bool {
+// hasDecision reports whether the agent recorded a decision with the act and cause. An
+// empty cause matches any.
+func (a *agent) hasDecision(act, cause string) bool {
 	return slices.ContainsFunc(a.decisions.List(), func(d btmetric.Decision) bool {
 		return d.Act == act && (cause == "" || d.Cause == cause)
 	})
 }
 
-func (f *fleet) unmixed() {
+// checkNoMixedSteps checks that all ranks used the same map in every step.
+func (f *fleet) checkNoMixedSteps() {
 	f.t.Helper()
 	totals := f.engines.Totals()
 	assert.Equal(f.t, totals.MixedSteps, uint64(0), "of %d steps", totals.Steps)
--- a/io/btgroup/main_test.go
+++ b/io/btgroup/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain sets a fixed seed for rapid, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/io/btgroup/mapcode.go
+++ b/io/btgroup/map_codec.go
@@ -12,17 +12,16 @@
 	"bilberrytide/core/btswitch"
 )
 
-// ErrMap is wrapped by the error of every encoded map that can't be used.
+// ErrMap is wrapped by the errors for encoded maps that can't be used.
 var ErrMap = errors.New("unusable encoded expert map")
 
-// wireMap is the engines' JSON form of a map: for each layer and in it each
-// rank, the experts held.
+// wireMap is the engines' JSON format of a map: the experts by layer and rank.
 type wireMap struct {
 	Layers [][][]btexpert.Expert `json:"layers"`
 }
 
-// EncodeMap returns the map as engines take it: compact JSON, the same bytes
-// for equal maps. The agreement knows a map by the digest of these bytes.
+// EncodeMap returns the map in the engines' format: compact JSON, the same bytes for
+// equal maps. The agreement identifies a map by the digest of these bytes.
 func EncodeMap(m btexpert.Map) []byte {
 	wire := wireMap{Layers: make([][][]btexpert.Expert, len(m.Layers))}
 	for l, layer := range m.Layers {
@@ -33,14 +32,14 @@
 	}
 	data, err := json.Marshal(wire)
 	if err != nil {
-		// Numbers in slices always have a JSON form.
+		// Slices of numbers always encode.
 		panic(err)
 	}
 	return data
 }
 
-// DecodeMap reads what EncodeMap or an engine wrote, for a group of the shape.
-// The error wraps ErrMap.
+// DecodeMap decodes a map of EncodeMap or of an engine, for a group of the shape. The
+// error wraps ErrMap.
 func DecodeMap(shape btexpert.Shape, data []byte) (btexpert.Map, error) {
 	var wire wireMap
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -59,26 +58,26 @@
 	return m, nil
 }
 
-// shapes knows the shape of each membership that a bundle gave the group, so
-// that a map is checked against the members that a round is for.
+// shapes stores the shape of each membership that the group has had, so that a map is
+// checked against the members of its round.
 type shapes struct {
-	mutex sync.Mutex
-	known map[btbundle.Digest]btexpert.Shape
+	mutex     sync.Mutex
+	byMembers map[btbundle.Digest]btexpert.Shape
 }
 
 func (s *shapes) add(members btbundle.Digest, shape btexpert.Shape) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.known == nil {
-		s.known = make(map[btbundle.Digest]btexpert.Shape)
+	if s.byMembers == nil {
+		s.byMembers = make(map[btbundle.Digest]btexpert.Shape)
 	}
-	s.known[members] = shape
+	s.byMembers[members] = shape
 }
 
-// check is the btswitch.MapCheck of the group.
+// check is the group's btswitch.MapCheck.
 func (s *shapes) check(members btswitch.Members, encoded []byte) error {
 	s.mutex.Lock()
-	shape, found := s.known[members.Digest]
+	shape, found := s.byMembers[members.Digest]
 	s.mutex.Unlock()
 	if !found {
 		return fmt.Errorf("%w: members %s are unknown", ErrMap, members.Digest)
--- a/io/btgroup/mapcode_test.go
+++ b/io/btgroup/map_codec_test.go
@@ -17,7 +17,8 @@
 	// Output: {"layers":[[[0,2],[0,1]]]}
 }
 
-func TestMapsSurviveTheEnginesForm(t *testing.T) {
+// TestMapCodecRoundTrip guards against a map that changes when it is encoded and decoded.
+func TestMapCodecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := btexpert.Shape{
 			Ranks:       rapid.IntRange(1, 6).Draw(t, "ranks"),
@@ -33,6 +34,8 @@
 	})
 }
 
+// TestUnusableMapsAreRefused guards against encoded maps that are malformed, don't fit
+// the group's shape or lack an expert.
 func TestUnusableMapsAreRefused(t *testing.T) {
 	shape := btexpert.Shape{Ranks: 2, Layers: 1, Experts: 4, Slots: 2, ExpertBytes: 1}
 	for _, text := range []string{
--- a/io/btgroup/measure_test.go
+++ b/io/btgroup/measure_test.go
@@ -13,51 +13,57 @@
 	"bilberrytide/io/bttarget"
 )
 
+// TestLowestLiveRankLeads guards against a rank that counts as lost before its lease has
+// passed, and against lost lower ranks that are never probed again.
 func TestLowestLiveRankLeads(t *testing.T) {
 	const lease = time.Second
 	start := time.Unix(0, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	v := btgroup.NewView(start, 2, 4, lease)
-	assert.Equal(t, v.Lead(at(999)), 0, "every rank is given its time")
-	assert.Equal(t, v.Lost(at(999)), -1)
-	v.Hear(at(500), 1)
-	assert.Equal(t, v.Lead(at(1000)), 1)
-	assert.Equal(t, v.Lost(at(1000)), 0)
-	assert.Equal(t, v.Lead(at(1500)), 2)
-	assert.DeepEqual(t, []int{v.Lost(at(1500)), v.Lost(at(1500)), v.Lost(at(1500))}, []int{1, 0, 1})
-	assert.DeepEqual(t, v.Missing(at(1500)), []int{0, 1, 3})
-	v.Hear(at(1600), 0)
-	v.Hear(at(1600), -1)
-	v.Hear(at(1600), 4)
-	v.Hear(at(100), 0)
-	assert.Equal(t, v.Lead(at(2000)), 0)
+	l := btgroup.NewLiveness(start, 2, 4, lease)
+	assert.Equal(t, l.Lead(at(999)), 0, "no rank counts as lost before its lease has passed")
+	assert.Equal(t, l.NextProbe(at(999)), -1)
+	l.Observe(at(500), 1)
+	assert.Equal(t, l.Lead(at(1000)), 1)
+	assert.Equal(t, l.NextProbe(at(1000)), 0)
+	assert.Equal(t, l.Lead(at(1500)), 2)
+	assert.DeepEqual(t, []int{l.NextProbe(at(1500)), l.NextProbe(at(1500)), l.NextProbe(at(1500))}, []int{1, 0, 1})
+	assert.DeepEqual(t, l.Missing(at(1500)), []int{0, 1, 3})
+	l.Observe(at(1600), 0)
+	l.Observe(at(1600), -1)
+	l.Observe(at(1600), 4)
+	l.Observe(at(100), 0)
+	assert.Equal(t, l.Lead(at(2000)), 0)
 }
 
-func TestWindowsHoldWhatWasCountedSince(t *testing.T) {
+// TestSamplerCountsSinceLastWindow guards against tokens that are counted in two windows,
+// and against counts taken across an engine's restart.
+func TestSamplerCountsSinceLastWindow(t *testing.T) {
 	var s btgroup.Sampler
 	add := func(step uint64, ms float64, counts ...uint64) {
 		s.Add(bttarget.GroupState{Step: step, Counts: [][]uint64{counts}, StepMillis: ms, GroupStepMillis: 2 * ms})
 	}
-	assert.Assert(t, s.Take() == nil)
+	assert.Assert(t, s.TakeWindow() == nil)
 	add(10, 1, 5, 0, 7)
-	assert.Assert(t, s.Take() == nil, "no step since the first reading")
+	assert.Assert(t, s.TakeWindow() == nil, "no step since the first reading")
 	add(12, 1, 6, 0, 7)
 	add(14, 3, 7, 4, 7)
 	want := &btgroup.Window{
 		Steps: 4, Own: 2 * time.Millisecond, Group: 4 * time.Millisecond,
 		Counts: []btgroup.LayerCounts{{Experts: []btexpert.Expert{0, 1}, Tokens: []int64{2, 4}}},
 	}
-	assert.DeepEqual(t, s.Take(), want)
-	assert.Assert(t, s.Take() == nil)
+	assert.DeepEqual(t, s.TakeWindow(), want)
+	assert.Assert(t, s.TakeWindow() == nil)
 	add(3, 1, 1, 1, 1)
-	assert.Assert(t, s.Take() == nil, "the engine started anew")
+	assert.Assert(t, s.TakeWindow() == nil, "the engine restarted")
 	add(4, 1, 2, 2, 2)
-	assert.Equal(t, s.Take().Steps, uint64(1))
+	assert.Equal(t, s.TakeWindow().Steps, uint64(1))
 }
 
-func TestTallySumsWindowsOfUnevenLength(t *testing.T) {
+// TestAggregatorScalesWindowsToMeanSteps guards against a rank that weighs more because
+// its window covers more steps, and against windows that don't fit the group.
+func TestAggregatorScalesWindowsToMeanSteps(t *testing.T) {
 	shape := btexpert.Shape{Ranks: 2, Layers: 1, Experts: 3, Slots: 2, ExpertBytes: 1}
-	tally := btgroup.NewTally(shape)
+	aggregator := btgroup.NewAggregator(shape)
 	window := func(steps uint64, own time.Duration, tokens ...int64) *btgroup.Window {
 		w := &btgroup.Window{Steps: steps, Own: own}
 		layer := btgroup.LayerCounts{Tokens: tokens}
@@ -67,21 +73,21 @@
 		w.Counts = []btgroup.LayerCounts{layer}
 		return w
 	}
-	assert.NilError(t, tally.Add(0, window(10, time.Millisecond, 100, 0)))
-	_, _, _, whole := tally.Collect()
-	assert.Assert(t, !whole)
-	assert.NilError(t, tally.Add(1, window(30, 3*time.Millisecond, 300, 0, 600)))
-	counts, loads, skew, whole := tally.Collect()
-	assert.Assert(t, whole)
-	// Both ranks' counts are brought to 20 steps.
+	assert.NilError(t, aggregator.Add(0, window(10, time.Millisecond, 100, 0)))
+	_, _, _, complete := aggregator.Collect()
+	assert.Assert(t, !complete)
+	assert.NilError(t, aggregator.Add(1, window(30, 3*time.Millisecond, 300, 0, 600)))
+	counts, loads, skew, complete := aggregator.Collect()
+	assert.Assert(t, complete)
+	// Both ranks' counts are scaled to 20 steps.
 	assert.DeepEqual(t, counts, [][]int64{{400, 0, 400}})
 	assert.DeepEqual(t, loads, []float64{0.5, 1.5})
 	assert.Equal(t, skew, 0.5)
-	_, _, _, whole = tally.Collect()
-	assert.Assert(t, !whole)
+	_, _, _, complete = aggregator.Collect()
+	assert.Assert(t, !complete)
 
-	assert.Assert(t, tally.Add(0, window(1, 0, 1, 1, 1, 1)) != nil, "an expert too many")
-	assert.Assert(t, tally.Add(0, &btgroup.Window{Steps: 1}) != nil, "no layer")
+	assert.Assert(t, aggregator.Add(0, window(1, 0, 1, 1, 1, 1)) != nil, "one expert too many")
+	assert.Assert(t, aggregator.Add(0, &btgroup.Window{Steps: 1}) != nil, "no layer")
 }
 
 func TestMalformedReportsAreRefused(t *testing.T) {
@@ -102,8 +108,8 @@
 	assert.Assert(t, btgroup.ReportAnswer{ExpertLoad: -1}.Validate() != nil)
 }
 
-// BenchmarkReport gives the size of a report at 58 layers of 64 experts, two of
-// each layer on the rank.
+// BenchmarkReport reports the size of a report for 58 layers of 64 experts, with two
+// experts of each layer on the rank.
 func BenchmarkReport(b *testing.B) {
 	report := btgroup.Report{Group: "assistant", From: btid.Executor{Target: "himal-assistant-00", Incarnation: 1 << 60}}
 	idle, err := cbor.Marshal(report)
--- a/io/btgroup/message.go
+++ b/io/btgroup/message.go
@@ -11,28 +11,28 @@
 	"bilberrytide/core/btid"
 )
 
-// LayerCounts are the tokens of one layer's experts that got any.
+// LayerCounts lists the experts of one layer that processed tokens, with their counts.
 type LayerCounts struct {
 	Experts []btexpert.Expert `cbor:"experts" json:"experts"`
 	Tokens  []int64           `cbor:"tokens" json:"tokens"`
 }
 
-// Window is what a rank measured over some steps.
+// Window holds a rank's measurements over a number of steps.
 type Window struct {
 	// Steps is how many steps the counts cover.
 	Steps uint64 `cbor:"steps" json:"steps"`
-	// Own is the mean of the rank's own part of a step, Group of the whole
-	// group's, zero where the engine doesn't tell.
+	// Own is the mean time of the rank's own part of a step, Group that of the whole
+	// group's step; zero if the engine doesn't report it.
 	Own   time.Duration `cbor:"own" json:"own"`
 	Group time.Duration `cbor:"group" json:"group"`
 	// Counts holds this rank's tokens by layer.
 	Counts []LayerCounts `cbor:"counts" json:"counts"`
 }
 
-// maxWindowStep is the longest step believed.
+// maxWindowStep is the longest step time accepted in a window.
 const maxWindowStep = time.Hour
 
-// Validate reports a window that no rank can have measured.
+// Validate returns an error for values that no rank can have measured.
 func (w Window) Validate() error {
 	if w.Steps == 0 {
 		return errors.New("window of no steps")
@@ -65,8 +65,7 @@
 	return nil
 }
 
-// Report is a rank's heartbeat to its group's lead, at times with what it
-// measured.
+// Report is a rank's heartbeat to its group's lead, sometimes with its measurements.
 type Report struct {
 	Group   btid.Group      `cbor:"group" json:"group"`
 	Members btbundle.Digest `cbor:"members" json:"members"`
@@ -75,7 +74,7 @@
 	Window *Window `cbor:"window,omitempty" json:"window,omitempty"`
 }
 
-// Validate reports a malformed report.
+// Validate returns an error for a malformed report.
 func (r Report) Validate() error {
 	if err := btid.CheckName(string(r.Group)); err != nil {
 		return fmt.Errorf("report: group: %w", err)
@@ -91,16 +90,16 @@
 
 // ReportAnswer answers a Report.
 type ReportAnswer struct {
-	// Leads tells that the answering agent takes itself for the lead.
+	// Leads reports whether the answering agent considers itself the lead.
 	Leads bool `cbor:"leads" json:"leads"`
-	// Skew is the slowest rank's step over the mean, minus 1.
+	// Skew is the group's step time divided by the mean rank's own part of it, minus 1.
 	Skew float64 `cbor:"skew" json:"skew"`
-	// ExpertLoad is the asking rank's expert work over the mean rank's, zero
-	// where unknown.
+	// ExpertLoad is the reporting rank's expert work divided by the mean rank's, zero if
+	// unknown.
 	ExpertLoad float64 `cbor:"expert_load" json:"expert_load"`
 }
 
-// Validate reports values that no lead can have measured.
+// Validate returns an error for values that no lead can have computed.
 func (a ReportAnswer) Validate() error {
 	for _, v := range []float64{a.Skew, a.ExpertLoad} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || a.ExpertLoad < 0 {
--- a/io/btgroup/reason.go
+++ b/io/btgroup/reason.go
@@ -2,16 +2,17 @@
 
 import "bilberrytide/core/btrequest"
 
-// Reasons for which a message or an engine's state is refused, beside those of
-// btswitch.
+// Reasons for which a message is refused or an engine can't be read, in addition to
+// those of btswitch.
 const (
-	// ReasonForgedSender: a message names another sender than its certificate.
+	// ReasonForgedSender: the sender named in a message differs from its certificate.
 	ReasonForgedSender btrequest.Reason = "group_sender_forged"
-	// ReasonUnknownGroup: the message is for a group that this agent is no rank of.
+	// ReasonUnknownGroup: the message is for a group that this agent isn't in.
 	ReasonUnknownGroup btrequest.Reason = "group_unknown"
-	// ReasonMembersDiffer: a rank reports for other members of the group.
+	// ReasonMembersDiffer: a report is for a different membership of the group.
 	ReasonMembersDiffer btrequest.Reason = "group_members_differ"
-	// ReasonCountsMismatch: a rank reports layers or experts that the group hasn't.
+	// ReasonCountsMismatch: a window has layers or experts that the group doesn't
+	// have.
 	ReasonCountsMismatch btrequest.Reason = "group_counts_shape"
 	// ReasonMessageUnsent: a message to another agent could not be delivered.
 	ReasonMessageUnsent btrequest.Reason = "group_message_unsent"
@@ -22,6 +23,6 @@
 	ReasonMapUnread btrequest.Reason = "group_map_unread"
 )
 
-// prefixKept starts the counters of considerations after which the map in force
-// stays; the reason follows.
+// prefixKept is the prefix of the counters of considerations that kept the map in force.
+// The reason follows it.
 const prefixKept = "map_kept_"
--- a/io/btgroup/rebalancer.go
+++ b/io/btgroup/rebalancer.go
@@ -11,73 +11,75 @@
 	"bilberrytide/core/btswitch"
 )
 
-// rebalanceTick is how often the lead looks at what has come in.
-const rebalanceTick = 100 * time.Millisecond
+// rebalanceInterval is how often the lead updates the decider.
+const rebalanceInterval = 100 * time.Millisecond
 
-// rebalancer runs the decider while this agent leads. Each term starts with a
-// new one, which learns from the ranks' next reports.
+// rebalancer runs the decider while this agent is the lead. Each term starts with a new
+// decider, which has no measurements until the ranks' next reports.
 type rebalancer struct {
 	group *Group
 
-	mutex sync.Mutex
-	tally *tally
-	// ended queues how rounds ended.
-	ended []btswitch.RoundResult
-	// answer holds what the ranks are told; loads holds their loads.
+	mutex      sync.Mutex
+	aggregator *aggregator
+	// results queues the results of rounds.
+	results []btswitch.RoundResult
+	// answer is the part of the answer that is the same for all ranks; loads holds each
+	// rank's load.
 	answer ReportAnswer
 	loads  []float64
 
-	// The fields below belong to run's goroutine.
-	place    *place
-	decider  *btexpert.Decider[btexpert.Incremental]
-	mapKnown btbundle.Digest
-	proposed *proposal
-	stall    stall
-	storeAt  time.Time
-	rate     float64
-	kept     btrequest.Reason
+	// The fields below are used only by run's goroutine.
+	config    *rankConfig
+	decider   *btexpert.Decider[btexpert.Incremental]
+	knownMap  btbundle.Digest
+	proposed  *proposal
+	stall     stall
+	probedAt  time.Time
+	storeRate float64
+	lastKeep  btrequest.Reason
 }
 
-// proposal is a change that the decider wants and the agreement works on.
+// proposal is a map that the decider has proposed and whose round is under way.
 type proposal struct {
-	// plan is the digest by which the decider knows the map, encoded the one by
-	// which the agreement does.
-	plan    btbundle.Digest
-	encoded btbundle.Digest
-	bytes   int64
+	// mapDigest is the map's digest in the decider, encodedDigest that in the
+	// agreement.
+	mapDigest     btbundle.Digest
+	encodedDigest btbundle.Digest
+	bytes         int64
 }
 
-// stall is how long the round that put a map in force held the group.
+// stall is the time for which the round that put a map in force held the group.
 type stall struct {
-	encoded btbundle.Digest
-	held    time.Duration
+	encodedDigest btbundle.Digest
+	held          time.Duration
 }
 
-// run works until the context ends.
+// run updates the decider until the context ends.
 func (r *rebalancer) run(ctx context.Context) {
-	t := time.NewTicker(rebalanceTick)
+	t := time.NewTicker(rebalanceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.work(ctx)
+			r.update(ctx)
 		}
 	}
 }
 
-// take adds a rank's window and answers with what its measurements came to.
-func (r *rebalancer) take(p *place, rank int, w *Window) ReportAnswer {
+// addWindow adds a rank's window, unless it is nil, and returns the answer with the
+// results of the last complete set of windows.
+func (r *rebalancer) addWindow(c *rankConfig, rank int, w *Window) ReportAnswer {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.tally == nil || r.tally.shape != p.shape {
-		r.tally = newTally(p.shape)
+	if r.aggregator == nil || r.aggregator.shape != c.shape {
+		r.aggregator = newAggregator(c.shape)
 		r.loads = nil
 	}
 	if w != nil {
-		if err := r.tally.add(rank, w); err != nil {
-			r.group.refused(ReasonCountsMismatch)
+		if err := r.aggregator.add(rank, w); err != nil {
+			r.group.countRefusal(ReasonCountsMismatch)
 			r.group.options.Log.Warn("counts of a rank refused", "error", err)
 		}
 	}
@@ -89,190 +91,192 @@
 	return answer
 }
 
-// decided takes the end of a round. It must not block.
-func (r *rebalancer) decided(e btswitch.RoundResult) {
+// addResult queues the result of a round. It must not block.
+func (r *rebalancer) addResult(e btswitch.RoundResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.ended = append(r.ended, e)
+	r.results = append(r.results, e)
 }
 
-// mapNeeded proposes a group's first map: no rank has a usable one. It must not
+// mapNeeded proposes a group's first map, as no rank has a usable one. It must not
 // block.
 func (r *rebalancer) mapNeeded() {
-	p := r.group.current()
-	if p == nil {
+	c := r.group.current()
+	if c == nil {
 		return
 	}
-	first := btexpert.Uniform(p.shape)
-	r.group.explain(decisionOfFirst(p, first))
+	first := btexpert.Uniform(c.shape)
+	r.group.recordDecision(decisionOfFirst(c, first))
 	r.group.lead.Post(btswitch.Propose{Map: EncodeMap(first), Cause: causeFirst})
 }
 
-// work brings the decider up to date and lets it consider the map.
-func (r *rebalancer) work(ctx context.Context) {
-	ended := r.takeEnded()
-	p := r.group.current()
-	for _, e := range ended {
-		r.group.explain(decisionOfRound(e))
+// update passes the decider all news since the last call and lets it consider the map.
+func (r *rebalancer) update(ctx context.Context) {
+	results := r.takeResults()
+	c := r.group.current()
+	for _, e := range results {
+		r.group.recordDecision(decisionOfRound(e))
 	}
-	if p == nil || !r.group.leads() {
+	if c == nil || !r.group.isLead() {
 		r.endTerm()
 		return
 	}
-	r.beginTerm(p)
-	for _, e := range ended {
-		r.endRound(e)
+	r.beginTerm(c)
+	for _, e := range results {
+		r.handleResult(e)
 	}
-	r.readMap(ctx, p)
-	r.step(btexpert.RanksReported{Missing: r.missing()})
-	r.measure()
-	r.probe(ctx, p)
+	r.refreshMap(ctx, c)
+	r.step(btexpert.RanksReported{Missing: r.missingRanks()})
+	r.reportWindows()
+	r.probeStore(ctx, c)
 	r.step(btexpert.Tick{})
 }
 
-func (r *rebalancer) takeEnded() []btswitch.RoundResult {
+func (r *rebalancer) takeResults() []btswitch.RoundResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	ended := r.ended
-	r.ended = nil
-	return ended
+	results := r.results
+	r.results = nil
+	return results
 }
 
-// endTerm forgets all that was learnt as the lead.
+// endTerm drops the lead's state.
 func (r *rebalancer) endTerm() {
 	r.decider = nil
-	r.place = nil
+	r.config = nil
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.tally = nil
+	r.aggregator = nil
 	r.answer = ReportAnswer{}
 	r.loads = nil
 }
 
-// beginTerm begins a term, or takes a changed policy into the one under way.
-func (r *rebalancer) beginTerm(p *place) {
+// beginTerm starts a term if none is under way, and applies a changed configuration.
+func (r *rebalancer) beginTerm(c *rankConfig) {
 	if r.decider == nil {
 		o := r.group.options
 		r.decider = btexpert.NewDecider(btexpert.Incremental{}, o.Expert, o.Assert)
-		r.mapKnown = btbundle.Digest{}
+		r.knownMap = btbundle.Digest{}
 		r.proposed = nil
-		r.rate = o.Expert.StoreRate
-		r.kept = ""
+		r.storeRate = o.Expert.StoreRate
+		r.lastKeep = ""
 	}
-	if r.place != p {
-		r.place = p
-		r.step(btexpert.PolicySet{Placement: p.placement, Group: p.group})
+	if r.config != c {
+		r.config = c
+		r.step(btexpert.PolicySet{Placement: c.placement, Group: c.group})
 	}
 }
 
-// endRound tells the decider what became of its proposal.
-func (r *rebalancer) endRound(e btswitch.RoundResult) {
+// handleResult handles the result of a round and tells the decider if its proposal has
+// failed.
+func (r *rebalancer) handleResult(e btswitch.RoundResult) {
 	if e.Outcome == btswitch.Committed {
-		r.stall = stall{encoded: e.Map, held: e.HoldDuration}
+		r.stall = stall{encodedDigest: e.Map, held: e.HoldDuration}
 	}
-	if r.proposed == nil || r.proposed.encoded != e.Map {
+	if r.proposed == nil || r.proposed.encodedDigest != e.Map {
 		return
 	}
 	if e.Outcome == btswitch.Committed {
-		r.learnRate(e)
+		r.updateStoreRate(e)
 		return
 	}
-	failed := btexpert.SwitchFailed{Digest: r.proposed.plan, Reason: e.Reason}
+	failed := btexpert.SwitchFailed{Digest: r.proposed.mapDigest, Reason: e.Reason}
 	r.proposed = nil
 	r.step(failed)
 }
 
-// rateWait is how long a staging must take to tell the store's rate: a shorter
-// one is mostly messages.
-const rateWait = 5 * time.Second
+// minRateTransfer is the shortest staging from which the store's rate is computed. The
+// time of a shorter one is mostly that of messages.
+const minRateTransfer = 5 * time.Second
 
-func (r *rebalancer) learnRate(e btswitch.RoundResult) {
-	if transfer := e.Duration - e.HoldDuration; transfer >= rateWait && r.proposed.bytes > 0 {
-		r.rate = float64(r.proposed.bytes) / transfer.Seconds()
+func (r *rebalancer) updateStoreRate(e btswitch.RoundResult) {
+	if transfer := e.Duration - e.HoldDuration; transfer >= minRateTransfer && r.proposed.bytes > 0 {
+		r.storeRate = float64(r.proposed.bytes) / transfer.Seconds()
 	}
 }
 
-// readMap tells the decider of the map by which the group steps, whenever this
-// rank's engine shows another.
-func (r *rebalancer) readMap(ctx context.Context, p *place) {
+// refreshMap reads the map in force and passes it to the decider whenever the version
+// in this rank's engine has changed.
+func (r *rebalancer) refreshMap(ctx context.Context, c *rankConfig) {
 	state := r.group.engineState()
 	v := state.InForce
-	if state.Held || v.Members != p.members.Digest || v.Map == r.mapKnown {
+	if state.Held || v.Members != c.members.Digest || v.Map == r.knownMap {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.group.options.Switch.OrderTimeout)
 	defer cancel()
-	encoded, err := readMap(ctx, p.engine, v.Map)
+	encoded, err := readMap(ctx, c.engine, v.Map)
 	if err != nil {
-		r.group.refused(ReasonMapUnread)
+		r.group.countRefusal(ReasonMapUnread)
 		return
 	}
-	m, err := DecodeMap(p.shape, encoded)
+	m, err := DecodeMap(c.shape, encoded)
 	if err != nil {
-		r.group.refused(ReasonMapUnread)
-		r.group.options.Log.Warn("map in force", "error", err)
+		r.group.countRefusal(ReasonMapUnread)
+		r.group.options.Log.Warn("map in force is invalid", "error", err)
 		return
 	}
-	r.mapKnown = v.Map
+	r.knownMap = v.Map
 	inForce := btexpert.MapInForce{Map: m}
-	if r.stall.encoded == v.Map {
+	if r.stall.encodedDigest == v.Map {
 		inForce.Stall = r.stall.held
 	}
-	if r.proposed != nil && r.proposed.encoded == v.Map {
+	if r.proposed != nil && r.proposed.encodedDigest == v.Map {
 		r.proposed = nil
 	}
 	r.step(inForce)
 }
 
-func (r *rebalancer) missing() []btexpert.Rank {
+func (r *rebalancer) missingRanks() []btexpert.Rank {
 	g := r.group
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var ranks []btexpert.Rank
-	for _, rank := range g.view.missing(g.options.Clock()) {
+	for _, rank := range g.liveness.missing(g.options.Clock()) {
 		ranks = append(ranks, btexpert.Rank(rank))
 	}
 	return ranks
 }
 
-// measure hands the decider one window of every rank, once they are there.
-func (r *rebalancer) measure() {
+// reportWindows passes the measurements to the decider once there is a window of every
+// rank.
+func (r *rebalancer) reportWindows() {
 	r.mutex.Lock()
-	if r.tally == nil {
+	if r.aggregator == nil {
 		r.mutex.Unlock()
 		return
 	}
-	m, whole := r.tally.collect()
-	if whole {
+	m, complete := r.aggregator.collect()
+	if complete {
 		r.answer.Skew = m.skew
 		r.loads = m.loads
 	}
 	r.mutex.Unlock()
-	if whole {
+	if complete {
 		r.step(m.counts)
 		r.step(m.times)
 	}
 }
 
-// probe asks the weight store, as often as the map is considered, whether it
+// probeStore checks, as often as the map is considered, whether the weight store
 // answers.
-func (r *rebalancer) probe(ctx context.Context, p *place) {
+func (r *rebalancer) probeStore(ctx context.Context, c *rankConfig) {
 	o := r.group.options
 	now := o.Clock()
-	if now.Sub(r.storeAt) < p.placement.Interval.Duration {
+	if now.Sub(r.probedAt) < c.placement.Interval.Duration {
 		return
 	}
-	r.storeAt = now
+	r.probedAt = now
 	down := false
 	if o.Store != nil {
-		ctx, cancel := context.WithTimeout(ctx, sendWait)
+		ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 		defer cancel()
-		down = o.Store.Probe(ctx, p.group.Service) != nil
+		down = o.Store.Probe(ctx, c.group.Service) != nil
 	}
-	r.step(btexpert.StoreReported{Rate: r.rate, Down: down})
+	r.step(btexpert.StoreReported{Rate: r.storeRate, Down: down})
 }
 
-// step hands the decider an event and carries out what it wants.
+// step passes an event to the decider and carries out the effects.
 func (r *rebalancer) step(e btexpert.Event) {
 	for _, effect := range r.decider.Step(r.group.options.Clock(), e) {
 		r.apply(effect)
@@ -286,30 +290,30 @@
 	case btexpert.Keep:
 		r.keep(e)
 	case btexpert.Explain:
-		r.group.explain(decisionOfExplain(r.place, e))
+		r.group.recordDecision(decisionOfExplain(r.config, e))
 	}
 }
 
 func (r *rebalancer) propose(e btexpert.Propose) {
 	encoded := EncodeMap(e.Map)
-	r.kept = ""
+	r.lastKeep = ""
 	r.proposed = &proposal{
-		plan:    e.Map.Digest(),
-		encoded: btbundle.DigestOf(encoded),
-		bytes:   e.Moves.Bytes(e.Map.Shape),
+		mapDigest:     e.Map.Digest(),
+		encodedDigest: btbundle.DigestOf(encoded),
+		bytes:         e.Moves.Bytes(e.Map.Shape),
 	}
-	r.group.explain(decisionOfPropose(r.place, e))
+	r.group.recordDecision(decisionOfPropose(r.config, e))
 	r.group.lead.Post(btswitch.Propose{Map: encoded, Cause: string(e.Cause)})
 }
 
-// keep counts each consideration after which the map stays, and explains it
-// where the reason is another than the time before, so that an even group's
-// lines don't push out all others.
+// keep counts a consideration that kept the map. It records the decision only if the
+// reason differs from that of the last one; otherwise the repeated decisions of a
+// balanced group would displace all others.
 func (r *rebalancer) keep(e btexpert.Keep) {
-	r.group.refused(prefixKept + e.Reason)
-	if e.Reason == r.kept {
+	r.group.countRefusal(prefixKept + e.Reason)
+	if e.Reason == r.lastKeep {
 		return
 	}
-	r.kept = e.Reason
-	r.group.explain(decisionOfKeep(r.place, e))
+	r.lastKeep = e.Reason
+	r.group.recordDecision(decisionOfKeep(r.config, e))
 }
--- a/io/btgroup/sampler.go
+++ b/io/btgroup/sampler.go
@@ -8,13 +8,13 @@
 	"bilberrytide/io/bttarget"
 )
 
-// sampler makes windows of what the engine says of itself. It is safe for
+// sampler computes windows from the engine's successive states. It is safe for
 // concurrent use.
 type sampler struct {
 	mutex sync.Mutex
 	last  bttarget.GroupState
 	known bool
-	// base is the state at the end of the window before.
+	// base is the state at the start of the current window.
 	base    bttarget.GroupState
 	hasBase bool
 
@@ -22,8 +22,8 @@
 	own, group time.Duration
 }
 
-// add takes one reading. An engine that counts fewer steps than before has
-// started anew, and so does the window.
+// add adds an engine state. An engine whose step count has fallen has restarted, so the
+// window starts over.
 func (s *sampler) add(g bttarget.GroupState) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,7 +39,7 @@
 	s.known = true
 }
 
-// restart begins a window at the state.
+// restart starts a window at the state.
 func (s *sampler) restart(g bttarget.GroupState) {
 	s.base = g
 	s.hasBase = true
@@ -48,15 +48,15 @@
 	s.group = 0
 }
 
-// state returns the last reading, false where there is none.
+// state returns the last state, false if there is none.
 func (s *sampler) state() (bttarget.GroupState, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.last, s.known
 }
 
-// take ends the window and returns it, nil where the engine made no step in it.
-func (s *sampler) take() *Window {
+// takeWindow ends the window and returns it, nil if it covers no step.
+func (s *sampler) takeWindow() *Window {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.samples == 0 || s.last.Step <= s.base.Step {
@@ -73,15 +73,15 @@
 		if l < len(s.base.Counts) {
 			before = s.base.Counts[l]
 		}
-		w.Counts[l] = since(before, layer)
+		w.Counts[l] = countsSince(before, layer)
 	}
 	s.restart(s.last)
 	return w
 }
 
-// since returns what was counted since before; experts whose count fell are
-// left out.
-func since(before, now []uint64) LayerCounts {
+// countsSince returns the tokens counted between two readings. Experts whose count fell
+// are left out.
+func countsSince(before, now []uint64) LayerCounts {
 	var c LayerCounts
 	for e, tokens := range now {
 		if e < len(before) {
--- a/io/btgroup/store.go
+++ b/io/btgroup/store.go
@@ -12,9 +12,9 @@
 // ErrStoreDown is wrapped by the error of a weight store that doesn't answer.
 var ErrStoreDown = errors.New("weight store down")
 
-// Store tells whether the weight store answers.
+// Store checks whether the weight store answers.
 type Store interface {
-	// Probe asks for a model's weights without taking them. The error wraps
+	// Probe requests a model's weights without reading them. The error wraps
 	// ErrStoreDown.
 	Probe(ctx context.Context, model btid.Service) error
 }
@@ -26,13 +26,13 @@
 
 var _ Store = (*PlatformStore)(nil)
 
-// NewPlatformStore returns a store that asks through the client.
+// NewPlatformStore returns a store that uses the client.
 func NewPlatformStore(client *btplatform.Client) *PlatformStore {
 	return &PlatformStore{client: client}
 }
 
-// Probe opens one expert's weights and drops them at once. A store that limits
-// calls, or has no such weights, is not down.
+// Probe opens one expert's weights and closes them without reading. A store that limits
+// calls, or that doesn't have these weights, is not down.
 func (s *PlatformStore) Probe(ctx context.Context, model btid.Service) error {
 	weights, err := s.client.Weights(ctx, btplatform.Expert{Model: model})
 	if errors.Is(err, btplatform.ErrUnavailable) {
