--- a/io/btagent/btagent.go
+++ b/io/btagent/btagent.go
@@ -87,7 +87,7 @@
 		self:    btid.Executor{Target: o.Target, Incarnation: btid.Incarnation(o.Clock().UnixNano())},
 		startup: make(chan func(context.Context), startupCapacity),
 	}
-	a.stop = btprocess.NewStop(btmember.DrainSettings{DeadlineGrace: deadlineGrace}, o.Elapsed, o.Assert, o.Log)
+	a.stop = btprocess.NewStop(btmember.DrainSettings{DeadlineGrace: stopGrace}, o.Elapsed, o.Assert, o.Log)
 	a.home = newKeyHome(o, a.self, o.Bundles)
 	a.isolation = btprocess.NewIsolation(o.Bundles)
 	a.heartbeat = newHeartbeat(o, a.self, a.report, a.sendCrashRecords)
@@ -98,9 +98,9 @@
 	return a
 }
 
-// deadlineGrace is how long after its deadline a planned stop still waits for a
-// request.
-const deadlineGrace = time.Second
+// stopGrace is how long after its deadline a planned stop still waits for a request,
+// and how long it waits for entries to receive the last bytes.
+const stopGrace = time.Second
 
 // Stop returns the agent's planned stop.
 func (a *Agent) Stop() *btprocess.Stop { return a.stop }
@@ -163,7 +163,7 @@
 // the agent, a request ends when its last bytes are handed to the connection; if the
 // process exited then, these bytes would be lost.
 func (a *Agent) closeNode(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, deadlineGrace)
+	ctx, cancel := context.WithTimeout(ctx, stopGrace)
 	defer cancel()
 	if err := a.options.Node.Close(ctx); err != nil {
 		a.options.Log.Warn("planned stop: node closed before all was delivered", "error", err)
--- a/io/btagent/engine.go
+++ b/io/btagent/engine.go
@@ -136,8 +136,8 @@
 	e.changed()
 }
 
-// handleLoad stores the engine's load. An engine whose step count has fallen has
-// restarted, and its cache is empty.
+// handleLoad stores the engine's load. An engine that refused connections before, or
+// whose step count has fallen, counts as restarted with an empty cache.
 func (e *engineMonitor) handleLoad(load bttarget.Load) {
 	e.mu.Lock()
 	returned := e.refusals >= goneAfterRefusals
--- a/io/btagent/quarantine.go
+++ b/io/btagent/quarantine.go
@@ -10,10 +10,10 @@
 )
 
 // detectCrash handles an answer that broke off: if the target's process is gone, it
-// records that the target crashed while it ran the request. It waits, for a
-// limited time, until the entry that sent the request has the record, so that the entry
-// knows of the crash before it receives the failure and decides on another attempt.
-// Other entries get the record in the background.
+// records that the target crashed while it ran the request. It waits, for a limited
+// time, until the entry that sent the request has the record, so that the entry knows of
+// the crash before it receives the failure and decides on another attempt. Other entries
+// get the record in the background.
 func (v *attempt) detectCrash(ctx context.Context, err error, p btquarantine.Progress) {
 	// Checking the target and sending the record continue if the caller cancels.
 	ctx = context.WithoutCancel(ctx)
@@ -29,7 +29,8 @@
 }
 
 // progressAfter returns how far a target got that has begun to answer. hasOutput tells
-// that a part of the answer's body has arrived.
+// that a part of the answer's body has arrived; without it, a rank of a larger group
+// counts as having begun only.
 func (v *attempt) progressAfter(hasOutput bool) btquarantine.Progress {
 	if hasOutput || !v.agent.group.MultiRank() {
 		return btquarantine.Answering
--- a/io/btagent/serve.go
+++ b/io/btagent/serve.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// startBy returns when the request should have started, the zero time if the service
-// has no such goal.
+// startBy returns the time by which the request should start, the zero time if the
+// service has no goal for its first token.
 func (v *attempt) startBy() time.Time {
 	if v.deps.firstToken == 0 {
 		return time.Time{}
