--- a/cmd/bilberrytide-standin/engine.go
+++ b/cmd/bilberrytide-standin/engine.go
@@ -42,7 +42,7 @@
 		PrefillRate:       *f.prefillRate,
 		PrefixCacheBlocks: *f.cacheBlocks,
 		LoadLag:           *f.loadLag,
-		CacheFault:        btstandin.CacheFault{Delay: btbundle.Span{Duration: *f.eventDelay}, DropEvery: *f.eventDrop},
+		CacheFault:        btstandin.CacheFault{Delay: btbundle.Duration{Duration: *f.eventDelay}, DropEvery: *f.eventDrop},
 		ChecksFencing:     *f.checksFencing,
 		Seed:              *f.seed,
 	}
--- a/cmd/bilberrytide/bundle_test.go
+++ b/cmd/bilberrytide/bundle_test.go
@@ -35,7 +35,7 @@
 
 func (s *stage) platform(mode btstandin.PlatformMode, age time.Duration) {
 	s.Helper()
-	fault := btstandin.PlatformFault{Mode: mode, Age: btbundle.Span{Duration: age}}
+	fault := btstandin.PlatformFault{Mode: mode, Age: btbundle.Duration{Duration: age}}
 	assert.NilError(s, s.FailPlatform(s.ctx, fault))
 }
 
--- a/cmd/bilberrytide/overload_test.go
+++ b/cmd/bilberrytide/overload_test.go
@@ -202,7 +202,7 @@
 	file, err := v.Version(2, func(next *btbundle.Bundle) {
 		next.Services = slices.Clone(next.Services)
 		for i := range next.Services {
-			next.Services[i].FirstToken = btbundle.Span{Duration: goal}
+			next.Services[i].FirstToken = btbundle.Duration{Duration: goal}
 		}
 	})
 	assert.NilError(b, err)
--- a/commands/btbundlecmd/show.go
+++ b/commands/btbundlecmd/show.go
@@ -61,7 +61,7 @@
 	row("\nservice\tkind\ttargets\tepoch\tkey homes")
 	for i := range b.Services {
 		s := &b.Services[i]
-		row("%s\t%s\t%d\t%d\t%v", s.Name, s.Kind, targets[s.Name], s.Current().Number, s.Current().Homes)
+		row("%s\t%s\t%d\t%d\t%v", s.Name, s.Kind, targets[s.Name], s.CurrentEpoch().Number, s.CurrentEpoch().Homes)
 	}
 	row("\ngroup\tservice\tranks\texperts\tlayers\tslots a rank")
 	for _, g := range b.Groups {
--- a/core/btannounce/btannounce.go
+++ b/core/btannounce/btannounce.go
@@ -27,7 +27,7 @@
 
 // Announcement says what a process has in force, and is asked for with one.
 type Announcement struct {
-	Order btbundle.Order `cbor:"order" json:"order"`
+	Revision btbundle.Revision `cbor:"order" json:"order"`
 	// Reads are the latest reads of the service that the sender knows of, its
 	// own and others', newest first.
 	Reads []Read `cbor:"reads,omitempty" json:"reads"`
@@ -37,7 +37,7 @@
 
 // Validate reports an announcement that no process could make.
 func (a Announcement) Validate() error {
-	if err := a.Order.Validate(); err != nil {
+	if err := a.Revision.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	if len(a.Reads) > MaxReads {
@@ -53,12 +53,12 @@
 
 // Ask asks for the signed file of the bundle in force.
 type Ask struct {
-	Order btbundle.Order `cbor:"order" json:"order"`
+	Revision btbundle.Revision `cbor:"order" json:"order"`
 }
 
 // Validate reports an ask for nothing.
 func (a Ask) Validate() error {
-	if err := a.Order.Validate(); err != nil {
+	if err := a.Revision.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	return nil
--- a/core/btannounce/fuzz_test.go
+++ b/core/btannounce/fuzz_test.go
@@ -14,11 +14,11 @@
 // FuzzMessages decodes any bytes as each message: they give an error, or a
 // message that stays valid when it is sent on.
 func FuzzMessages(f *testing.F) {
-	order := btbundle.Order{Version: 3, Digest: btbundle.DigestOf([]byte("x"))}
+	order := btbundle.Revision{Version: 3, Digest: btbundle.DigestOf([]byte("x"))}
 	for _, seed := range []any{
-		btannounce.Announcement{Order: order, Reads: []btannounce.Read{{Reader: "entry/e1", Age: time.Second}}},
+		btannounce.Announcement{Revision: order, Reads: []btannounce.Read{{Reader: "entry/e1", Age: time.Second}}},
 		btannounce.Announcement{Reads: make([]btannounce.Read, btannounce.MaxReads+1)},
-		btannounce.Ask{Order: order},
+		btannounce.Ask{Revision: order},
 		btannounce.Pack([]byte("version = 1\n")),
 	} {
 		data, err := cbor.Marshal(seed)
--- a/core/btbundle/approve.go
+++ b/core/btbundle/approve.go
@@ -72,20 +72,20 @@
 	return nil
 }
 
-// Order is a bundle's place in the order in which bundles replace each other.
-type Order struct {
+// Revision is a bundle's place in the order in which bundles replace each other.
+type Revision struct {
 	Version btid.BundleVersion `cbor:"version" json:"version"`
 	Digest  Digest             `cbor:"digest" json:"digest"`
 }
 
 // Compare orders by version, then by digest.
-func (o Order) Compare(other Order) int {
+func (o Revision) Compare(other Revision) int {
 	return cmp.Or(cmp.Compare(o.Version, other.Version), bytes.Compare(o.Digest[:], other.Digest[:]))
 }
 
 // Validate reports an order that no process could announce: a version without
 // a digest, or a digest without a version.
-func (o Order) Validate() error {
+func (o Revision) Validate() error {
 	if (o.Version == 0) != o.Digest.IsZero() {
 		return fmt.Errorf("bundle order: version %d with digest %s", o.Version, o.Digest)
 	}
@@ -111,12 +111,12 @@
 // Verified tells whether Approvers.Verify made this value.
 func (a *Approved) Verified() bool { return a != nil && a.verified }
 
-// Order returns the bundle's place in the order; nil has the lowest.
-func (a *Approved) Order() Order {
+// Revision returns the bundle's place in the order; nil has the lowest.
+func (a *Approved) Revision() Revision {
 	if a == nil {
-		return Order{}
+		return Revision{}
 	}
-	return Order{Version: a.Bundle.Version, Digest: a.Digest}
+	return Revision{Version: a.Bundle.Version, Digest: a.Digest}
 }
 
 // Verify checks the signatures, then the document. Signatures of unknown keys
--- a/core/btbundle/btbundle.go
+++ b/core/btbundle/btbundle.go
@@ -22,8 +22,8 @@
 // other of targets in summaries call one silent after two and a half of it.
 const MaxHeartbeat = time.Second
 
-// Span is a duration that is written in TOML as Go writes durations: "30s".
-type Span struct {
+// Duration is a duration that is written in TOML as Go writes durations: "30s".
+type Duration struct {
 	time.Duration
 }
 
@@ -55,26 +55,26 @@
 // Timeouts bounds waiting.
 type Timeouts struct {
 	// Request is the deadline of a request whose caller names none.
-	Request Span `toml:"request" json:"request"`
+	Request Duration `toml:"request" json:"request"`
 	// RequestMax is the longest deadline a caller may ask for.
-	RequestMax Span `toml:"request_max" json:"request_max"`
+	RequestMax Duration `toml:"request_max" json:"request_max"`
 	// Heartbeat is the interval at which agents report to those who watch them.
-	Heartbeat Span `toml:"heartbeat" json:"heartbeat"`
+	Heartbeat Duration `toml:"heartbeat" json:"heartbeat"`
 	// TargetLease is how long an entry gives a target new work after its last
 	// heartbeat.
-	TargetLease Span `toml:"target_lease" json:"target_lease"`
+	TargetLease Duration `toml:"target_lease" json:"target_lease"`
 }
 
 // Idempotency states how long keys are remembered.
 type Idempotency struct {
 	// Retention is how long a key is remembered; an older one is refused.
-	Retention Span `toml:"retention" json:"retention"`
+	Retention Duration `toml:"retention" json:"retention"`
 	// ClockError is the largest difference between any two clocks, callers'
 	// included, that key times are trusted to.
-	ClockError Span `toml:"clock_error" json:"clock_error"`
+	ClockError Duration `toml:"clock_error" json:"clock_error"`
 	// Lease is how long a key home may grant after a majority confirmed it, at
 	// most MaxLease.
-	Lease Span `toml:"lease" json:"lease"`
+	Lease Duration `toml:"lease" json:"lease"`
 }
 
 // Retry bounds retries by the entry.
@@ -84,7 +84,7 @@
 	// MaxAttempts counts the first attempt too.
 	MaxAttempts int `toml:"max_attempts" json:"max_attempts"`
 	// Backoff is the mean wait before the first retry; it doubles each time.
-	Backoff Span `toml:"backoff" json:"backoff"`
+	Backoff Duration `toml:"backoff" json:"backoff"`
 }
 
 // Ejection bounds how targets are put out of rotation for failing or slowness.
@@ -96,7 +96,7 @@
 	// SlowFactor puts out a target this many times slower than the median.
 	SlowFactor float64 `toml:"slow_factor" json:"slow_factor"`
 	// Duration is the first time out; it doubles with each in a row.
-	Duration Span `toml:"duration" json:"duration"`
+	Duration Duration `toml:"duration" json:"duration"`
 }
 
 // Placement weighs even steps against the cost of moving experts.
@@ -106,9 +106,9 @@
 	// MoveWeight is the price of one second of weight transfer or stall.
 	MoveWeight float64 `toml:"move_weight" json:"move_weight"`
 	// Interval is the time between two considerations of the map.
-	Interval Span `toml:"interval" json:"interval"`
+	Interval Duration `toml:"interval" json:"interval"`
 	// Horizon is how long a new map is expected to stay good.
-	Horizon Span `toml:"horizon" json:"horizon"`
+	Horizon Duration `toml:"horizon" json:"horizon"`
 }
 
 // DataCentre places a data centre in its region.
@@ -144,7 +144,7 @@
 	MaxBody int64 `toml:"max_body" json:"max_body"`
 	// FirstToken is the goal for the time to the first token or byte: a request
 	// that would wait longer for a slot is refused at once. Zero for no goal.
-	FirstToken Span `toml:"first_token,omitempty" json:"first_token"`
+	FirstToken Duration `toml:"first_token,omitempty" json:"first_token"`
 	// KeyRequired refuses POST, PUT, PATCH and DELETE without Idempotency-Key.
 	KeyRequired bool `toml:"key_required,omitempty" json:"key_required"`
 	// Epochs lists the sets of key homes, oldest first, the last in force;
--- a/core/btbundle/btdraft/btdraft.go
+++ b/core/btbundle/btdraft/btdraft.go
@@ -86,7 +86,7 @@
 // set gives a key of the root a value; a missing one goes to the top.
 func (d *draft) set(key, value string) {
 	assignment := key + " = " + value
-	start, end, ok := d.positions.Value(key)
+	start, end, ok := d.positions.ValueRange(key)
 	if !ok {
 		at := d.top()
 		d.edits = append(d.edits, edit{start: at, end: at, text: assignment + "\n"})
@@ -99,7 +99,7 @@
 // there, or at the start of the text.
 func (d *draft) top() int {
 	for _, key := range []string{"created", "version", "parent"} {
-		if start, _, ok := d.positions.Value(key); ok {
+		if start, _, ok := d.positions.ValueRange(key); ok {
 			return start
 		}
 	}
@@ -111,7 +111,7 @@
 	service := &d.bundle.Services[i]
 	next := btbundle.NextEpochs(service, d.bundle.Targets, d.bundle.Idempotency, now)
 	key := bttoml.Path("services", i, "epochs")
-	if start, end, ok := d.positions.Value(key); ok {
+	if start, end, ok := d.positions.ValueRange(key); ok {
 		if !sameEpochs(service.Epochs, next) {
 			d.edits = append(d.edits, edit{start: start, end: end, text: "epochs = " + inline(next)})
 		}
@@ -125,7 +125,7 @@
 func (d *draft) dropEpochs(key string, old, next []btbundle.HomeEpoch) {
 	for j, e := range old {
 		kept := slices.ContainsFunc(next, func(n btbundle.HomeEpoch) bool { return n.Number == e.Number })
-		start, end, ok := d.positions.Table(bttoml.Path(key, j, ""), true)
+		start, end, ok := d.positions.TableRange(bttoml.Path(key, j, ""), true)
 		if kept || !ok {
 			continue
 		}
@@ -146,9 +146,9 @@
 	if len(old) > 0 && old[len(old)-1].Number == last.Number {
 		return
 	}
-	_, at, ok := d.positions.Table(bttoml.Path("services", i, ""), false)
+	_, at, ok := d.positions.TableRange(bttoml.Path("services", i, ""), false)
 	if len(old) > 0 {
-		_, at, ok = d.positions.Table(bttoml.Path(bttoml.Path("services", i, "epochs"), len(old)-1, ""), true)
+		_, at, ok = d.positions.TableRange(bttoml.Path(bttoml.Path("services", i, "epochs"), len(old)-1, ""), true)
 	}
 	if ok {
 		d.edits = append(d.edits, edit{start: at, end: at, text: table(last)})
--- a/core/btbundle/bttoml/decode.go
+++ b/core/btbundle/bttoml/decode.go
@@ -41,9 +41,9 @@
 	return positions, d.problems
 }
 
-// UnknownOnly tells whether all the problems are unknown keys, so that the
+// OnlyUnknownKeys tells whether all the problems are unknown keys, so that the
 // values which were decoded can be trusted.
-func (p Problems) UnknownOnly() bool {
+func (p Problems) OnlyUnknownKeys() bool {
 	for _, problem := range p {
 		if !strings.HasPrefix(problem.Text, unknownKey) {
 			return false
--- a/core/btbundle/bttoml/positions.go
+++ b/core/btbundle/bttoml/positions.go
@@ -224,9 +224,9 @@
 	return path + "." + key
 }
 
-// Value returns the range of the key with its value, as "key = value" stands
+// ValueRange returns the range of the key with its value, as "key = value" stands
 // in the document; false where the key is missing.
-func (p *Positions) Value(key string) (start, end int, ok bool) {
+func (p *Positions) ValueRange(key string) (start, end int, ok bool) {
 	for _, n := range p.nodes {
 		if n.path == key && !n.header {
 			return n.start, n.end, true
@@ -235,10 +235,10 @@
 	return 0, 0, false
 }
 
-// Table returns the range from the start of the table's header line to the end
+// TableRange returns the range from the start of the table's header line to the end
 // of its last key, tables within it included where inner is set; false where
 // no header opens the table.
-func (p *Positions) Table(key string, inner bool) (start, end int, ok bool) {
+func (p *Positions) TableRange(key string, inner bool) (start, end int, ok bool) {
 	for _, n := range p.nodes {
 		switch {
 		case n.path == key && n.header:
--- a/core/btbundle/check.go
+++ b/core/btbundle/check.go
@@ -99,13 +99,13 @@
 		"%s must be at least the interval, which is %s", p.Horizon, p.Interval)
 }
 
-func (c *checker) positive(s Span, key string) {
+func (c *checker) positive(s Duration, key string) {
 	c.Require(s.Duration > 0, key, `is missing or zero: write a duration such as "30s"`)
 }
 
 // relate requires what holds between two durations; where one is missing, that
 // has been said already.
-func (c *checker) relate(left, right Span, holds bool, key, format string, args ...any) {
+func (c *checker) relate(left, right Duration, holds bool, key, format string, args ...any) {
 	missing := left.Duration <= 0 || right.Duration <= 0
 	c.Require(holds || missing, key, format, args...)
 }
--- a/core/btbundle/check_homes.go
+++ b/core/btbundle/check_homes.go
@@ -29,7 +29,7 @@
 		}
 		last := len(s.Epochs) - 1
 		for j, e := range s.Epochs[:last] {
-			leftOut := s.Epochs[j+1].Since.Add(c.bundle.Idempotency.EpochMemory())
+			leftOut := s.Epochs[j+1].Since.Add(c.bundle.Idempotency.EpochRetention())
 			c.majority(bttoml.Path(list, j, "homes"), s.Name, e.Homes, leftOut)
 		}
 		homes := s.Epochs[last].Homes
--- a/core/btbundle/check_successor.go
+++ b/core/btbundle/check_successor.go
@@ -147,7 +147,7 @@
 
 func epochProblems(before, after *Service, next *Bundle) []string {
 	var texts []string
-	last := before.Current().Number
+	last := before.CurrentEpoch().Number
 	for j, e := range before.Epochs {
 		kept := slices.IndexFunc(after.Epochs, func(a HomeEpoch) bool { return a.Number == e.Number })
 		if kept >= 0 {
@@ -156,7 +156,7 @@
 			}
 			continue
 		}
-		ended := e.Number < last && next.Created.Sub(before.Epochs[j+1].Since) > next.Idempotency.EpochMemory()
+		ended := e.Number < last && next.Created.Sub(before.Epochs[j+1].Since) > next.Idempotency.EpochRetention()
 		if !ended {
 			texts = append(texts, fmt.Sprintf("epoch %d is left out, but its homes may still be asked about keys", e.Number))
 		}
--- a/core/btbundle/decode.go
+++ b/core/btbundle/decode.go
@@ -34,7 +34,7 @@
 	}
 	b := new(Bundle)
 	positions, problems := bttoml.Decode(document, b)
-	if !problems.UnknownOnly() {
+	if !problems.OnlyUnknownKeys() {
 		return nil, nil, problems.Err()
 	}
 	advice := bttoml.NewChecker(positions)
--- a/core/btbundle/decode_test.go
+++ b/core/btbundle/decode_test.go
@@ -137,7 +137,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		register := newRegister(1)
 		register.Step(start, btbundle.Started{})
-		for _, e := range register.Step(start, btbundle.Offered{Raw: data}) {
+		for _, e := range register.Step(start, btbundle.Received{Raw: data}) {
 			if in, ok := e.(btbundle.InForce); ok {
 				assert.Equal(t, in.Approved.Digest, btbundle.DigestOf([]byte(small)), "nothing else was ever signed")
 			}
--- a/core/btbundle/diff_homes.go
+++ b/core/btbundle/diff_homes.go
@@ -9,8 +9,8 @@
 
 // diffHomes tells which share of the idempotency keys changes its home.
 func diffHomes(d *differ, subject string, before, after *Service) {
-	old := before.Current()
-	current := after.Current()
+	old := before.CurrentEpoch()
+	current := after.CurrentEpoch()
 	if old.Number == current.Number {
 		return
 	}
--- a/core/btbundle/span.go
+++ b/core/btbundle/duration.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// ErrSpan is wrapped by the error of every malformed duration.
-var ErrSpan = errors.New("malformed duration")
+// ErrDuration is wrapped by the error of every malformed duration.
+var ErrDuration = errors.New("malformed duration")
 
 // MarshalText writes the duration as Go does: "1m30s".
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a duration that is not negative. The error wraps ErrSpan.
-func (s *Span) UnmarshalText(text []byte) error {
+// UnmarshalText reads a duration that is not negative. The error wraps ErrDuration.
+func (s *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf(`%w: %q: write it as "250ms", "30s" or "24h"`, ErrSpan, text)
+		return fmt.Errorf(`%w: %q: write it as "250ms", "30s" or "24h"`, ErrDuration, text)
 	}
 	if duration < 0 {
-		return fmt.Errorf("%w: %q is negative", ErrSpan, text)
+		return fmt.Errorf("%w: %q is negative", ErrDuration, text)
 	}
 	s.Duration = duration
 	return nil
--- a/core/btbundle/index.go
+++ b/core/btbundle/index.go
@@ -141,8 +141,8 @@
 // HashKey returns the digest under which a bundle lists a bearer key.
 func HashKey(bearer string) Digest { return sha256.Sum256([]byte(bearer)) }
 
-// May tells whether the account may ask for the service.
-func (a *Account) May(service btid.Service) bool {
+// MayUse tells whether the account may ask for the service.
+func (a *Account) MayUse(service btid.Service) bool {
 	for _, s := range a.Services {
 		if s == service {
 			return true
@@ -151,5 +151,5 @@
 	return len(a.Services) == 0
 }
 
-// Current returns the epoch of key homes in force.
-func (s *Service) Current() HomeEpoch { return s.Epochs[len(s.Epochs)-1] }
+// CurrentEpoch returns the epoch of key homes in force.
+func (s *Service) CurrentEpoch() HomeEpoch { return s.Epochs[len(s.Epochs)-1] }
--- a/core/btbundle/naive_test.go
+++ b/core/btbundle/naive_test.go
@@ -15,31 +15,31 @@
 
 // believesService takes whatever the configuration service holds.
 func believesService(current, offered *btbundle.Approved, source btbundle.Source) bool {
-	return source.Service() || offered.Order().Version > current.Order().Version
+	return source.FromService() || offered.Revision().Version > current.Revision().Version
 }
 
 // versionOnly takes a higher version, and keeps the first of two equal ones.
 func versionOnly(current, offered *btbundle.Approved, _ btbundle.Source) bool {
-	return offered.Order().Version > current.Order().Version
+	return offered.Revision().Version > current.Revision().Version
 }
 
 func (n *naive) InForce() *btbundle.Approved { return n.current }
 
 func (n *naive) Step(_ time.Time, event btbundle.RegisterEvent) []btbundle.RegisterEffect {
 	switch e := event.(type) {
-	case btbundle.Heard:
-		if e.Version > n.current.Order().Version {
+	case btbundle.Announced:
+		if e.Version > n.current.Revision().Version {
 			return []btbundle.RegisterEffect{btbundle.Fetch{From: e.From, Version: e.Version, Digest: e.Digest}}
 		}
-	case btbundle.Offered:
+	case btbundle.Received:
 		return n.offered(e)
 	}
 	return nil
 }
 
-func (n *naive) offered(e btbundle.Offered) []btbundle.RegisterEffect {
+func (n *naive) offered(e btbundle.Received) []btbundle.RegisterEffect {
 	approved := n.verify(e.Raw)
-	if approved == nil || approved.Digest == n.current.Order().Digest || !n.accepts(n.current, approved, e.Source) {
+	if approved == nil || approved.Digest == n.current.Revision().Digest || !n.accepts(n.current, approved, e.Source) {
 		return nil
 	}
 	effect := btbundle.InForce{Approved: approved, Previous: n.current, Source: e.Source}
--- a/core/btbundle/reader.go
+++ b/core/btbundle/reader.go
@@ -15,16 +15,16 @@
 type ReaderPolicy struct {
 	// Count is how many read while all is well.
 	Count int
-	// Most is how many read at once at the most, while readers are silent.
-	Most int
-	// Silence is how long the readers before a process must have read nothing
+	// MaxCount is how many read at once at the most, while readers are silent.
+	MaxCount int
+	// FailoverTimeout is how long the readers before a process must have read nothing
 	// before it steps in; the next steps in after twice as long, and so on.
-	Silence time.Duration
+	FailoverTimeout time.Duration
 }
 
 // DefaultReaderPolicy is the policy that processes use.
 func DefaultReaderPolicy() ReaderPolicy {
-	return ReaderPolicy{Count: 2, Most: 4, Silence: 3 * time.Second}
+	return ReaderPolicy{Count: 2, MaxCount: 4, FailoverTimeout: 3 * time.Second}
 }
 
 // Reader is a process that could read the configuration service.
@@ -35,10 +35,10 @@
 	LastRead time.Time
 }
 
-// Reads tells whether self reads the service now. Members are the live
+// ShouldRead tells whether self reads the service now. Members are the live
 // processes of self's data centre, self included; since is when self began to
 // watch them.
-func (p ReaderPolicy) Reads(now, since time.Time, self Peer, members []Reader) bool {
+func (p ReaderPolicy) ShouldRead(now, since time.Time, self Peer, members []Reader) bool {
 	names := make([]Peer, len(members))
 	last := make(map[Peer]time.Time, len(members))
 	for i, m := range members {
@@ -47,12 +47,12 @@
 	}
 	heard := since
 	for rank, name := range ReaderOrder(names) {
-		if rank >= p.Most {
+		if rank >= p.MaxCount {
 			return false
 		}
 		if name == self {
 			late := rank - p.Count + 1
-			return late <= 0 || now.Sub(heard) >= time.Duration(late)*p.Silence
+			return late <= 0 || now.Sub(heard) >= time.Duration(late)*p.FailoverTimeout
 		}
 		if last[name].After(heard) {
 			heard = last[name]
--- a/core/btbundle/register.go
+++ b/core/btbundle/register.go
@@ -49,12 +49,12 @@
 	Peer Peer
 }
 
-// Service tells whether the source is the configuration service.
-func (s Source) Service() bool { return s.Peer == "" }
+// FromService tells whether the source is the configuration service.
+func (s Source) FromService() bool { return s.Peer == "" }
 
 // String writes the source as it stands in logs.
 func (s Source) String() string {
-	if s.Service() {
+	if s.FromService() {
 		return "configuration service"
 	}
 	return string(s.Peer)
@@ -67,41 +67,41 @@
 type RegisterEffect interface{ registerEffect() }
 
 // Started tells a process's first moment: the peers that it has asked what is
-// in force. Each one's Heard is its answer.
+// in force. Each one's Announced is its answer.
 type Started struct{ Peers []Peer }
 
-// Offered brings a signed file.
-type Offered struct {
+// Received brings a signed file.
+type Received struct {
 	Raw    []byte
 	Source Source
-	// Asked is the order of the Fetch that this answers; zero where the bytes
+	// Requested is the order of the Fetch that this answers; zero where the bytes
 	// came unasked or from the configuration service.
-	Asked Order
+	Requested Revision
 }
 
-// Heard brings what a peer says to be in force there; version 0 for nothing.
-type Heard struct {
+// Announced brings what a peer says to be in force there; version 0 for nothing.
+type Announced struct {
 	Version btid.BundleVersion
 	Digest  Digest
 	From    Peer
 }
 
-// Order returns what the peer announced.
-func (h Heard) Order() Order { return Order{Version: h.Version, Digest: h.Digest} }
+// Revision returns what the peer announced.
+func (h Announced) Revision() Revision { return Revision{Version: h.Version, Digest: h.Digest} }
 
 // FetchFailed tells that a Fetch brought no bytes.
 type FetchFailed struct {
-	From  Peer
-	Asked Order
-	Err   error
+	From      Peer
+	Requested Revision
+	Err       error
 }
 
 // Tick lets time pass. It is due a few times a second.
 type Tick struct{}
 
 func (Started) registerEvent()     {}
-func (Offered) registerEvent()     {}
-func (Heard) registerEvent()       {}
+func (Received) registerEvent()    {}
+func (Announced) registerEvent()   {}
 func (FetchFailed) registerEvent() {}
 func (Tick) registerEvent()        {}
 
@@ -119,11 +119,11 @@
 	Digest  Digest
 }
 
-// Order returns what is asked for, which the answer carries as Asked.
-func (f Fetch) Order() Order { return Order{Version: f.Version, Digest: f.Digest} }
+// Revision returns what is asked for, which the answer carries as Asked.
+func (f Fetch) Revision() Revision { return Revision{Version: f.Version, Digest: f.Digest} }
 
-// Held tells that the configuration service's value waits for peers' answers.
-type Held struct{ Order Order }
+// Deferred tells that the configuration service's value waits for peers' answers.
+type Deferred struct{ Revision Revision }
 
 // Refused tells of a bundle or an answer that changes nothing.
 type Refused struct {
@@ -144,7 +144,7 @@
 
 func (InForce) registerEffect()  {}
 func (Fetch) registerEffect()    {}
-func (Held) registerEffect()     {}
+func (Deferred) registerEffect() {}
 func (Refused) registerEffect()  {}
 func (Conflict) registerEffect() {}
 
@@ -152,9 +152,9 @@
 type RegisterConfig struct {
 	// Approvers is the trust anchor from the process's settings.
 	Approvers Approvers
-	// Hold is the longest that a process with nothing in force keeps the
+	// MaxDeferral is the longest that a process with nothing in force keeps the
 	// configuration service's value waiting for a peer's answer.
-	Hold time.Duration
+	MaxDeferral time.Duration
 	// FetchTimeout is how long a peer has to answer a Fetch.
 	FetchTimeout time.Duration
 	// FetchLimit is how many fetches may be in flight at once.
@@ -163,20 +163,20 @@
 	// failure; it doubles with each in a row, up to BackoffMax.
 	Backoff    time.Duration
 	BackoffMax time.Duration
-	// Expiry is how long a peer's announcement is remembered.
-	Expiry time.Duration
+	// AnnouncementTTL is how long a peer's announcement is remembered.
+	AnnouncementTTL time.Duration
 }
 
 // DefaultRegisterConfig returns the bounds that processes use.
 func DefaultRegisterConfig(approvers Approvers) RegisterConfig {
 	return RegisterConfig{
-		Approvers:    approvers,
-		Hold:         3 * time.Second,
-		FetchTimeout: time.Second,
-		FetchLimit:   2,
-		Backoff:      500 * time.Millisecond,
-		BackoffMax:   30 * time.Second,
-		Expiry:       time.Minute,
+		Approvers:       approvers,
+		MaxDeferral:     3 * time.Second,
+		FetchTimeout:    time.Second,
+		FetchLimit:      2,
+		Backoff:         500 * time.Millisecond,
+		BackoffMax:      30 * time.Second,
+		AnnouncementTTL: time.Minute,
 	}
 }
 
@@ -199,7 +199,7 @@
 	now     time.Time
 	current *Approved
 	// order is that of current when it was put in force.
-	order Order
+	order Revision
 	// outranked is the last bundle refused for a higher one: a stale source
 	// offers it again and again.
 	outranked *Approved
@@ -221,4 +221,4 @@
 func (r *Register) InForce() *Approved { return r.current }
 
 // Announcement returns what heartbeats say: the order of the bundle in force.
-func (r *Register) Announcement() Order { return r.order }
+func (r *Register) Announcement() Revision { return r.order }
--- a/core/btbundle/register_bench_test.go
+++ b/core/btbundle/register_bench_test.go
@@ -51,7 +51,7 @@
 	}
 	policy := btbundle.DefaultReaderPolicy()
 	for i := range size {
-		if policy.Reads(start, start, name(i), members[i%centres]) {
+		if policy.ShouldRead(start, start, name(i), members[i%centres]) {
 			r.readers = append(r.readers, i)
 		}
 	}
@@ -75,7 +75,7 @@
 	r.missing = len(r.registers)
 	begin := r.now
 	for _, i := range r.readers {
-		r.after(2*tick, func() { r.apply(i, btbundle.Offered{Raw: r.latest}) })
+		r.after(2*tick, func() { r.apply(i, btbundle.Received{Raw: r.latest}) })
 	}
 	for r.missing > 0 {
 		r.advance()
@@ -106,7 +106,7 @@
 func (r *rollout) beat(i int) {
 	order := r.registers[i].Announcement()
 	for _, j := range r.watchers[i] {
-		event := btbundle.Heard{Version: order.Version, Digest: order.Digest, From: r.names[i]}
+		event := btbundle.Announced{Version: order.Version, Digest: order.Digest, From: r.names[i]}
 		r.after(tick, func() { r.apply(j, event) })
 	}
 }
@@ -121,7 +121,7 @@
 			}
 		case btbundle.Fetch:
 			r.fetches++
-			answer := btbundle.Offered{Raw: r.latest, Source: btbundle.Source{Peer: e.From}, Asked: e.Order()}
+			answer := btbundle.Received{Raw: r.latest, Source: btbundle.Source{Peer: e.From}, Requested: e.Revision()}
 			r.after(2*tick, func() { r.apply(i, answer) })
 		}
 	}
--- a/core/btbundle/register_fetch.go
+++ b/core/btbundle/register_fetch.go
@@ -9,19 +9,19 @@
 
 // peerState is what a register knows of one peer.
 type peerState struct {
-	announced Order
+	announced Revision
 	heard     time.Time
 	// failures counts in a row; until is when the peer is asked again.
 	failures int
 	until    time.Time
 	// asked is the order of the fetch in flight; zero for none.
-	asked    Order
+	asked    Revision
 	deadline time.Time
 }
 
-func (p *peerState) inFlight() bool { return p.asked != Order{} }
+func (p *peerState) inFlight() bool { return p.asked != Revision{} }
 
-func (r *Register) heard(e Heard) {
+func (r *Register) heard(e Announced) {
 	delete(r.startup.silent, e.From)
 	if e.Version > 0 {
 		r.startup.heard = true
@@ -31,22 +31,22 @@
 		p = &peerState{}
 		r.peers[e.From] = p
 	}
-	p.announced = e.Order()
+	p.announced = e.Revision()
 	p.heard = r.now
 }
 
 // answered ends the peer's fetch of that order; false where none is in flight.
-func (r *Register) answered(from Peer, asked Order) bool {
+func (r *Register) answered(from Peer, asked Revision) bool {
 	p := r.peers[from]
 	if p == nil || !p.inFlight() || p.asked != asked {
 		return false
 	}
-	p.asked = Order{}
+	p.asked = Revision{}
 	return true
 }
 
 func (r *Register) fetchFailed(e FetchFailed) {
-	if !r.answered(e.From, e.Asked) {
+	if !r.answered(e.From, e.Requested) {
 		return
 	}
 	r.refuse(ReasonFetchFailed, e.Err, Source{Peer: e.From})
@@ -65,7 +65,7 @@
 	jitter := time.Duration(r.random.Int64N(int64(pause) + 1))
 	p.failures++
 	p.until = r.now.Add(pause/2 + jitter)
-	p.announced = Order{}
+	p.announced = Revision{}
 }
 
 // expire gives up on fetches without an answer and forgets silent peers.
@@ -73,19 +73,19 @@
 	for _, name := range slices.Sorted(maps.Keys(r.peers)) {
 		p := r.peers[name]
 		if p.inFlight() && !r.now.Before(p.deadline) {
-			p.asked = Order{}
+			p.asked = Revision{}
 			r.refuse(ReasonFetchTimeout, nil, Source{Peer: name})
 			r.setAside(name)
 		}
-		if !p.inFlight() && r.now.Sub(p.heard) > r.config.Expiry {
+		if !p.inFlight() && r.now.Sub(p.heard) > r.config.AnnouncementTTL {
 			delete(r.peers, name)
 		}
 	}
 }
 
 // highest returns the highest order that a peer in good standing announces.
-func (r *Register) highest() Order {
-	var best Order
+func (r *Register) highest() Revision {
+	var best Revision
 	for _, p := range r.peers {
 		if !r.now.Before(p.until) && p.announced.Compare(best) > 0 {
 			best = p.announced
@@ -98,7 +98,7 @@
 // each order from one peer at a time, which chance picks among those that
 // announce it.
 func (r *Register) fetch() {
-	running := map[Order]bool{}
+	running := map[Revision]bool{}
 	for _, p := range r.peers {
 		if p.inFlight() {
 			running[p.asked] = true
--- a/core/btbundle/register_run_test.go
+++ b/core/btbundle/register_run_test.go
@@ -105,20 +105,20 @@
 		f.err = fmt.Errorf("%w: version %d is lost", errDiverged, least.Version)
 	}
 	for i, p := range f.processes {
-		if f.err == nil && p.InForce().Order() != expected {
-			f.err = fmt.Errorf("%w: process %d has version %d", errDiverged, i, p.InForce().Order().Version)
+		if f.err == nil && p.InForce().Revision() != expected {
+			f.err = fmt.Errorf("%w: process %d has version %d", errDiverged, i, p.InForce().Revision().Version)
 		}
 	}
 	return f.err
 }
 
 // highest returns the highest order that the service or a process has.
-func (f *fleet) highest() btbundle.Order {
+func (f *fleet) highest() btbundle.Revision {
 	parsed, _ := btbundle.ParseSigned(f.published[len(f.published)-1])
-	best := btbundle.Order{Version: f.versionOf(parsed.Document), Digest: btbundle.DigestOf(parsed.Document)}
+	best := btbundle.Revision{Version: f.versionOf(parsed.Document), Digest: btbundle.DigestOf(parsed.Document)}
 	for _, p := range f.processes {
-		if p.InForce().Order().Compare(best) > 0 {
-			best = p.InForce().Order()
+		if p.InForce().Revision().Compare(best) > 0 {
+			best = p.InForce().Revision()
 		}
 	}
 	return best
@@ -162,9 +162,9 @@
 	case 2:
 		f.parts[i] = f.choose(2)
 	case 3:
-		f.apply(i, btbundle.Offered{Raw: f.forged(), Source: btbundle.Source{Peer: name(f.choose(len(f.processes)))}})
+		f.apply(i, btbundle.Received{Raw: f.forged(), Source: btbundle.Source{Peer: name(f.choose(len(f.processes)))}})
 	case 4:
-		f.apply(i, btbundle.Offered{Raw: f.forged()})
+		f.apply(i, btbundle.Received{Raw: f.forged()})
 	}
 }
 
@@ -206,14 +206,14 @@
 }
 
 func (f *fleet) heartbeat(i int) {
-	order := f.processes[i].InForce().Order()
+	order := f.processes[i].InForce().Revision()
 	to := f.choose(len(f.processes))
 	f.send(i, to, func() {
-		f.apply(to, btbundle.Heard{Version: order.Version, Digest: order.Digest, From: name(i)})
+		f.apply(to, btbundle.Announced{Version: order.Version, Digest: order.Digest, From: name(i)})
 	})
 	if f.choose(4) == 0 {
 		lie := btbundle.DigestOf([]byte{byte(f.choose(4))})
-		f.apply(to, btbundle.Heard{Version: liarsVersion, Digest: lie, From: liar})
+		f.apply(to, btbundle.Announced{Version: liarsVersion, Digest: lie, From: liar})
 	}
 }
 
@@ -222,11 +222,11 @@
 func (f *fleet) readService(i int) {
 	newest := len(f.published) - 1
 	if f.healed {
-		f.apply(i, btbundle.Offered{Raw: f.published[newest]})
+		f.apply(i, btbundle.Received{Raw: f.published[newest]})
 		return
 	}
 	if f.choose(4) == 0 {
-		f.apply(i, btbundle.Offered{Raw: f.published[max(newest-f.choose(3), 0)]})
+		f.apply(i, btbundle.Received{Raw: f.published[max(newest-f.choose(3), 0)]})
 	}
 }
 
@@ -245,7 +245,7 @@
 }
 
 func (f *fleet) apply(i int, event btbundle.RegisterEvent) {
-	before := f.processes[i].InForce().Order()
+	before := f.processes[i].InForce().Revision()
 	for _, effect := range f.processes[i].Step(f.now, event) {
 		switch e := effect.(type) {
 		case btbundle.InForce:
@@ -256,10 +256,10 @@
 	}
 }
 
-func (f *fleet) judge(before btbundle.Order, e btbundle.InForce) {
+func (f *fleet) judge(before btbundle.Revision, e btbundle.InForce) {
 	switch {
 	case f.err != nil:
-	case e.Approved.Order().Compare(before) <= 0:
+	case e.Approved.Revision().Compare(before) <= 0:
 		f.err = errReverted
 	case !f.genuine[e.Approved.Digest]:
 		f.err = errForged
@@ -276,24 +276,24 @@
 	f.send(i, peer, func() {
 		current := f.processes[peer].InForce()
 		if current == nil {
-			f.apply(i, btbundle.FetchFailed{From: e.From, Asked: e.Order()})
+			f.apply(i, btbundle.FetchFailed{From: e.From, Requested: e.Revision()})
 			return
 		}
 		f.send(peer, i, func() {
-			f.apply(i, btbundle.Offered{Raw: current.Raw, Source: btbundle.Source{Peer: e.From}, Asked: e.Order()})
+			f.apply(i, btbundle.Received{Raw: current.Raw, Source: btbundle.Source{Peer: e.From}, Requested: e.Revision()})
 		})
 	})
 }
 
 // lie answers a fetch with forged bytes, an old bundle, an error or nothing.
 func (f *fleet) lie(i int, e btbundle.Fetch) {
-	answer := btbundle.Offered{Raw: f.forged(), Source: btbundle.Source{Peer: liar}, Asked: e.Order()}
+	answer := btbundle.Received{Raw: f.forged(), Source: btbundle.Source{Peer: liar}, Requested: e.Revision()}
 	switch f.choose(4) {
 	case 0:
 		return
 	case 1:
 		f.queue = append(f.queue, delivery{due: f.now, run: func() {
-			f.apply(i, btbundle.FetchFailed{From: liar, Asked: e.Order()})
+			f.apply(i, btbundle.FetchFailed{From: liar, Requested: e.Revision()})
 		}})
 		return
 	case 2:
--- a/core/btbundle/register_step.go
+++ b/core/btbundle/register_step.go
@@ -22,7 +22,7 @@
 // Step applies one event.
 func (r *Register) Step(now time.Time, event RegisterEvent) []RegisterEffect {
 	if r.now.IsZero() {
-		r.startup.until = now.Add(r.config.Hold)
+		r.startup.until = now.Add(r.config.MaxDeferral)
 	}
 	if now.After(r.now) {
 		r.now = now
@@ -31,9 +31,9 @@
 	switch e := event.(type) {
 	case Started:
 		r.started(e)
-	case Offered:
+	case Received:
 		r.offered(e)
-	case Heard:
+	case Announced:
 		r.heard(e)
 	case FetchFailed:
 		r.fetchFailed(e)
@@ -55,7 +55,7 @@
 // service's value wait no longer.
 func (r *Register) started(e Started) {
 	if !r.startup.asked {
-		r.startup.until = r.now.Add(r.config.Hold)
+		r.startup.until = r.now.Add(r.config.MaxDeferral)
 		r.startup.silent = map[Peer]bool{}
 	}
 	r.startup.asked = true
@@ -64,21 +64,21 @@
 	}
 }
 
-func (r *Register) offered(e Offered) {
-	asked := r.answered(e.Source.Peer, e.Asked)
+func (r *Register) offered(e Received) {
+	asked := r.answered(e.Source.Peer, e.Requested)
 	approved, err := r.verify(e.Raw)
 	if err != nil {
 		r.refuse(reasonOf(err), err, e.Source)
 		r.setAside(e.Source.Peer)
 		return
 	}
-	if asked && approved.Order().Compare(e.Asked) < 0 {
+	if asked && approved.Revision().Compare(e.Requested) < 0 {
 		r.refuse(ReasonPeerShort, nil, e.Source)
 		r.setAside(e.Source.Peer)
 	} else if asked {
 		r.peers[e.Source.Peer].failures = 0
 	}
-	if e.Source.Service() && r.holds() {
+	if e.Source.FromService() && r.holds() {
 		r.hold(approved)
 		return
 	}
@@ -120,16 +120,16 @@
 	if s.asked && len(s.silent) == 0 && !s.heard {
 		return false
 	}
-	return !s.heard || s.held == nil || s.held.Order().Compare(r.highest()) < 0
+	return !s.heard || s.held == nil || s.held.Revision().Compare(r.highest()) < 0
 }
 
 // hold keeps the highest of the configuration service's values.
 func (r *Register) hold(approved *Approved) {
-	if approved.Order().Compare(r.startup.held.Order()) <= 0 {
+	if approved.Revision().Compare(r.startup.held.Revision()) <= 0 {
 		return
 	}
 	r.startup.held = approved
-	r.emit(Held{Order: approved.Order()})
+	r.emit(Deferred{Revision: approved.Revision()})
 }
 
 // release considers the held value once nothing speaks for waiting longer.
@@ -144,7 +144,7 @@
 
 // consider puts the bundle in force if it is higher than the one that is.
 func (r *Register) consider(approved *Approved, source Source) {
-	order := approved.Order()
+	order := approved.Revision()
 	current := r.order
 	switch c := order.Compare(current); {
 	case c == 0:
@@ -165,7 +165,7 @@
 
 // refuseLower tells of a bundle that the one in force outranks.
 func (r *Register) refuseLower(approved *Approved, source Source) {
-	order := approved.Order()
+	order := approved.Revision()
 	current := r.order
 	if order.Version < current.Version {
 		r.refuse(ReasonOlder, fmt.Errorf("%w: version %d is below %d", errLower, order.Version, current.Version), source)
@@ -176,7 +176,7 @@
 }
 
 // report tells of two bundles with one version, once each pair.
-func (r *Register) report(kept, lost Order, source Source) {
+func (r *Register) report(kept, lost Revision, source Source) {
 	conflict := Conflict{Version: kept.Version, Kept: kept.Digest, Lost: lost.Digest, Source: source}
 	same := r.conflict.Version == conflict.Version && r.conflict.Kept == conflict.Kept && r.conflict.Lost == conflict.Lost
 	if same {
@@ -189,9 +189,9 @@
 // install puts a bundle in force. What it replaces is checked too: whoever
 // changes the shared value of the one in force would else go unseen.
 func (r *Register) install(approved *Approved, source Source) {
-	order := approved.Order()
+	order := approved.Revision()
 	previous := r.current
-	unchanged := previous == nil || whole(previous) && previous.Order() == r.order
+	unchanged := previous == nil || whole(previous) && previous.Revision() == r.order
 	r.assert.That(unchanged, InvariantWhole, "%v was changed while in force", r.order)
 	if !r.assert.That(order.Compare(r.order) > 0, InvariantMonotonic, "%v after %v", order, r.order) {
 		return
--- a/core/btbundle/register_test.go
+++ b/core/btbundle/register_test.go
@@ -25,23 +25,23 @@
 	return found
 }
 
-func offer(number int) btbundle.Offered {
-	return btbundle.Offered{Raw: signed(version(number, "x"), keyPair(0))}
+func offer(number int) btbundle.Received {
+	return btbundle.Received{Raw: signed(version(number, "x"), keyPair(0))}
 }
 
-func offerFrom(peer btbundle.Peer, number int, asked btbundle.Order) btbundle.Offered {
+func offerFrom(peer btbundle.Peer, number int, asked btbundle.Revision) btbundle.Received {
 	o := offer(number)
 	o.Source.Peer = peer
-	o.Asked = asked
+	o.Requested = asked
 	return o
 }
 
-func heard(peer btbundle.Peer, number int) btbundle.Heard {
+func heard(peer btbundle.Peer, number int) btbundle.Announced {
 	if number == 0 {
-		return btbundle.Heard{From: peer}
+		return btbundle.Announced{From: peer}
 	}
 	digest := btbundle.DigestOf(version(number, "x"))
-	return btbundle.Heard{Version: btid.BundleVersion(number), Digest: digest, From: peer}
+	return btbundle.Announced{Version: btid.BundleVersion(number), Digest: digest, From: peer}
 }
 
 func versionOf(r *btbundle.Register) int { return int(r.Announcement().Version) }
@@ -62,7 +62,7 @@
 		{name: "a peer has an older one", events: []btbundle.RegisterEvent{peers, heard("agent/t1", 1), offer(2)}, want: 2},
 		{name: "a peer has a newer one", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 5)}, want: 0},
 		{name: "a peer brings the newer one", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 5),
-			offerFrom("agent/t1", 5, btbundle.Order{})}, want: 5},
+			offerFrom("agent/t1", 5, btbundle.Revision{})}, want: 5},
 		{name: "time is up", events: []btbundle.RegisterEvent{peers, offer(2)}, after: 3 * time.Second, want: 2},
 	}
 	for _, test := range tests {
@@ -80,15 +80,15 @@
 // Without the hold, a process that restarts with nothing falls back behind its
 // peers as soon as the service is stale.
 func TestRegisterWithoutHoldGoesBack(t *testing.T) {
-	for hold, want := range map[time.Duration]int{0: 2, btbundle.DefaultRegisterConfig(btbundle.Approvers{}).Hold: 5} {
+	for hold, want := range map[time.Duration]int{0: 2, btbundle.DefaultRegisterConfig(btbundle.Approvers{}).MaxDeferral: 5} {
 		config := btbundle.DefaultRegisterConfig(approvers(keyPair(0)))
-		config.Hold = hold
+		config.MaxDeferral = hold
 		r := btbundle.NewRegister(config, btassert.New(btassert.Panic()), rand.New(rand.NewPCG(1, 1)))
 		r.Step(start, btbundle.Started{Peers: []btbundle.Peer{"agent/t1"}})
 		first := effectsOf[btbundle.InForce](r.Step(start, offer(2)))
 		r.Step(start, heard("agent/t1", 5))
-		first = append(first, effectsOf[btbundle.InForce](r.Step(start, offerFrom("agent/t1", 5, heard("agent/t1", 5).Order())))...)
-		assert.Equal(t, int(first[0].Approved.Order().Version), want, "hold %s", hold)
+		first = append(first, effectsOf[btbundle.InForce](r.Step(start, offerFrom("agent/t1", 5, heard("agent/t1", 5).Revision())))...)
+		assert.Equal(t, int(first[0].Approved.Revision().Version), want, "hold %s", hold)
 	}
 }
 
@@ -97,7 +97,7 @@
 	two := approve(t, version(3, "two"))
 	higher := one
 	lower := two
-	if two.Order().Compare(one.Order()) > 0 {
+	if two.Revision().Compare(one.Revision()) > 0 {
 		higher = two
 		lower = one
 	}
@@ -107,7 +107,7 @@
 		var effects []btbundle.RegisterEffect
 		for range 2 {
 			for _, approved := range order {
-				effects = append(effects, r.Step(start, btbundle.Offered{Raw: approved.Raw})...)
+				effects = append(effects, r.Step(start, btbundle.Received{Raw: approved.Raw})...)
 			}
 		}
 		conflicts := effectsOf[btbundle.Conflict](effects)
@@ -136,7 +136,7 @@
 	r.Step(start, btbundle.Started{})
 	r.Step(start, offer(4))
 	for _, test := range tests {
-		effects := r.Step(start, btbundle.Offered{Raw: test.raw})
+		effects := r.Step(start, btbundle.Received{Raw: test.raw})
 		refused := effectsOf[btbundle.Refused](effects)
 		assert.Equal(t, len(refused), 1)
 		assert.Equal(t, refused[0].Reason, test.want)
@@ -145,8 +145,8 @@
 }
 
 func TestRegisterLeavesBadPeersAside(t *testing.T) {
-	lie := btbundle.Heard{Version: 99, Digest: btbundle.DigestOf([]byte("lie")), From: "agent/bad"}
-	asked := btbundle.Order{Version: lie.Version, Digest: lie.Digest}
+	lie := btbundle.Announced{Version: 99, Digest: btbundle.DigestOf([]byte("lie")), From: "agent/bad"}
+	asked := btbundle.Revision{Version: lie.Version, Digest: lie.Digest}
 	tests := []struct {
 		name  string
 		event btbundle.RegisterEvent
@@ -154,8 +154,8 @@
 		want  btrequest.Reason
 	}{
 		{name: "short", event: offerFrom("agent/bad", 4, asked), want: btbundle.ReasonPeerShort},
-		{name: "forged", event: btbundle.Offered{Raw: version(99, "x"), Source: btbundle.Source{Peer: "agent/bad"}, Asked: asked}, want: btbundle.ReasonSignature},
-		{name: "failed", event: btbundle.FetchFailed{From: "agent/bad", Asked: asked, Err: errors.New("refused")}, want: btbundle.ReasonFetchFailed},
+		{name: "forged", event: btbundle.Received{Raw: version(99, "x"), Source: btbundle.Source{Peer: "agent/bad"}, Requested: asked}, want: btbundle.ReasonSignature},
+		{name: "failed", event: btbundle.FetchFailed{From: "agent/bad", Requested: asked, Err: errors.New("refused")}, want: btbundle.ReasonFetchFailed},
 		{name: "silent", event: btbundle.Tick{}, after: time.Second, want: btbundle.ReasonFetchTimeout},
 	}
 	for _, test := range tests {
--- a/core/btbundle/signed_test.go
+++ b/core/btbundle/signed_test.go
@@ -71,7 +71,7 @@
 	account, ok = x.AccountByKey("secret")
 	assert.Assert(t, ok)
 	assert.Equal(t, string(account.Name), "desk")
-	assert.Assert(t, account.May("lookup"))
+	assert.Assert(t, account.MayUse("lookup"))
 	target, ok := x.Target("t2")
 	assert.Assert(t, ok)
 	assert.Equal(t, x.TargetsOf("lookup")[1], target)
@@ -79,7 +79,7 @@
 	assert.Assert(t, !ok)
 	service, ok := x.Service("lookup")
 	assert.Assert(t, ok)
-	assert.Equal(t, service.Current().Number, uint64(1))
+	assert.Equal(t, service.CurrentEpoch().Number, uint64(1))
 }
 
 func ExampleApprovers_Verify() {
--- a/core/btbundle/successor.go
+++ b/core/btbundle/successor.go
@@ -13,9 +13,9 @@
 // bundle that ended one came in force at an unknown time within it.
 const ApprovalWindow = 24 * time.Hour
 
-// EpochMemory is how long after a later epoch was made an earlier one must stay
+// EpochRetention is how long after a later epoch was made an earlier one must stay
 // listed: its homes may still be asked about keys, and may still grant.
-func (i Idempotency) EpochMemory() time.Duration {
+func (i Idempotency) EpochRetention() time.Duration {
 	return ApprovalWindow + i.Retention.Duration + i.Lease.Duration + 2*i.ClockError.Duration
 }
 
@@ -24,7 +24,7 @@
 // no longer a target of the service. Homes that remain stay homes.
 func NextEpochs(s *Service, targets []Target, i Idempotency, now time.Time) []HomeEpoch {
 	epochs := slices.Clone(s.Epochs)
-	for len(epochs) > 1 && now.Sub(epochs[1].Since) > i.EpochMemory() {
+	for len(epochs) > 1 && now.Sub(epochs[1].Since) > i.EpochRetention() {
 		epochs = epochs[1:]
 	}
 	var last HomeEpoch
--- a/core/btbundle/successor_test.go
+++ b/core/btbundle/successor_test.go
@@ -52,10 +52,10 @@
 	assert.Equal(t, next.Parent, btbundle.DigestOf([]byte(small)))
 	assert.Assert(t, next.Created.Equal(now))
 	assert.Equal(t, len(next.Services[0].Epochs), 2)
-	assert.DeepEqual(t, next.Services[0].Current().Homes, []btid.Target{"t1", "t3", "t4"})
+	assert.DeepEqual(t, next.Services[0].CurrentEpoch().Homes, []btid.Target{"t1", "t3", "t4"})
 	assert.Equal(t, len(btbundle.CheckSuccessor(old, next.Parent, next)), 0)
 
-	memory := next.Idempotency.EpochMemory()
+	memory := next.Idempotency.EpochRetention()
 	third, err := btdraft.Next(second, second, now.Add(memory))
 	assert.NilError(t, err)
 	assert.Equal(t, len(decode(t, third).Services[0].Epochs), 2, "still remembered")
@@ -173,7 +173,7 @@
 		}
 		count := 0
 		for _, m := range members {
-			if policy.Reads(start.Add(after), start, m.Name, members) {
+			if policy.ShouldRead(start.Add(after), start, m.Name, members) {
 				count++
 			}
 		}
@@ -182,8 +182,8 @@
 	never := func(int) time.Time { return time.Time{} }
 	recent := func(int) time.Time { return start.Add(time.Hour) }
 	assert.Equal(t, readers(0, never), policy.Count)
-	assert.Equal(t, readers(policy.Silence, never), policy.Count+1, "one steps in")
-	assert.Equal(t, readers(time.Hour, never), policy.Most, "bounded however long the service is silent")
+	assert.Equal(t, readers(policy.FailoverTimeout, never), policy.Count+1, "one steps in")
+	assert.Equal(t, readers(time.Hour, never), policy.MaxCount, "bounded however long the service is silent")
 	assert.Equal(t, readers(time.Hour, recent), policy.Count)
-	assert.Assert(t, !policy.Reads(start, start, "agent/stranger", nil))
+	assert.Assert(t, !policy.ShouldRead(start, start, "agent/stranger", nil))
 }
--- a/core/btexpert/tables_test.go
+++ b/core/btexpert/tables_test.go
@@ -49,8 +49,8 @@
 	return btbundle.Placement{
 		SkewWeight: skew,
 		MoveWeight: move,
-		Interval:   btbundle.Span{Duration: interval},
-		Horizon:    btbundle.Span{Duration: horizon},
+		Interval:   btbundle.Duration{Duration: interval},
+		Horizon:    btbundle.Duration{Duration: horizon},
 	}
 }
 
--- a/core/btreader/btreader.go
+++ b/core/btreader/btreader.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// WatchWait is how long one call waits at the service. It lies below the
+	// WatchTimeout is how long one call waits at the service. It lies below the
 	// readers' silence limit, so that a reader that waits is not taken for dead.
-	WatchWait = 2 * time.Second
-	// Silence is how long the readers' last read may lie back before the next
+	WatchTimeout = 2 * time.Second
+	// FailoverTimeout is how long the readers' last read may lie back before the next
 	// entry steps in: a waiting call, and the news of it on its way.
-	Silence = 5 * time.Second
-	// AloneAfter is how long a process that hears of nobody's read, or of
-	// nobody, relies on others, before its random part of AloneSpread.
-	AloneAfter = 15 * time.Second
-	// AloneSpread is the largest random wait that each process adds, so that a
+	FailoverTimeout = 5 * time.Second
+	// IsolationTimeout is how long a process that hears of nobody's read, or of
+	// nobody, relies on others, before its random part of IsolationJitter.
+	IsolationTimeout = 15 * time.Second
+	// IsolationJitter is the largest random wait that each process adds, so that a
 	// fleet that lost its readers does not come at once.
-	AloneSpread = 10 * time.Second
-	// BootAfter is how long a process with nothing in force waits for its seeds
-	// before it reads the service itself, plus a random part of AloneSpread.
-	BootAfter = 5 * time.Second
+	IsolationJitter = 10 * time.Second
+	// BootstrapTimeout is how long a process with nothing in force waits for its seeds
+	// before it reads the service itself, plus a random part of IsolationJitter.
+	BootstrapTimeout = 5 * time.Second
 )
 
-// Turns is what one process knows of who reads. It is not safe for concurrent
+// Selector is what one process knows of who reads. It is not safe for concurrent
 // use.
-type Turns struct {
+type Selector struct {
 	self    btbundle.Peer
 	seeds   []btbundle.Peer
 	started time.Time
 	policy  btbundle.ReaderPolicy
-	// jitter is this incarnation's part of AloneSpread.
+	// jitter is this incarnation's part of IsolationJitter.
 	jitter time.Duration
 	// heard is when a peer with a bundle last announced anything.
 	heard time.Time
@@ -51,22 +51,22 @@
 
 // New returns the turns of a process that starts now; seeds are the entries
 // that it asks while nothing is in force.
-func New(self btbundle.Peer, seeds []btbundle.Peer, now time.Time, random *rand.Rand) *Turns {
+func New(self btbundle.Peer, seeds []btbundle.Peer, now time.Time, random *rand.Rand) *Selector {
 	policy := btbundle.DefaultReaderPolicy()
-	policy.Silence = Silence
-	return &Turns{
+	policy.FailoverTimeout = FailoverTimeout
+	return &Selector{
 		self:    self,
 		seeds:   seeds,
 		started: now,
 		policy:  policy,
-		jitter:  time.Duration(random.Int64N(int64(AloneSpread))),
+		jitter:  time.Duration(random.Int64N(int64(IsolationJitter))),
 		reads:   map[btbundle.Peer]time.Time{},
 	}
 }
 
-// Hear notes what a peer announced.
-func (t *Turns) Hear(now time.Time, a btannounce.Announcement) {
-	if a.Order.Version > 0 {
+// Observe notes what a peer announced.
+func (t *Selector) Observe(now time.Time, a btannounce.Announcement) {
+	if a.Revision.Version > 0 {
 		t.heard = now
 	}
 	for _, read := range a.Reads {
@@ -77,9 +77,9 @@
 	}
 }
 
-// Keep forgets the reads of processes that are none of the entries of the data
+// Retain forgets the reads of processes that are none of the entries of the data
 // centre.
-func (t *Turns) Keep(entries []btbundle.Peer) {
+func (t *Selector) Retain(entries []btbundle.Peer) {
 	for name := range t.reads {
 		if !slices.Contains(entries, name) {
 			delete(t.reads, name)
@@ -87,15 +87,15 @@
 	}
 }
 
-// Latest returns the newest reads known, newest first; own is this process's,
+// RecentReads returns the newest reads known, newest first; own is this process's,
 // zero for none.
-func (t *Turns) Latest(now, own time.Time) []btannounce.Read {
+func (t *Selector) RecentReads(now, own time.Time) []btannounce.Read {
 	var reads []btannounce.Read
 	if !own.IsZero() {
 		reads = append(reads, btannounce.Read{Reader: t.self, Age: max(0, now.Sub(own))})
 	}
 	for name, at := range t.reads {
-		if age := max(0, now.Sub(at)); age < AloneAfter {
+		if age := max(0, now.Sub(at)); age < IsolationTimeout {
 			reads = append(reads, btannounce.Read{Reader: name, Age: age})
 		}
 	}
@@ -105,15 +105,15 @@
 	return reads[:min(len(reads), btannounce.MaxReads)]
 }
 
-// Mine tells whether this process reads the service now. Entries are those of
+// ShouldRead tells whether this process reads the service now. Entries are those of
 // its data centre, itself included where the bundle lists it; nil while nothing
 // is in force. Own is when it last read, zero for never.
-func (t *Turns) Mine(now time.Time, entries []btbundle.Peer, own time.Time) bool {
+func (t *Selector) ShouldRead(now time.Time, entries []btbundle.Peer, own time.Time) bool {
 	if entries == nil {
 		return t.boot(now, own)
 	}
 	if !slices.Contains(entries, t.self) {
-		return now.Sub(later(t.started, t.heard)) > AloneAfter+t.jitter
+		return now.Sub(later(t.started, t.heard)) > IsolationTimeout+t.jitter
 	}
 	return t.byPolicy(now, entries, own) || t.lastResort(now, entries)
 }
@@ -121,17 +121,17 @@
 // boot decides for a process with nothing in force. Without seeds it knows of
 // no other source. With them, the seeds read, and the others only when these
 // give no bundle.
-func (t *Turns) boot(now, own time.Time) bool {
+func (t *Selector) boot(now, own time.Time) bool {
 	if len(t.seeds) == 0 {
 		return true
 	}
 	if slices.Contains(t.seeds, t.self) && t.byPolicy(now, t.seeds, own) {
 		return true
 	}
-	return now.Sub(t.started) > BootAfter+t.jitter
+	return now.Sub(t.started) > BootstrapTimeout+t.jitter
 }
 
-func (t *Turns) byPolicy(now time.Time, entries []btbundle.Peer, own time.Time) bool {
+func (t *Selector) byPolicy(now time.Time, entries []btbundle.Peer, own time.Time) bool {
 	members := make([]btbundle.Reader, 0, len(entries))
 	for _, name := range entries {
 		read := t.reads[name]
@@ -140,14 +140,14 @@
 		}
 		members = append(members, btbundle.Reader{Name: name, LastRead: read})
 	}
-	return t.policy.Reads(now, t.started, t.self, members)
+	return t.policy.ShouldRead(now, t.started, t.self, members)
 }
 
 // lastResort has any entry read when all of those before it have been silent
 // for long: the policy alone would have the service unread once the few that
 // may step in are dead.
-func (t *Turns) lastResort(now time.Time, entries []btbundle.Peer) bool {
-	limit := AloneAfter + t.jitter
+func (t *Selector) lastResort(now time.Time, entries []btbundle.Peer) bool {
+	limit := IsolationTimeout + t.jitter
 	if now.Sub(t.started) <= limit {
 		return false
 	}
--- a/core/btreader/btreader_test.go
+++ b/core/btreader/btreader_test.go
@@ -18,14 +18,14 @@
 // centre is the processes of one data centre; those that read tell all others.
 type centre struct {
 	names  []btbundle.Peer
-	turns  map[btbundle.Peer]*btreader.Turns
+	turns  map[btbundle.Peer]*btreader.Selector
 	own    map[btbundle.Peer]time.Time
 	dead   map[btbundle.Peer]bool
 	listed []btbundle.Peer
 }
 
 func newCentre(entries, agents int, seeds []btbundle.Peer) *centre {
-	c := &centre{turns: map[btbundle.Peer]*btreader.Turns{}, own: map[btbundle.Peer]time.Time{}, dead: map[btbundle.Peer]bool{}}
+	c := &centre{turns: map[btbundle.Peer]*btreader.Selector{}, own: map[btbundle.Peer]time.Time{}, dead: map[btbundle.Peer]bool{}}
 	for i := range entries + agents {
 		name := btbundle.Peer(fmt.Sprintf("entry/e%d", i))
 		if i >= entries {
@@ -43,7 +43,7 @@
 func (c *centre) second(now time.Time, entries []btbundle.Peer, up bool) int {
 	reading := 0
 	for _, name := range c.names {
-		if c.dead[name] || !c.turns[name].Mine(now, entries, c.own[name]) {
+		if c.dead[name] || !c.turns[name].ShouldRead(now, entries, c.own[name]) {
 			continue
 		}
 		reading++
@@ -52,13 +52,13 @@
 		}
 	}
 	for _, other := range c.names {
-		reads := c.turns[other].Latest(now, c.own[other])
+		reads := c.turns[other].RecentReads(now, c.own[other])
 		if c.dead[other] || len(reads) == 0 {
 			continue
 		}
-		a := btannounce.Announcement{Order: btbundle.Order{Version: 1}, Reads: reads}
+		a := btannounce.Announcement{Revision: btbundle.Revision{Version: 1}, Reads: reads}
 		for _, name := range c.names {
-			c.turns[name].Hear(now, a)
+			c.turns[name].Observe(now, a)
 		}
 	}
 	return reading
@@ -82,13 +82,13 @@
 		c.second(at(s), c.listed, true)
 	}
 	c.dead[order[0]], c.dead[order[1]] = true, true
-	last := 30 + int(btreader.Silence/time.Second)
+	last := 30 + int(btreader.FailoverTimeout/time.Second)
 	for s := 30; s <= last; s++ {
 		c.second(at(s), c.listed, true)
 	}
 	assert.Assert(t, c.second(at(last+1), c.listed, true) > 0)
 	c.dead[order[2]], c.dead[order[3]] = true, true
-	last += int((btreader.AloneAfter + btreader.AloneSpread) / time.Second)
+	last += int((btreader.IsolationTimeout + btreader.IsolationJitter) / time.Second)
 	for s := 36; s <= last; s++ {
 		c.second(at(s), c.listed, true)
 	}
@@ -100,7 +100,7 @@
 func (c *centre) reading(now time.Time) int {
 	reading := 0
 	for _, name := range c.names {
-		if c.turns[name].Mine(now, nil, time.Time{}) {
+		if c.turns[name].ShouldRead(now, nil, time.Time{}) {
 			reading++
 		}
 	}
@@ -127,7 +127,7 @@
 		}
 		most = max(most, reading)
 	}
-	assert.Assert(t, first > int(btreader.BootAfter/time.Second))
+	assert.Assert(t, first > int(btreader.BootstrapTimeout/time.Second))
 	assert.Equal(t, most, len(c.names))
 }
 
@@ -136,16 +136,16 @@
 func TestAlone(t *testing.T) {
 	turns := btreader.New("agent/t1", nil, epoch, rand.New(rand.NewPCG(1, 1)))
 	entries := []btbundle.Peer{"entry/e1"}
-	assert.Assert(t, !turns.Mine(at(14), entries, time.Time{}))
-	assert.Assert(t, turns.Mine(at(26), entries, time.Time{}))
-	turns.Hear(at(27), btannounce.Announcement{Order: btbundle.Order{Version: 1}})
-	assert.Assert(t, !turns.Mine(at(28), entries, time.Time{}))
+	assert.Assert(t, !turns.ShouldRead(at(14), entries, time.Time{}))
+	assert.Assert(t, turns.ShouldRead(at(26), entries, time.Time{}))
+	turns.Observe(at(27), btannounce.Announcement{Revision: btbundle.Revision{Version: 1}})
+	assert.Assert(t, !turns.ShouldRead(at(28), entries, time.Time{}))
 }
 
-func ExampleTurns() {
+func ExampleSelector() {
 	turns := btreader.New("entry/e1", nil, epoch, rand.New(rand.NewPCG(1, 1)))
-	fmt.Println(turns.Mine(epoch, nil, time.Time{}))
-	fmt.Println(turns.Mine(epoch, []btbundle.Peer{"entry/e1", "entry/e2"}, epoch))
+	fmt.Println(turns.ShouldRead(epoch, nil, time.Time{}))
+	fmt.Println(turns.ShouldRead(epoch, []btbundle.Peer{"entry/e1", "entry/e2"}, epoch))
 	// Output:
 	// true
 	// true
--- a/io/btagent/fleet_test.go
+++ b/io/btagent/fleet_test.go
@@ -36,7 +36,7 @@
 		agents:  map[btid.Target]*btinprocess.Agent{},
 	}
 	f.startAgent = f.StartAgent
-	f.Bundle.Ejection = btbundle.Ejection{MaxShare: 0.4, Failures: 3, SlowFactor: 50, Duration: btbundle.Span{Duration: time.Minute}}
+	f.Bundle.Ejection = btbundle.Ejection{MaxShare: 0.4, Failures: 3, SlowFactor: 50, Duration: btbundle.Duration{Duration: time.Minute}}
 	return f
 }
 
--- a/io/btagent/heartbeat.go
+++ b/io/btagent/heartbeat.go
@@ -194,7 +194,7 @@
 	h.mu.Lock()
 	state := h.state
 	h.mu.Unlock()
-	order := h.options.Bundles.Current().Order()
+	order := h.options.Bundles.Current().Revision()
 	load, err := btwire.Encode(h.report())
 	if err != nil {
 		// A report is plain numbers and always encodes.
--- a/io/btentry/claim.go
+++ b/io/btentry/claim.go
@@ -27,7 +27,7 @@
 		Request:     x.id,
 		Claim:       btclaim.Claim{Service: x.service.Name, Account: x.account.Name, Key: x.call.Key},
 		Content:     btserve.ContentOf(x.call.Method, x.call.Path, x.call.Body),
-		Epoch:       x.service.Current(),
+		Epoch:       x.service.CurrentEpoch(),
 		MaxAttempts: x.bundle.Bundle.Retry.MaxAttempts,
 		MaxAsks:     homeAsks,
 	})
--- a/io/btentry/configure.go
+++ b/io/btentry/configure.go
@@ -101,7 +101,7 @@
 	f.links = plan.Links(f.place)
 	f.relay.Step(now, btmember.LinksUpdated{Links: f.links})
 	f.joined(f.member.Step(now, btmember.Configured{Lease: lease, ClockError: clockError}))
-	order := a.Order()
+	order := a.Revision()
 	f.joined(f.member.Step(now, btmember.Bundle{Version: order.Version, Digest: order.Digest, Targets: btprocess.PlacesOf(a)}))
 }
 
--- a/io/btentry/heartbeat.go
+++ b/io/btentry/heartbeat.go
@@ -43,8 +43,8 @@
 			return errForeignHeartbeat
 		}
 		e.fleet.heard(h)
-		order := btbundle.Order{Version: h.BundleVersion, Digest: h.BundleDigest}
-		e.options.Bundles.Heard(from, btannounce.Announcement{Order: order})
+		order := btbundle.Revision{Version: h.BundleVersion, Digest: h.BundleDigest}
+		e.options.Bundles.Heard(from, btannounce.Announcement{Revision: order})
 		select {
 		case heard <- struct{}{}:
 		default:
@@ -57,15 +57,15 @@
 // is closed.
 func (e *Entry) acknowledge(ctx context.Context, s *btpeer.Stream, target btid.Target, heard <-chan struct{}) {
 	bundles := e.options.Bundles
-	told := btbundle.Order{}
+	told := btbundle.Revision{}
 	due := false
 	for count := 0; ; {
 		changed := bundles.Changed()
-		order := bundles.Current().Order()
+		order := bundles.Current().Revision()
 		if due || count > 0 && order != told {
 			told = order
 			due = false
-			word := btannounce.Announcement{Order: order, HostLeaving: e.fleet.hostLeaving(target)}
+			word := btannounce.Announcement{Revision: order, HostLeaving: e.fleet.hostLeaving(target)}
 			if err := btpeer.Send(s, word); err != nil {
 				return
 			}
--- a/io/btentry/http.go
+++ b/io/btentry/http.go
@@ -84,7 +84,7 @@
 	e.options.Log.Info("request",
 		"request", x.id, "outcome", outcome, "reason", reason, "took", took,
 		"account", x.accountName(), "service", x.serviceName(), "target", x.target,
-		"attempts", x.attempts, "bundle_version", x.bundle.Order().Version)
+		"attempts", x.attempts, "bundle_version", x.bundle.Revision().Version)
 }
 
 // model is one line of the list of models, as clients of model services know
@@ -109,7 +109,7 @@
 	}
 	list := models{Object: "list", Data: []model{}}
 	for _, s := range x.bundle.Bundle.Services {
-		if s.Kind == btbundle.Model && x.account.May(s.Name) {
+		if s.Kind == btbundle.Model && x.account.MayUse(s.Name) {
 			list.Data = append(list.Data, model{ID: string(s.Name), Object: "model", OwnedBy: "bilberrytide"})
 		}
 	}
--- a/io/btentry/identify.go
+++ b/io/btentry/identify.go
@@ -112,7 +112,7 @@
 	if !found {
 		return btrequest.Refuse(ReasonUnknownService, 0, "no service %q in bundle %d", name, x.bundle.Bundle.Version)
 	}
-	if !x.account.May(name) {
+	if !x.account.MayUse(name) {
 		return btrequest.Refuse(ReasonForbiddenService, 0, "client account %s may not ask for service %q", x.account.Name, name)
 	}
 	x.service = service
--- a/io/btentry/quarantine_test.go
+++ b/io/btentry/quarantine_test.go
@@ -208,7 +208,7 @@
 	w := newWorldOf(t, 2, places, func(b *btbundle.Bundle) {
 		generous(b)
 		b.Groups = []btbundle.Group{group}
-		b.Placement = btbundle.Placement{SkewWeight: 4, MoveWeight: 1, Interval: btbundle.Span{Duration: time.Second}, Horizon: btbundle.Span{Duration: time.Minute}}
+		b.Placement = btbundle.Placement{SkewWeight: 4, MoveWeight: 1, Interval: btbundle.Duration{Duration: time.Second}, Horizon: btbundle.Duration{Duration: time.Minute}}
 		for i := range b.Targets {
 			b.Targets[i].Endpoint = mortals[b.Targets[i].Name].endpoint()
 		}
--- a/io/btgroup/bench_test.go
+++ b/io/btgroup/bench_test.go
@@ -126,7 +126,7 @@
 	authority, err := btkeys.NewAuthority("fleet", time.Now(), time.Hour)
 	assert.NilError(b, err)
 	group := btbundle.Group{Name: "g", Service: "s", Layers: s.Layers, Experts: s.Experts, SlotsPerRank: s.Slots, ExpertBytes: 1, Barrier: true}
-	span := func(d time.Duration) btbundle.Span { return btbundle.Span{Duration: d} }
+	span := func(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
 	bundle := &btbundle.Bundle{
 		Version:   1,
 		Timeouts:  btbundle.Timeouts{Heartbeat: span(time.Second), TargetLease: span(3 * time.Second)},
--- a/io/btgroup/fixture_test.go
+++ b/io/btgroup/fixture_test.go
@@ -194,7 +194,7 @@
 }
 
 func (f *fleet) bundle() *btbundle.Approved {
-	span := func(d time.Duration) btbundle.Span { return btbundle.Span{Duration: d} }
+	span := func(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
 	b := &btbundle.Bundle{
 		Version:   1,
 		Timeouts:  btbundle.Timeouts{Heartbeat: span(50 * time.Millisecond), TargetLease: span(time.Second)},
--- a/io/btprocess/bundles.go
+++ b/io/btprocess/bundles.go
@@ -50,7 +50,7 @@
 	// believed.
 	boot *btbundle.Approved
 	// turns decides who reads the configuration service.
-	turns *btreader.Turns
+	turns *btreader.Selector
 	// rounds counts the rounds of announcements.
 	rounds int
 }
@@ -101,7 +101,7 @@
 		Deliver:  b.offer,
 		Registry: o.Meter.Registry(),
 		Log:      o.Log,
-		Wait:     btreader.WatchWait,
+		Wait:     btreader.WatchTimeout,
 	})
 	o.Node.Handle(KindAnnounce, btpeer.Answer(b.answerAnnounce))
 	o.Node.Handle(KindBundle, btpeer.Answer(b.answerFetch))
@@ -161,8 +161,8 @@
 		b.refused(e)
 	case btbundle.Conflict:
 		b.conflict(e)
-	case btbundle.Held:
-		o.Log.Info("bundle held until peers answer", "bundle_version", e.Order.Version)
+	case btbundle.Deferred:
+		o.Log.Info("bundle held until peers answer", "bundle_version", e.Revision.Version)
 	}
 }
 
@@ -185,7 +185,7 @@
 // tell counts and logs a bundle that came into force.
 func (b *Bundles) tell(e btbundle.InForce) {
 	o := b.options
-	order := e.Approved.Order()
+	order := e.Approved.Revision()
 	o.Meter.Gauge("bundle.version").Update(int64(order.Version))
 	o.Log.Info("bundle in force", "bundle_version", order.Version, "digest", order.Digest, "source", e.Source, "approvers", e.Approved.Signers)
 	o.Decisions.Add(btmetric.Decision{
@@ -193,7 +193,7 @@
 		Act:      "bundle_in_force",
 		Subject:  fmt.Sprintf("bundle %d", order.Version),
 		Cause:    "an approved bundle that is higher than the one before; source: " + e.Source.String(),
-		Evidence: fmt.Sprintf("previous version %d, approved by %v", e.Previous.Order().Version, e.Approved.Signers),
+		Evidence: fmt.Sprintf("previous version %d, approved by %v", e.Previous.Revision().Version, e.Approved.Signers),
 		Expected: "all processes have it in force within seconds",
 	})
 }
@@ -218,7 +218,7 @@
 		Act:      "bundle_refused",
 		Subject:  "a bundle from " + e.Source.String(),
 		Cause:    cause,
-		Evidence: fmt.Sprintf("version %d is in force", b.Current().Order().Version),
+		Evidence: fmt.Sprintf("version %d is in force", b.Current().Revision().Version),
 		Expected: "the bundle in force stays until one that is approved and whole comes",
 	})
 }
--- a/io/btprocess/bundles_test.go
+++ b/io/btprocess/bundles_test.go
@@ -81,10 +81,10 @@
 func await(t *testing.T, p *process, version btid.BundleVersion) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if p.Current().Order().Version == version {
+		if p.Current().Revision().Version == version {
 			return poll.Success()
 		}
-		return poll.Continue("%s: %v", p.Node.Identity(), p.Current().Order())
+		return poll.Continue("%s: %v", p.Node.Identity(), p.Current().Revision())
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
 }
 
--- a/io/btprocess/capacity_test.go
+++ b/io/btprocess/capacity_test.go
@@ -96,7 +96,7 @@
 func messageSizes(b *testing.B) sizes {
 	b.Helper()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 1, time.UTC)
-	order := btbundle.Order{Version: 5000, Digest: btbundle.DigestOf([]byte("bundle"))}
+	order := btbundle.Revision{Version: 5000, Digest: btbundle.DigestOf([]byte("bundle"))}
 	load, err := cbor.Marshal(btload.Report{
 		Target: "assistant-000", Incarnation: 1 << 60, Number: 1e6, Age: time.Millisecond, Running: 64, Waiting: 12,
 		Slots: 64, QueueCapacity: 128, KVUsed: 0.73, StepTime: 4500 * time.Microsecond, ExpertLoad: 1.07, OutstandingTokens: 1e5,
@@ -112,7 +112,7 @@
 	for i := range levels {
 		changed.Levels = append(changed.Levels, btmember.Level{Number: uint16(300 + i), Level: 40})
 	}
-	exchange := btannounce.Announcement{Order: order}
+	exchange := btannounce.Announcement{Revision: order}
 	for i := range btannounce.MaxReads / 2 {
 		exchange.Reads = append(exchange.Reads, btannounce.Read{Reader: btbundle.Peer(fmt.Sprintf("entry/entry-%03d", i)), Age: time.Second})
 	}
@@ -120,7 +120,7 @@
 	event := batch
 	event.Events = []btload.CacheEvent{{Seq: 1e6, Op: btload.Evicted, Prefix: 1 << 63}}
 	return sizes{
-		heartbeat: sizeOf(b, heartbeat), ack: sizeOf(b, btannounce.Announcement{Order: order}),
+		heartbeat: sizeOf(b, heartbeat), ack: sizeOf(b, btannounce.Announcement{Revision: order}),
 		summary: sizeOf(b, summary), level: (sizeOf(b, changed) - sizeOf(b, summary)) / levels, exchange: sizeOf(b, exchange),
 		batch: sizeOf(b, batch), event: sizeOf(b, event) - sizeOf(b, batch),
 	}
--- a/io/btprocess/reading.go
+++ b/io/btprocess/reading.go
@@ -48,7 +48,7 @@
 	entries := b.readers()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.turns.Mine(b.options.Clock(), entries, own)
+	return b.turns.ShouldRead(b.options.Clock(), entries, own)
 }
 
 // readers returns the entries of this data centre, nil while nothing is in
@@ -77,7 +77,7 @@
 	if b.Current() == nil {
 		b.ask(ctx, value.Data)
 	}
-	b.loop.Post(btbundle.Offered{Raw: value.Data})
+	b.loop.Post(btbundle.Received{Raw: value.Data})
 }
 
 // ask asks entries of the service's value, which may be stale, what is in
@@ -110,7 +110,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.turns.Latest(b.options.Clock(), own)
+	return b.turns.RecentReads(b.options.Clock(), own)
 }
 
 // Readers tells operators who reads the configuration service.
--- a/io/btprocess/spread.go
+++ b/io/btprocess/spread.go
@@ -21,24 +21,24 @@
 // Announcement returns what this process tells others.
 func (b *Bundles) Announcement() btannounce.Announcement {
 	return btannounce.Announcement{
-		Order: b.Current().Order(),
-		Reads: b.latest(),
+		Revision: b.Current().Revision(),
+		Reads:    b.latest(),
 	}
 }
 
 // Heard takes what a peer announced.
 func (b *Bundles) Heard(from btpeer.Identity, a btannounce.Announcement) {
 	b.hear(a)
-	b.loop.Post(btbundle.Heard{Version: a.Order.Version, Digest: a.Order.Digest, From: btbundle.Peer(from.String())})
+	b.loop.Post(btbundle.Announced{Version: a.Revision.Version, Digest: a.Revision.Digest, From: btbundle.Peer(from.String())})
 }
 
 func (b *Bundles) hear(a btannounce.Announcement) {
 	entries := b.readers()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turns.Hear(b.options.Clock(), a)
+	b.turns.Observe(b.options.Clock(), a)
 	if entries != nil {
-		b.turns.Keep(entries)
+		b.turns.Retain(entries)
 	}
 }
 
@@ -150,10 +150,10 @@
 func (b *Bundles) fetch(f btbundle.Fetch) {
 	raw, err := b.get(f)
 	if err != nil {
-		b.loop.Post(btbundle.FetchFailed{From: f.From, Asked: f.Order(), Err: err})
+		b.loop.Post(btbundle.FetchFailed{From: f.From, Requested: f.Revision(), Err: err})
 		return
 	}
-	b.loop.Post(btbundle.Offered{Raw: raw, Source: btbundle.Source{Peer: f.From}, Asked: f.Order()})
+	b.loop.Post(btbundle.Received{Raw: raw, Source: btbundle.Source{Peer: f.From}, Requested: f.Revision()})
 }
 
 func (b *Bundles) get(f btbundle.Fetch) ([]byte, error) {
@@ -163,7 +163,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchWait)
 	defer cancel()
-	file, err := btpeer.Call[btannounce.Ask, btannounce.File](ctx, b.options.Node, to, KindBundle, btannounce.Ask{Order: f.Order()})
+	file, err := btpeer.Call[btannounce.Ask, btannounce.File](ctx, b.options.Node, to, KindBundle, btannounce.Ask{Revision: f.Revision()})
 	if err != nil {
 		return nil, err
 	}
--- a/io/btsettings/btsettings.go
+++ b/io/btsettings/btsettings.go
@@ -24,7 +24,7 @@
 	Listen     netip.AddrPort  `toml:"listen" json:"listen" required:"true" doc:"Where callers reach the entry, over HTTP. Port 0 takes a free one, which the log tells."`
 	PeerListen netip.AddrPort  `toml:"peer_listen" json:"peer_listen" required:"true" doc:"Where other processes reach it, over UDP: the address that the bundle lists. Port 0 takes a free one."`
 	// BalancerLag is how long the listener stays open after readiness is false.
-	BalancerLag btbundle.Span `toml:"balancer_lag" json:"balancer_lag" doc:"How long a stopping entry still takes callers after /readyz turned false: the time that the balancer needs to notice."`
+	BalancerLag btbundle.Duration `toml:"balancer_lag" json:"balancer_lag" doc:"How long a stopping entry still takes callers after /readyz turned false: the time that the balancer needs to notice."`
 	Tables
 }
 
--- a/io/btsettings/defaults.go
+++ b/io/btsettings/defaults.go
@@ -16,7 +16,7 @@
 
 // DefaultEntry returns an entry's settings before its file is read.
 func DefaultEntry() Entry {
-	return Entry{BalancerLag: btbundle.Span{Duration: defaultBalancerLag}, Tables: defaultTables()}
+	return Entry{BalancerLag: btbundle.Duration{Duration: defaultBalancerLag}, Tables: defaultTables()}
 }
 
 // DefaultAgent returns an agent's settings before its file is read.
--- a/io/btsettings/load.go
+++ b/io/btsettings/load.go
@@ -67,7 +67,7 @@
 		return fmt.Errorf("%w: %w", ErrRead, err)
 	}
 	positions, problems := bttoml.Decode(data, settings)
-	if problems.UnknownOnly() {
+	if problems.OnlyUnknownKeys() {
 		c := bttoml.NewChecker(positions)
 		requireKeys(c, settings)
 		check(c)
--- a/io/btstandin/btfleet/bundle.go
+++ b/io/btstandin/btfleet/bundle.go
@@ -32,7 +32,7 @@
 	maxBody = 1 << 20
 )
 
-func span(d time.Duration) btbundle.Span { return btbundle.Span{Duration: d} }
+func span(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
 
 // writeDraft makes the first version of the bundle.
 func (f *Fleet) writeDraft(ctx context.Context) error {
@@ -122,7 +122,7 @@
 
 // File is a signed bundle, ready to be published.
 type File struct {
-	Order btbundle.Order
+	Order btbundle.Revision
 	Raw   []byte
 }
 
@@ -156,7 +156,7 @@
 		Document:   document,
 		Signatures: []btbundle.Signature{btbundle.Sign(document, approver)},
 	}
-	order := btbundle.Order{Version: version, Digest: btbundle.DigestOf(document)}
+	order := btbundle.Revision{Version: version, Digest: btbundle.DigestOf(document)}
 	return File{Order: order, Raw: signed.Bytes()}, nil
 }
 
@@ -185,12 +185,12 @@
 }
 
 // InForce returns nil where a process has exactly this bundle in force.
-func (f *Fleet) InForce(name string, want btbundle.Order) error {
+func (f *Fleet) InForce(name string, want btbundle.Revision) error {
 	status, err := f.Status(name)
 	if err != nil {
 		return err
 	}
-	got := btbundle.Order{Version: status.Bundle.Version, Digest: status.Bundle.Digest}
+	got := btbundle.Revision{Version: status.Bundle.Version, Digest: status.Bundle.Digest}
 	if got != want {
 		return fmt.Errorf("%s has version %d, digest %s", name, got.Version, got.Digest)
 	}
@@ -198,7 +198,7 @@
 }
 
 // UntilInForce waits until all of these processes have the bundle in force.
-func (f *Fleet) UntilInForce(ctx context.Context, want btbundle.Order, processes ...string) error {
+func (f *Fleet) UntilInForce(ctx context.Context, want btbundle.Revision, processes ...string) error {
 	for _, name := range processes {
 		what := fmt.Sprintf("version %d at %s", want.Version, name)
 		if err := Until(ctx, what, func() error { return f.InForce(name, want) }); err != nil {
--- a/io/btstandin/btfleet/settings.go
+++ b/io/btstandin/btfleet/settings.go
@@ -142,7 +142,7 @@
 	s.DataCentre = e.DataCentre
 	s.Listen = f.callers[name]
 	s.PeerListen = e.Address
-	s.BalancerLag = btbundle.Span{Duration: 200 * time.Millisecond}
+	s.BalancerLag = btbundle.Duration{Duration: 200 * time.Millisecond}
 	s.Platform.Address = f.platform
 	s.Approvers = f.trust.approvers
 	s.TLS = tls
--- a/io/btstandin/btinprocess/btinprocess.go
+++ b/io/btstandin/btinprocess/btinprocess.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func span(d time.Duration) btbundle.Span { return btbundle.Span{Duration: d} }
+func span(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
 
 // Listen serves the handler over HTTP until the test ends.
 func (f *Fleet) Listen(h http.Handler) netip.AddrPort {
--- a/io/btstandin/cache.go
+++ b/io/btstandin/cache.go
@@ -40,7 +40,7 @@
 // CacheFault is the body of PUT /control/cache: how cache events go wrong.
 type CacheFault struct {
 	// Delay is how long an event stays invisible.
-	Delay btbundle.Span `json:"delay"`
+	Delay btbundle.Duration `json:"delay"`
 	// DropEvery loses every event whose sequence number it divides; zero loses
 	// none.
 	DropEvery uint64 `json:"drop_every"`
--- a/io/btstandin/platform_config.go
+++ b/io/btstandin/platform_config.go
@@ -119,7 +119,7 @@
 	if text == "" {
 		return 0, true
 	}
-	var span btbundle.Span
+	var span btbundle.Duration
 	if err := span.UnmarshalText([]byte(text)); err != nil {
 		writeError(w, http.StatusBadRequest, "query parameter wait: %v", err)
 		return 0, false
--- a/io/btstandin/platform_control.go
+++ b/io/btstandin/platform_control.go
@@ -28,12 +28,12 @@
 type PlatformFault struct {
 	Mode PlatformMode `json:"mode"`
 	// Delay is how long slow reads wait.
-	Delay btbundle.Span `json:"delay"`
+	Delay btbundle.Duration `json:"delay"`
 	// Close makes a service that is down close the connection instead of
 	// answering 503.
 	Close bool `json:"close"`
 	// Age is how long before the fault was set the stale state held.
-	Age btbundle.Span `json:"age"`
+	Age btbundle.Duration `json:"age"`
 }
 
 // Validate reports an unknown mode.
