--- a/core/btbundle/bttoml/decode.go
+++ b/core/btbundle/bttoml/decode.go
@@ -13,13 +13,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxRounds bounds how many wrong values one decode lists.
-const maxRounds = 200
+// maxPasses bounds how many wrong values one Decode reports.
+const maxPasses = 200
 
-// Decode fills into with the document and returns where its keys stand and
-// every problem of syntax, of unknown keys and of single values. Unless
-// Problems.UnknownOnly, into isn't fit for further checks. It must point to a
-// struct.
+// Decode decodes the document into the struct that into points to. It returns
+// the positions of the keys and all problems of syntax, unknown keys and single
+// values. Further checks of into make sense only if Problems.OnlyUnknownKeys.
 func Decode(document []byte, into any) (*Positions, Problems) {
 	positions, problems := locate(document)
 	if len(problems) > 0 {
@@ -27,22 +26,22 @@
 	}
 	d := decoder{
 		text:      slices.Clip(bytes.Clone(document)),
-		shape:     reflect.TypeOf(into).Elem(),
+		docType:   reflect.TypeOf(into).Elem(),
 		positions: positions,
-		problems:  slices.Clone(positions.early),
-		known:     map[Problem]bool{},
+		problems:  slices.Clone(positions.problems),
+		reported:  map[Problem]bool{},
 	}
-	for range maxRounds {
-		if !d.round(into) {
+	for range maxPasses {
+		if !d.decodePass(into) {
 			break
 		}
 	}
-	d.checkNames("", reflect.ValueOf(into).Elem())
+	d.checkTexts("", reflect.ValueOf(into).Elem())
 	return positions, d.problems
 }
 
-// OnlyUnknownKeys tells whether all the problems are unknown keys, so that the
-// values which were decoded can be trusted.
+// OnlyUnknownKeys reports whether all problems are unknown keys, so that the
+// decoded values are valid.
 func (p Problems) OnlyUnknownKeys() bool {
 	for _, problem := range p {
 		if !strings.HasPrefix(problem.Text, unknownKey) {
@@ -57,89 +56,94 @@
 	timeFormat = "write it as 2026-01-31T12:00:00Z"
 )
 
+// decoder decodes a document in passes, each without the wrong value that the
+// pass before it found.
 type decoder struct {
 	text      []byte
-	shape     reflect.Type
+	docType   reflect.Type
 	positions *Positions
 	problems  Problems
-	known     map[Problem]bool
+	reported  map[Problem]bool
 }
 
-// round decodes once and tells whether another round can find more.
-func (d *decoder) round(into any) bool {
+// decodePass decodes once and reports whether another pass can find more.
+func (d *decoder) decodePass(into any) bool {
 	reader := toml.NewDecoder(bytes.NewReader(d.text)).DisallowUnknownFields()
 	err := reader.Decode(into)
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		for i := range unknown.Errors {
-			d.unknown(&unknown.Errors[i])
+			d.addUnknownKey(&unknown.Errors[i])
 		}
 		return false
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		return d.wrong(wrong)
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		return d.addWrongValue(decodeErr)
 	}
 	if err != nil {
-		return d.unplaced(err)
+		return d.addUnlocated(err)
 	}
 	return false
 }
 
-// unplaced notes a wrong value whose place the library doesn't tell: the last
-// one of the shortest start of the document that can't be decoded either.
-func (d *decoder) unplaced(err error) bool {
+// addUnlocated adds a problem for a wrong value whose position the library
+// doesn't report. It finds the shortest prefix of the document that ends with a
+// key and fails to decode too; the value of that key is the wrong one.
+func (d *decoder) addUnlocated(err error) bool {
 	keys := slices.DeleteFunc(slices.Clone(d.positions.nodes), func(n node) bool { return n.nested || n.header })
-	first := sort.Search(len(keys), func(i int) bool { return !d.fits(keys[i].end) })
+	first := sort.Search(len(keys), func(i int) bool { return !d.prefixDecodes(keys[i].end) })
 	if first == len(keys) {
-		d.add(Problem{Text: err.Error()})
+		d.addProblem(Problem{Text: err.Error()})
 		return false
 	}
 	n := keys[first]
-	d.add(Problem{Line: d.positions.lineAt(n.start), Key: n.path, Text: plain(err.Error())})
+	d.addProblem(Problem{Line: d.positions.lineAt(n.start), Key: n.path, Text: userMessage(err.Error())})
 	return d.blank(n)
 }
 
-// fits tells whether the document's start of that length can be decoded, but
-// for unknown keys.
-func (d *decoder) fits(length int) bool {
-	scratch := reflect.New(d.shape).Interface()
+// prefixDecodes reports whether the first length bytes of the document decode,
+// unknown keys aside.
+func (d *decoder) prefixDecodes(length int) bool {
+	scratch := reflect.New(d.docType).Interface()
 	err := toml.NewDecoder(bytes.NewReader(d.text[:length])).Decode(scratch)
 	return err == nil
 }
 
-func (d *decoder) unknown(err *toml.DecodeError) {
+func (d *decoder) addUnknownKey(err *toml.DecodeError) {
 	line, column := err.Position()
 	problem := Problem{Line: line, Key: strings.Join(err.Key(), "."), Text: unknownKey}
-	if n, ok := d.positions.at(d.positions.offset(line, column)); ok {
+	if n, ok := d.positions.nodeAt(d.positions.offsetOf(line, column)); ok {
 		problem.Key = n.path
 	}
-	d.add(problem)
+	d.addProblem(problem)
 }
 
-// wrong notes a value that doesn't fit its field and blanks it.
-func (d *decoder) wrong(err *toml.DecodeError) bool {
+// addWrongValue adds a problem for a value that doesn't fit its field and
+// blanks the value.
+func (d *decoder) addWrongValue(err *toml.DecodeError) bool {
 	line, column := err.Position()
-	problem := Problem{Line: line, Key: strings.Join(err.Key(), "."), Text: plain(err.Error())}
-	n, ok := d.positions.at(d.positions.offset(line, column))
+	problem := Problem{Line: line, Key: strings.Join(err.Key(), "."), Text: userMessage(err.Error())}
+	n, ok := d.positions.nodeAt(d.positions.offsetOf(line, column))
 	if ok {
 		problem.Key = n.path
 	}
-	d.add(problem)
+	d.addProblem(problem)
 	if !ok || n.header {
 		return false
 	}
 	return d.blank(n)
 }
 
-// mismatch matches the library's words for a value of the wrong type, which
-// name Go types that a document's author doesn't know.
-var mismatch = regexp.MustCompile(`^cannot decode TOML (\S+) into`)
+// typeMismatch matches the library's message for a value of the wrong type. It
+// names Go types, which mean nothing to the author of a document.
+var typeMismatch = regexp.MustCompile(`^cannot decode TOML (\S+) into`)
 
-func plain(text string) string {
+// userMessage returns the library's message in terms of the document.
+func userMessage(text string) string {
 	text = strings.TrimPrefix(text, "toml: ")
-	if found := mismatch.FindStringSubmatch(text); found != nil {
-		return "a value of type " + found[1] + " doesn't fit this key"
+	if groups := typeMismatch.FindStringSubmatch(text); groups != nil {
+		return "a value of type " + groups[1] + " doesn't fit this key"
 	}
 	if strings.HasPrefix(text, "parsing time") {
 		return "is no time: " + timeFormat
@@ -147,23 +151,24 @@
 	return text
 }
 
-func (d *decoder) add(p Problem) {
-	if d.known[p] || d.noted(p) {
+func (d *decoder) addProblem(p Problem) {
+	if d.reported[p] || d.foundByLocator(p) {
 		return
 	}
-	d.known[p] = true
+	d.reported[p] = true
 	d.problems = append(d.problems, p)
 }
 
-// noted tells whether the locator already listed an unknown key.
-func (d *decoder) noted(p Problem) bool {
-	return slices.ContainsFunc(d.positions.early, func(q Problem) bool {
+// foundByLocator reports whether the locator has already found this unknown
+// key.
+func (d *decoder) foundByLocator(p Problem) bool {
+	return slices.ContainsFunc(d.positions.problems, func(q Problem) bool {
 		return p.Key == q.Key && strings.HasPrefix(q.Text, p.Text)
 	})
 }
 
-// blank overwrites the node with spaces, with one comma beside it where it is
-// part of a list. It reports whether anything was left to overwrite.
+// blank overwrites the node with spaces, and one adjacent comma if the node is
+// part of a list. It reports whether there was anything left to overwrite.
 func (d *decoder) blank(n node) bool {
 	if len(bytes.TrimSpace(d.text[n.start:n.end])) == 0 {
 		return false
@@ -188,8 +193,8 @@
 	return true
 }
 
-// Path writes the key of element i of a list, with the field where one is
-// named: Path("targets", 2, "address") is "targets[2].address".
+// Path returns the key of element i of a list, or of the element's field if
+// field isn't empty: Path("targets", 2, "address") is "targets[2].address".
 func Path(list string, i int, field string) string {
 	if field == "" {
 		return fmt.Sprintf("%s[%d]", list, i)
--- a/core/btbundle/bttoml/example_test.go
+++ b/core/btbundle/bttoml/example_test.go
@@ -6,7 +6,8 @@
 	"bilberrytide/core/btbundle/bttoml"
 )
 
-// Every fault of a document is told at once, with its line and key.
+// ExampleDecode shows that all problems of a document are reported at once,
+// each with its line and key.
 func ExampleDecode() {
 	var settings struct {
 		Name  string `toml:"name"`
--- a/core/btbundle/bttoml/problem.go
+++ b/core/btbundle/bttoml/problem.go
@@ -1,9 +1,9 @@
-// Package bttoml decodes TOML documents of which people must be told every
-// fault at once: each with its line and its key.
+// Package bttoml decodes TOML documents and reports all of their errors at
+// once, each with its line and key.
 //
-// The library decodes strictly and stops at the first wrong value. This package
-// blanks that value, keeping every byte's place, and decodes again, until
-// nothing more is wrong.
+// The TOML library stops at the first wrong value. This package overwrites that
+// value with spaces, so that the offsets of all other bytes stay the same, and
+// decodes again until no wrong value is left.
 package bttoml
 
 import (
@@ -13,18 +13,18 @@
 	"strings"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
 	// Line counts from 1; 0 stands for the document as a whole.
 	Line int `json:"line"`
-	// Key is the path of the key, such as "targets[2].address"; empty where
-	// the fault belongs to no key.
+	// Key is the path of the key, such as "targets[2].address"; empty if the
+	// problem concerns no key.
 	Key string `json:"key"`
-	// Text says what is wrong and what is expected.
+	// Text states what is wrong and what is expected.
 	Text string `json:"text"`
 }
 
-// String writes the problem as "line 7: targets[2].address: text".
+// String returns the problem as "line 7: targets[2].address: text".
 func (p Problem) String() string {
 	var parts []string
 	if p.Line > 0 {
@@ -36,10 +36,10 @@
 	return strings.Join(append(parts, p.Text), ": ")
 }
 
-// Problems is the error that lists every fault of a document by line.
+// Problems is the error that lists every problem of a document.
 type Problems []Problem
 
-// Error writes one problem a line.
+// Error returns the problems, one on each line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -48,8 +48,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems in the order of their lines, or nil where there are
-// none.
+// Err returns the problems sorted by line, or nil if there are none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -59,16 +58,16 @@
 	return sorted
 }
 
-// Checker collects the problems that a document's values have with each other.
+// Checker collects problems in the relations between a document's values.
 type Checker struct {
 	positions *Positions
 	problems  Problems
 }
 
-// NewChecker returns a checker that finds lines by positions.
+// NewChecker returns a checker that looks up lines in positions.
 func NewChecker(positions *Positions) *Checker { return &Checker{positions: positions} }
 
-// Require adds a problem of the key unless holds is true, and returns holds.
+// Require adds a problem for the key if holds is false, and returns holds.
 func (c *Checker) Require(holds bool, key, format string, args ...any) bool {
 	if !holds {
 		problem := Problem{Line: c.positions.Line(key), Key: key, Text: fmt.Sprintf(format, args...)}
@@ -77,5 +76,5 @@
 	return holds
 }
 
-// Problems returns what has been found so far.
+// Problems returns the problems found so far.
 func (c *Checker) Problems() Problems { return c.problems }
