--- a/core/btbundle/btdraft/btdraft.go
+++ b/core/btbundle/btdraft/btdraft.go
@@ -1,7 +1,7 @@
-// Package btdraft turns an operator's edited text into the next version of a
-// bundle: it stamps version, parent and time, keeps the key homes' epochs and
-// the list of those that are gone for good, and leaves every other byte,
-// comments included, as it was written.
+// Package btdraft creates the next version of a bundle from an operator's
+// edited text. It sets version, parent and time, and updates the epochs of key
+// homes and the list of destroyed targets. Every other byte, comments included,
+// stays as it was written.
 package btdraft
 
 import (
@@ -16,7 +16,7 @@
 	"bilberrytide/core/btid"
 )
 
-// draft is the text at work with the edits that it shall get.
+// draft is a text with the edits to apply to it.
 type draft struct {
 	text      []byte
 	bundle    btbundle.Bundle
@@ -30,8 +30,8 @@
 	text       string
 }
 
-// Next returns the text as the version that follows parent, and checks it
-// whole. Both are documents without signatures; parent may be nil for a first
+// Next returns the text as the version that follows parent, and checks the
+// result. Both are documents without signatures; parent is nil for the first
 // version. The error is btbundle.Problems or wraps btbundle.ErrTooLarge.
 func Next(parent, text []byte, now time.Time) ([]byte, error) {
 	now = now.UTC().Truncate(time.Second)
@@ -49,12 +49,12 @@
 		}
 		old = decoded
 	}
-	d.stamp(parent, old, now)
+	d.setMetadata(parent, old, now)
 	var epochs []btbundle.HomeEpoch
 	for i := range d.bundle.Services {
-		epochs = append(epochs, d.keepEpochs(i, now)...)
+		epochs = append(epochs, d.updateEpochs(i, now)...)
 	}
-	d.keepDestroyed(old, epochs)
+	d.updateDestroyed(old, epochs)
 	next := d.apply()
 	if _, err := btbundle.Decode(next); err != nil {
 		return nil, err
@@ -62,42 +62,43 @@
 	return next, nil
 }
 
-// stamp sets version, parent and time.
-func (d *draft) stamp(parent []byte, old *btbundle.Bundle, now time.Time) {
+// setMetadata sets version, parent and time.
+func (d *draft) setMetadata(parent []byte, old *btbundle.Bundle, now time.Time) {
 	version := max(d.bundle.Version, 1)
 	if parent != nil {
 		version = old.Version + 1
 	}
-	d.set("created", now.Format(time.RFC3339))
+	d.setRootKey("created", now.Format(time.RFC3339))
 	if parent != nil {
-		d.set("parent", fmt.Sprintf("%q", btbundle.DigestOf(parent)))
+		d.setRootKey("parent", fmt.Sprintf("%q", btbundle.DigestOf(parent)))
 	}
-	d.set("version", fmt.Sprint(version))
+	d.setRootKey("version", fmt.Sprint(version))
 }
 
-// keepDestroyed brings the list of destroyed targets up to date.
-func (d *draft) keepDestroyed(parent *btbundle.Bundle, epochs []btbundle.HomeEpoch) {
+// updateDestroyed updates the list of destroyed targets.
+func (d *draft) updateDestroyed(parent *btbundle.Bundle, epochs []btbundle.HomeEpoch) {
 	next := btbundle.NextDestroyed(parent, &d.bundle, epochs)
 	if !slices.Equal(next, d.bundle.DestroyedTargets) {
-		d.set("destroyed_targets", quoted(next))
+		d.setRootKey("destroyed_targets", quotedList(next))
 	}
 }
 
-// set gives a key of the root a value; a missing one goes to the top.
-func (d *draft) set(key, value string) {
+// setRootKey sets a key of the root table; a missing key is inserted at
+// rootKeyOffset.
+func (d *draft) setRootKey(key, value string) {
 	assignment := key + " = " + value
 	start, end, ok := d.positions.ValueRange(key)
 	if !ok {
-		at := d.top()
+		at := d.rootKeyOffset()
 		d.edits = append(d.edits, edit{start: at, end: at, text: assignment + "\n"})
 		return
 	}
 	d.edits = append(d.edits, edit{start: start, end: end, text: assignment})
 }
 
-// top returns where a missing root key goes: before the first that stands
-// there, or at the start of the text.
-func (d *draft) top() int {
+// rootKeyOffset returns where to insert a missing root key: before the first of
+// the metadata keys that is present, or at the start of the text.
+func (d *draft) rootKeyOffset() int {
 	for _, key := range []string{"created", "version", "parent"} {
 		if start, _, ok := d.positions.ValueRange(key); ok {
 			return start
@@ -106,23 +107,23 @@
 	return 0
 }
 
-// keepEpochs brings the epochs of one service up to date and returns them.
-func (d *draft) keepEpochs(i int, now time.Time) []btbundle.HomeEpoch {
+// updateEpochs updates the epochs of one service and returns them.
+func (d *draft) updateEpochs(i int, now time.Time) []btbundle.HomeEpoch {
 	service := &d.bundle.Services[i]
 	next := btbundle.NextEpochs(service, d.bundle.Targets, d.bundle.Idempotency, now)
 	key := bttoml.Path("services", i, "epochs")
 	if start, end, ok := d.positions.ValueRange(key); ok {
-		if !sameEpochs(service.Epochs, next) {
-			d.edits = append(d.edits, edit{start: start, end: end, text: "epochs = " + inline(next)})
+		if !equalEpochNumbers(service.Epochs, next) {
+			d.edits = append(d.edits, edit{start: start, end: end, text: "epochs = " + inlineEpochs(next)})
 		}
 		return next
 	}
-	d.dropEpochs(key, service.Epochs, next)
+	d.removeEpochs(key, service.Epochs, next)
 	d.appendEpoch(i, service.Epochs, next)
 	return next
 }
 
-func (d *draft) dropEpochs(key string, old, next []btbundle.HomeEpoch) {
+func (d *draft) removeEpochs(key string, old, next []btbundle.HomeEpoch) {
 	for j, e := range old {
 		kept := slices.ContainsFunc(next, func(n btbundle.HomeEpoch) bool { return n.Number == e.Number })
 		start, end, ok := d.positions.TableRange(bttoml.Path(key, j, ""), true)
@@ -136,8 +137,8 @@
 	}
 }
 
-// appendEpoch writes the last of next where it is new: after the last epoch
-// that stands in the text, or after the service's own keys.
+// appendEpoch inserts the last epoch of next if it is new: after the last epoch
+// in the text, or after the service's own keys.
 func (d *draft) appendEpoch(i int, old, next []btbundle.HomeEpoch) {
 	if len(next) == 0 {
 		return
@@ -151,12 +152,12 @@
 		_, at, ok = d.positions.TableRange(bttoml.Path(bttoml.Path("services", i, "epochs"), len(old)-1, ""), true)
 	}
 	if ok {
-		d.edits = append(d.edits, edit{start: at, end: at, text: table(last)})
+		d.edits = append(d.edits, edit{start: at, end: at, text: epochTable(last)})
 	}
 }
 
-// apply carries the edits out. What is put in at a place goes before what is
-// replaced from there on.
+// apply returns the text with all edits. At the same offset, insertions go
+// before replacements.
 func (d *draft) apply() []byte {
 	slices.SortStableFunc(d.edits, func(a, b edit) int { return cmp.Or(cmp.Compare(a.start, b.start), cmp.Compare(a.end, b.end)) })
 	var text []byte
@@ -169,23 +170,23 @@
 	return append(text, d.text[at:]...)
 }
 
-func sameEpochs(a, b []btbundle.HomeEpoch) bool {
+func equalEpochNumbers(a, b []btbundle.HomeEpoch) bool {
 	return slices.EqualFunc(a, b, func(x, y btbundle.HomeEpoch) bool { return x.Number == y.Number })
 }
 
-func table(e btbundle.HomeEpoch) string {
-	return fmt.Sprintf("\n[[services.epochs]]\nnumber = %d\nsince = %s\nhomes = %s\n", e.Number, e.Since.Format(time.RFC3339), quoted(e.Homes))
+func epochTable(e btbundle.HomeEpoch) string {
+	return fmt.Sprintf("\n[[services.epochs]]\nnumber = %d\nsince = %s\nhomes = %s\n", e.Number, e.Since.Format(time.RFC3339), quotedList(e.Homes))
 }
 
-func inline(epochs []btbundle.HomeEpoch) string {
+func inlineEpochs(epochs []btbundle.HomeEpoch) string {
 	parts := make([]string, len(epochs))
 	for i, e := range epochs {
-		parts[i] = fmt.Sprintf("    { number = %d, since = %s, homes = %s },\n", e.Number, e.Since.Format(time.RFC3339), quoted(e.Homes))
+		parts[i] = fmt.Sprintf("    { number = %d, since = %s, homes = %s },\n", e.Number, e.Since.Format(time.RFC3339), quotedList(e.Homes))
 	}
 	return "[\n" + strings.Join(parts, "") + "]"
 }
 
-func quoted(targets []btid.Target) string {
+func quotedList(targets []btid.Target) string {
 	texts := make([]string, len(targets))
 	for i, t := range targets {
 		texts[i] = fmt.Sprintf("%q", t)
