--- a/core/btbundle/approve.go
+++ b/core/btbundle/approve.go
@@ -12,7 +12,7 @@
 	"bilberrytide/core/btid"
 )
 
-// ErrApprovers is wrapped by the error of a trust anchor that can't be used.
+// ErrApprovers is wrapped by the error of every invalid trust anchor.
 var ErrApprovers = errors.New("approvers refused")
 
 // PublicKey is an approver's Ed25519 public key, written in base64.
@@ -33,28 +33,28 @@
 	return nil
 }
 
-// ID names the key as signatures do.
+// ID returns the identifier by which signatures name the key.
 func (k PublicKey) ID() KeyID { return KeyIDOf(k[:]) }
 
-// Approver is one person whose signature counts.
+// Approver is one person whose signature is accepted.
 type Approver struct {
-	// Name is for people: it stands in logs.
+	// Name identifies the approver in logs.
 	Name string `toml:"name" json:"name"`
-	// Key is the public key that the approver's signatures verify with.
+	// Key is the public key that verifies the approver's signatures.
 	Key PublicKey `toml:"key" json:"key"`
 }
 
-// Approvers is the trust anchor. It comes from a process's settings, never
-// from a bundle that it judges.
+// Approvers is the trust anchor. It comes from a process's settings, never from
+// a bundle that is verified against it.
 type Approvers struct {
 	// Required is how many approvers must have signed; 0 stands for 1.
 	Required int `toml:"required" json:"required"`
-	// Keys lists whose signatures count.
+	// Keys lists the approvers whose signatures are accepted.
 	Keys []Approver `toml:"keys" json:"keys"`
 }
 
-// Validate reports approvers who can't approve anything. The error wraps
-// ErrApprovers.
+// Validate returns an error if no bundle could be verified against the anchor
+// or a key is listed twice. The error wraps ErrApprovers.
 func (a Approvers) Validate() error {
 	if len(a.Keys) == 0 {
 		return fmt.Errorf("%w: no key is listed", ErrApprovers)
@@ -72,35 +72,36 @@
 	return nil
 }
 
-// Revision is a bundle's place in the order in which bundles replace each other.
+// Revision identifies a bundle by version and digest. A bundle replaces only
+// bundles with a lower revision.
 type Revision struct {
 	Version btid.BundleVersion `cbor:"version" json:"version"`
 	Digest  Digest             `cbor:"digest" json:"digest"`
 }
 
-// Compare orders by version, then by digest.
-func (o Revision) Compare(other Revision) int {
-	return cmp.Or(cmp.Compare(o.Version, other.Version), bytes.Compare(o.Digest[:], other.Digest[:]))
+// Compare compares by version, then by digest.
+func (r Revision) Compare(other Revision) int {
+	return cmp.Or(cmp.Compare(r.Version, other.Version), bytes.Compare(r.Digest[:], other.Digest[:]))
 }
 
-// Validate reports an order that no process could announce: a version without
-// a digest, or a digest without a version.
-func (o Revision) Validate() error {
-	if (o.Version == 0) != o.Digest.IsZero() {
-		return fmt.Errorf("bundle order: version %d with digest %s", o.Version, o.Digest)
+// Validate returns an error for a version without a digest or a digest without
+// a version; no process announces such a revision.
+func (r Revision) Validate() error {
+	if (r.Version == 0) != r.Digest.IsZero() {
+		return fmt.Errorf("bundle revision: version %d with digest %s", r.Version, r.Digest)
 	}
 	return nil
 }
 
-// Approved is a bundle that was verified whole. Only Approvers.Verify makes
-// one; it is shared between goroutines and must not be changed.
+// Approved is a verified bundle. Only Approvers.Verify creates one; it is
+// shared between goroutines and must not be modified.
 type Approved struct {
 	Bundle *Bundle
 	// Digest is that of the document without its signatures.
 	Digest Digest
-	// Raw is the signed file as it was verified, for peers that ask for it.
+	// Raw is the signed file as it was verified, for peers that fetch it.
 	Raw []byte
-	// Index answers the request path's lookups.
+	// Index holds the lookup tables for the request path.
 	Index *Index
 	// Signers names the approvers whose signatures verified.
 	Signers []string
@@ -108,10 +109,10 @@
 	verified bool
 }
 
-// Verified tells whether Approvers.Verify made this value.
+// Verified reports whether Approvers.Verify created this value.
 func (a *Approved) Verified() bool { return a != nil && a.verified }
 
-// Revision returns the bundle's place in the order; nil has the lowest.
+// Revision returns the bundle's revision; that of nil is the lowest.
 func (a *Approved) Revision() Revision {
 	if a == nil {
 		return Revision{}
@@ -119,9 +120,9 @@
 	return Revision{Version: a.Bundle.Version, Digest: a.Digest}
 }
 
-// Verify checks the signatures, then the document. Signatures of unknown keys
-// don't count; a wrong one of a known key refuses the file. The error wraps
-// ErrSignature, ErrTooLarge or ErrApprovers, or is Problems.
+// Verify checks the signatures, then the document. It ignores signatures of
+// unknown keys; an invalid signature of a known key makes it reject the file.
+// The error wraps ErrSignature, ErrTooLarge or ErrApprovers, or is Problems.
 func (a Approvers) Verify(signed Signed) (*Approved, error) {
 	if err := a.Validate(); err != nil {
 		return nil, err
@@ -148,11 +149,12 @@
 	}, nil
 }
 
-// signers names the approvers who signed, each once, in the order of the keys.
+// signers returns the names of the approvers who signed, each once, in the
+// order of the keys.
 func (a Approvers) signers(signed Signed) ([]string, error) {
 	var signers []string
 	for _, k := range a.Keys {
-		has := false
+		hasSigned := false
 		for _, s := range signed.Signatures {
 			if s.KeyID != k.Key.ID() {
 				continue
@@ -160,23 +162,23 @@
 			if !ed25519.Verify(k.Key[:], signed.Document, s.Bytes[:]) {
 				return nil, fmt.Errorf("%w: that of %q doesn't fit the document: either was changed", ErrSignature, k.Name)
 			}
-			has = true
+			hasSigned = true
 		}
-		if has {
+		if hasSigned {
 			signers = append(signers, k.Name)
 		}
 	}
 	required := max(a.Required, 1)
 	if len(signers) < required {
 		return nil, fmt.Errorf("%w: %d of the known approvers signed, %d must; the file has %s",
-			ErrSignature, len(signers), required, a.describe(signed))
+			ErrSignature, len(signers), required, a.describeSignatures(signed))
 	}
 	return signers, nil
 }
 
-// describe tells what signatures a file has, so that a wrong approver can be
-// told from a file that nobody signed.
-func (a Approvers) describe(signed Signed) string {
+// describeSignatures lists the file's signatures for an error, so that a file
+// signed by unknown keys differs from an unsigned one.
+func (a Approvers) describeSignatures(signed Signed) string {
 	if len(signed.Signatures) == 0 {
 		return "no signature"
 	}
--- a/core/btbundle/btbundle.go
+++ b/core/btbundle/btbundle.go
@@ -1,6 +1,7 @@
-// Package btbundle holds the bundle: the one versioned document by which
-// operators describe services, targets, client accounts and policy, sign it,
-// and roll it out.
+// Package btbundle implements the bundle: the versioned and signed TOML
+// document in which operators configure services, targets, client accounts and
+// policy. It decodes, checks, compares and verifies bundles, and decides which
+// one is in force in a process.
 package btbundle
 
 import (
@@ -10,19 +11,21 @@
 	"bilberrytide/core/btid"
 )
 
-// MaxBytes is the largest bundle accepted: the platform's configuration
-// service holds values of up to a megabyte.
+// MaxBytes is the largest bundle accepted: the platform's configuration service
+// holds values of up to a megabyte.
 const MaxBytes = 1 << 20
 
-// MaxLease is the longest lease of a key home. Homes that start are silent as
-// voters for as long, so that every process must know the same one.
+// MaxLease is the longest lease of a key home. A home that starts casts no
+// votes for this long, so the value must be the same in every process.
 const MaxLease = 5 * time.Second
 
-// MaxHeartbeat is the longest interval between heartbeats. Entries that tell each
-// other of targets in summaries call one silent after two and a half of it.
+// MaxHeartbeat is the longest interval between heartbeats. Entries that
+// exchange summaries of targets consider a target silent after 2.5 times this
+// interval.
 const MaxHeartbeat = time.Second
 
-// Duration is a duration that is written in TOML as Go writes durations: "30s".
+// Duration is a time.Duration that is written in TOML as Go writes durations:
+// "30s".
 type Duration struct {
 	time.Duration
 }
@@ -43,37 +46,39 @@
 	Targets     []Target           `toml:"targets" json:"targets"`
 	Groups      []Group            `toml:"groups" json:"groups"`
 	Accounts    []Account          `toml:"accounts" json:"accounts"`
-	// DestroyedHosts lists hosts of which a person states that they are gone
-	// for good, which a lagging host list can't prove.
+	// DestroyedHosts lists hosts that an operator declares permanently gone,
+	// which a host list that lags can't prove.
 	DestroyedHosts []btid.Host `toml:"destroyed_hosts,omitempty" json:"destroyed_hosts"`
-	// DestroyedTargets lists key homes of which a person states that they are
-	// gone for good with what they remembered: they count in no majority, and
-	// their names aren't used again while a listed epoch names them.
+	// DestroyedTargets lists key homes that an operator declares permanently
+	// gone along with the keys that they remembered. They count in no majority,
+	// and their names aren't used again while a listed epoch names them.
 	DestroyedTargets []btid.Target `toml:"destroyed_targets,omitempty" json:"destroyed_targets"`
 }
 
-// Timeouts bounds waiting.
+// Timeouts holds deadlines of requests and intervals of heartbeats.
 type Timeouts struct {
-	// Request is the deadline of a request whose caller names none.
+	// Request is the deadline of a request that names none.
 	Request Duration `toml:"request" json:"request"`
-	// RequestMax is the longest deadline a caller may ask for.
+	// RequestMax is the longest deadline that a request may name.
 	RequestMax Duration `toml:"request_max" json:"request_max"`
-	// Heartbeat is the interval at which agents report to those who watch them.
+	// Heartbeat is the interval at which agents report to the processes that
+	// monitor them.
 	Heartbeat Duration `toml:"heartbeat" json:"heartbeat"`
-	// TargetLease is how long an entry gives a target new work after its last
-	// heartbeat.
+	// TargetLease is how long after its last heartbeat a target gets new
+	// requests from an entry.
 	TargetLease Duration `toml:"target_lease" json:"target_lease"`
 }
 
-// Idempotency states how long keys are remembered.
+// Idempotency states how long idempotency keys are remembered and how long key
+// homes may grant them.
 type Idempotency struct {
 	// Retention is how long a key is remembered; an older one is refused.
 	Retention Duration `toml:"retention" json:"retention"`
 	// ClockError is the largest difference between any two clocks, callers'
-	// included, that key times are trusted to.
+	// included, for which the checks of key times hold.
 	ClockError Duration `toml:"clock_error" json:"clock_error"`
-	// Lease is how long a key home may grant after a majority confirmed it, at
-	// most MaxLease.
+	// Lease is how long a key home may grant keys after a majority confirmed
+	// it, at most MaxLease.
 	Lease Duration `toml:"lease" json:"lease"`
 }
 
@@ -81,52 +86,57 @@
 type Retry struct {
 	// BudgetShare is the share of recent requests that may be retries, 0 to 1.
 	BudgetShare float64 `toml:"budget_share" json:"budget_share"`
-	// MaxAttempts counts the first attempt too.
+	// MaxAttempts is the largest number of attempts, the first included.
 	MaxAttempts int `toml:"max_attempts" json:"max_attempts"`
-	// Backoff is the mean wait before the first retry; it doubles each time.
+	// Backoff is the mean wait before the first retry; it doubles with each
+	// retry.
 	Backoff Duration `toml:"backoff" json:"backoff"`
 }
 
-// Ejection bounds how targets are put out of rotation for failing or slowness.
+// Ejection configures how failing and slow targets are taken out of rotation.
 type Ejection struct {
-	// MaxShare is the largest share of a service's targets out at once, 0 to 1.
+	// MaxShare is the largest share of a service's targets that may be ejected
+	// at the same time, 0 to 1.
 	MaxShare float64 `toml:"max_share" json:"max_share"`
-	// Failures is how many failures in a row put a target out.
+	// Failures is how many failures in a row eject a target.
 	Failures int `toml:"failures" json:"failures"`
-	// SlowFactor puts out a target this many times slower than the median.
+	// SlowFactor is how many times slower than the median a target must be to
+	// be ejected.
 	SlowFactor float64 `toml:"slow_factor" json:"slow_factor"`
-	// Duration is the first time out; it doubles with each in a row.
+	// Duration is the length of the first ejection; it doubles with each one in
+	// a row.
 	Duration Duration `toml:"duration" json:"duration"`
 }
 
-// Placement weighs even steps against the cost of moving experts.
+// Placement weighs balanced step times against the cost of moving experts.
 type Placement struct {
 	// SkewWeight is the value of one second of step time saved.
 	SkewWeight float64 `toml:"skew_weight" json:"skew_weight"`
-	// MoveWeight is the price of one second of weight transfer or stall.
+	// MoveWeight is the cost of one second of weight transfer or stall.
 	MoveWeight float64 `toml:"move_weight" json:"move_weight"`
-	// Interval is the time between two considerations of the map.
+	// Interval is the time between two evaluations of the expert map.
 	Interval Duration `toml:"interval" json:"interval"`
-	// Horizon is how long a new map is expected to stay good.
+	// Horizon is how long a new map is expected to remain useful.
 	Horizon Duration `toml:"horizon" json:"horizon"`
 }
 
-// DataCentre places a data centre in its region.
+// DataCentre is a data centre and its region.
 type DataCentre struct {
 	Name   btid.DataCentre `toml:"name" json:"name"`
 	Region string          `toml:"region" json:"region"`
 }
 
-// Entry is one entry process's place.
+// Entry is one entry process and its location.
 type Entry struct {
 	Name       btid.Entry      `toml:"name" json:"name"`
 	Host       btid.Host       `toml:"host" json:"host"`
 	DataCentre btid.DataCentre `toml:"data_centre" json:"data_centre"`
-	// Address is where other processes of the system reach it, over UDP.
+	// Address is the UDP address at which other processes of the system reach
+	// the entry.
 	Address netip.AddrPort `toml:"address" json:"address"`
 }
 
-// Kind tells what a service's targets are.
+// Kind is the kind of a service's targets.
 type Kind string
 
 const (
@@ -136,7 +146,7 @@
 	Plain Kind = "plain"
 )
 
-// Service is what callers ask for by name.
+// Service is a service that callers request by name.
 type Service struct {
 	Name btid.Service `toml:"name" json:"name"`
 	Kind Kind         `toml:"kind" json:"kind"`
@@ -145,10 +155,11 @@
 	// FirstToken is the goal for the time to the first token or byte: a request
 	// that would wait longer for a slot is refused at once. Zero for no goal.
 	FirstToken Duration `toml:"first_token,omitempty" json:"first_token"`
-	// KeyRequired refuses POST, PUT, PATCH and DELETE without Idempotency-Key.
+	// KeyRequired has POST, PUT, PATCH and DELETE without Idempotency-Key
+	// refused.
 	KeyRequired bool `toml:"key_required,omitempty" json:"key_required"`
-	// Epochs lists the sets of key homes, oldest first, the last in force;
-	// earlier ones stay listed until the retention has passed.
+	// Epochs lists the sets of key homes, oldest first, the one in force last.
+	// Earlier ones stay listed for Idempotency.EpochRetention.
 	Epochs []HomeEpoch `toml:"epochs" json:"epochs"`
 }
 
@@ -159,22 +170,23 @@
 	Homes  []btid.Target `toml:"homes" json:"homes"`
 }
 
-// Target is one engine or application instance and the agent beside it.
+// Target is one engine or application instance with its agent.
 type Target struct {
 	Name       btid.Target     `toml:"name" json:"name"`
 	Service    btid.Service    `toml:"service" json:"service"`
 	Host       btid.Host       `toml:"host" json:"host"`
 	DataCentre btid.DataCentre `toml:"data_centre" json:"data_centre"`
-	// Address is where the agent listens, over UDP.
+	// Address is the UDP address at which the agent listens.
 	Address netip.AddrPort `toml:"address" json:"address"`
-	// Endpoint is where the target itself serves HTTP, reached by its agent.
+	// Endpoint is the address at which the target itself serves HTTP to its
+	// agent.
 	Endpoint netip.AddrPort `toml:"endpoint" json:"endpoint"`
 	// Slots is how many requests the target runs at a time.
 	Slots int `toml:"slots" json:"slots"`
-	// Queue is how many more its agent holds waiting.
+	// Queue is how many more requests the agent queues.
 	Queue int `toml:"queue" json:"queue"`
-	// ChecksFencing tells whether the target refuses an order with an old
-	// fencing number. Safety never rests on it.
+	// ChecksFencing states that the target refuses an order with an old fencing
+	// number. Nothing relies on it for safety.
 	ChecksFencing bool `toml:"checks_fencing,omitempty" json:"checks_fencing"`
 }
 
@@ -190,7 +202,7 @@
 	SlotsPerRank int `toml:"slots_per_rank" json:"slots_per_rank"`
 	// ExpertBytes is the size of one expert's weights in one layer.
 	ExpertBytes int64 `toml:"expert_bytes" json:"expert_bytes"`
-	// Barrier tells whether engines can hold at a step boundary when armed.
+	// Barrier states that the engines can hold at a step boundary when armed.
 	Barrier bool `toml:"barrier,omitempty" json:"barrier"`
 }
 
@@ -199,14 +211,14 @@
 	Name btid.Account `toml:"name" json:"name"`
 	// KeyHashes are SHA-256 digests of the bearer keys, in hexadecimal.
 	KeyHashes []Digest `toml:"key_hashes" json:"-"`
-	// Services lists what the account may ask for; empty means all.
+	// Services lists the services that the account may use; empty means all.
 	Services []btid.Service `toml:"services,omitempty" json:"services"`
-	// Rate is requests a second over all entries together.
+	// Rate is the limit in requests a second, over all entries together.
 	Rate float64 `toml:"rate" json:"rate"`
-	// Burst is how many requests may come at once.
+	// Burst is how many requests may arrive at once.
 	Burst int `toml:"burst" json:"burst"`
 	// Concurrency is how many requests may run at once over all entries.
 	Concurrency int `toml:"concurrency" json:"concurrency"`
-	// Weight is the account's share when capacity is short.
+	// Weight is the account's relative share when capacity is short.
 	Weight float64 `toml:"weight" json:"weight"`
 }
--- a/core/btbundle/capacity_test.go
+++ b/core/btbundle/capacity_test.go
@@ -10,10 +10,10 @@
 	"bilberrytide/core/btbundle"
 )
 
-// sizedDocument is a bundle of so many targets and accounts more than the small
-// one.
+// sizedDocument returns the minimal bundle with the given numbers of targets
+// and accounts added.
 func sizedDocument(targets, accounts int) []byte {
-	document := []byte(small)
+	document := []byte(minimalBundle)
 	for i := range targets {
 		document = fmt.Appendf(document, "\n[[targets]]\nname = \"m%d\"\nservice = \"lookup\"\nhost = \"hm%d\"\n"+
 			"data_centre = \"aarhus\"\naddress = \"10.0.%d.%d:7100\"\nendpoint = \"10.0.%d.%d:7200\"\nslots = 4\nqueue = 8\n",
@@ -26,8 +26,8 @@
 	return document
 }
 
-// BenchmarkVerifySizes measures the time and the memory of taking in a bundle,
-// from the signed file to the index, by its size.
+// BenchmarkVerifySizes measures the time and memory that it takes to parse,
+// verify, decode and index a signed file, by its size.
 func BenchmarkVerifySizes(b *testing.B) {
 	for _, s := range []struct{ targets, accounts int }{{20, 10}, {200, 170}, {830, 690}} {
 		b.Run(fmt.Sprintf("targets=%d/accounts=%d", s.targets, s.accounts), func(b *testing.B) {
--- a/core/btbundle/check_places.go
+++ b/core/btbundle/check_fleet.go
@@ -5,19 +5,19 @@
 	"bilberrytide/core/btid"
 )
 
-// places checks data centres, entries and destroyed hosts.
-func (c *checker) places() {
+// checkDataCentresAndEntries checks data centres, destroyed hosts and entries.
+func (c *checker) checkDataCentresAndEntries() {
 	c.Require(len(c.bundle.DataCentres) > 0, "data_centres", "must list at least one data centre")
 	for i, d := range c.bundle.DataCentres {
 		key := bttoml.Path("data_centres", i, "name")
 		c.Require(d.Name != "", key, "is missing")
-		c.Require(!c.centres[d.Name], key, "%q is listed twice", d.Name)
+		c.Require(!c.dataCentres[d.Name], key, "%q is listed twice", d.Name)
 		c.Require(d.Region != "", bttoml.Path("data_centres", i, "region"), "is missing")
-		c.centres[d.Name] = true
+		c.dataCentres[d.Name] = true
 	}
 	for i, h := range c.bundle.DestroyedHosts {
-		c.Require(!c.destroyed[h], bttoml.Path("destroyed_hosts", i, ""), "%q is listed twice", h)
-		c.destroyed[h] = true
+		c.Require(!c.destroyedHosts[h], bttoml.Path("destroyed_hosts", i, ""), "%q is listed twice", h)
+		c.destroyedHosts[h] = true
 	}
 	c.Require(len(c.bundle.Entries) > 0, "entries", "must list at least one entry")
 	names := map[btid.Entry]bool{}
@@ -26,29 +26,30 @@
 		c.Require(e.Name != "", key, "is missing")
 		c.Require(!names[e.Name], key, "%q is listed twice", e.Name)
 		names[e.Name] = true
-		c.place("entries", i, e.Host, e.DataCentre)
-		c.address(e.Address, bttoml.Path("entries", i, "address"), c.addresses)
+		c.checkLocation("entries", i, e.Host, e.DataCentre)
+		c.checkAddress(e.Address, bttoml.Path("entries", i, "address"), c.addresses)
 	}
 }
 
-// place checks a host and its data centre; one host stands in one.
-func (c *checker) place(list string, i int, host btid.Host, centre btid.DataCentre) {
+// checkLocation checks a host and its data centre. A host belongs to one data
+// centre.
+func (c *checker) checkLocation(list string, i int, host btid.Host, centre btid.DataCentre) {
 	hostKey := bttoml.Path(list, i, "host")
 	centreKey := bttoml.Path(list, i, "data_centre")
-	if !c.Require(c.centres[centre], centreKey, "no data centre is named %q", centre) {
+	if !c.Require(c.dataCentres[centre], centreKey, "no data centre is named %q", centre) {
 		return
 	}
 	if !c.Require(host != "", hostKey, "is missing") {
 		return
 	}
-	c.Require(!c.destroyed[host], hostKey, "%q stands in destroyed_hosts: move what runs there, or take the host off that list", host)
-	other, seen := c.hosts[host]
+	c.Require(!c.destroyedHosts[host], hostKey, "%q stands in destroyed_hosts: move what runs there, or take the host off that list", host)
+	other, seen := c.hostCentres[host]
 	c.Require(!seen || other == centre, centreKey, "host %q stands in %q elsewhere", host, other)
-	c.hosts[host] = centre
+	c.hostCentres[host] = centre
 }
 
-// servicesAndTargets checks both and fills their tables.
-func (c *checker) servicesAndTargets() {
+// checkServicesAndTargets checks services and targets and fills their tables.
+func (c *checker) checkServicesAndTargets() {
 	c.Require(len(c.bundle.Services) > 0, "services", "must list at least one service")
 	for i := range c.bundle.Services {
 		s := &c.bundle.Services[i]
@@ -56,7 +57,7 @@
 		c.Require(s.Name != "", key, "is missing")
 		c.Require(c.services[s.Name] == nil, key, "%q is listed twice", s.Name)
 		c.Require(s.Kind == Model || s.Kind == Plain, bttoml.Path("services", i, "kind"), "%q must be %q or %q", s.Kind, Model, Plain)
-		c.atLeast(s.MaxBody, 1, bttoml.Path("services", i, "max_body"))
+		c.requireAtLeast(s.MaxBody, 1, bttoml.Path("services", i, "max_body"))
 		c.services[s.Name] = s
 	}
 	for i := range c.bundle.Targets {
@@ -66,25 +67,25 @@
 		c.Require(c.targets[t.Name] == nil, key, "%q is listed twice", t.Name)
 		c.targets[t.Name] = t
 		c.Require(c.services[t.Service] != nil, bttoml.Path("targets", i, "service"), "no service is named %q", t.Service)
-		c.place("targets", i, t.Host, t.DataCentre)
-		c.address(t.Address, bttoml.Path("targets", i, "address"), c.addresses)
-		c.address(t.Endpoint, bttoml.Path("targets", i, "endpoint"), c.endpoints)
-		c.atLeast(int64(t.Slots), 1, bttoml.Path("targets", i, "slots"))
-		c.atLeast(int64(t.Queue), 0, bttoml.Path("targets", i, "queue"))
+		c.checkLocation("targets", i, t.Host, t.DataCentre)
+		c.checkAddress(t.Address, bttoml.Path("targets", i, "address"), c.addresses)
+		c.checkAddress(t.Endpoint, bttoml.Path("targets", i, "endpoint"), c.endpoints)
+		c.requireAtLeast(int64(t.Slots), 1, bttoml.Path("targets", i, "slots"))
+		c.requireAtLeast(int64(t.Queue), 0, bttoml.Path("targets", i, "queue"))
 	}
 }
 
-// groups checks that ranks are targets of the group's service, each in one
-// group, and that the experts fit the ranks' memory.
-func (c *checker) groups() {
+// checkGroups checks that ranks are targets of the group's service, each in one
+// group, and that the experts fit into the ranks' slots.
+func (c *checker) checkGroups() {
 	names := map[btid.Group]bool{}
-	member := map[btid.Target]btid.Group{}
+	groupOf := map[btid.Target]btid.Group{}
 	for i, g := range c.bundle.Groups {
 		key := bttoml.Path("groups", i, "name")
 		c.Require(g.Name != "", key, "is missing")
 		c.Require(!names[g.Name], key, "%q is listed twice", g.Name)
 		names[g.Name] = true
-		c.groupShape(i, g)
+		c.checkGroupFields(i, g)
 		ranks := bttoml.Path("groups", i, "ranks")
 		for r, name := range g.Ranks {
 			t := c.targets[name]
@@ -92,35 +93,36 @@
 			if c.Require(t != nil, rank, "no target is named %q", name) {
 				c.Require(t.Service == g.Service, rank, "target %q belongs to service %q, the group to %q", name, t.Service, g.Service)
 			}
-			other, taken := member[name]
+			other, taken := groupOf[name]
 			c.Require(!taken, rank, "target %q is already a rank of group %q", name, other)
-			member[name] = g.Name
+			groupOf[name] = g.Name
 		}
 	}
 }
 
-func (c *checker) groupShape(i int, g Group) {
+// checkGroupFields checks a group's service and sizes.
+func (c *checker) checkGroupFields(i int, g Group) {
 	serviceKey := bttoml.Path("groups", i, "service")
 	s := c.services[g.Service]
 	if c.Require(s != nil, serviceKey, "no service is named %q", g.Service) {
 		c.Require(s.Kind == Model, serviceKey, "service %q is %q: only model engines form groups", s.Name, s.Kind)
 	}
 	c.Require(len(g.Ranks) > 0, bttoml.Path("groups", i, "ranks"), "must list at least one target")
-	c.atLeast(int64(g.Layers), 1, bttoml.Path("groups", i, "layers"))
-	c.atLeast(int64(g.Experts), 1, bttoml.Path("groups", i, "experts"))
-	c.atLeast(int64(g.SlotsPerRank), 1, bttoml.Path("groups", i, "slots_per_rank"))
-	c.atLeast(g.ExpertBytes, 1, bttoml.Path("groups", i, "expert_bytes"))
-	room := len(g.Ranks) * max(g.SlotsPerRank, 0)
-	c.Require(g.Experts <= room, bttoml.Path("groups", i, "experts"),
+	c.requireAtLeast(int64(g.Layers), 1, bttoml.Path("groups", i, "layers"))
+	c.requireAtLeast(int64(g.Experts), 1, bttoml.Path("groups", i, "experts"))
+	c.requireAtLeast(int64(g.SlotsPerRank), 1, bttoml.Path("groups", i, "slots_per_rank"))
+	c.requireAtLeast(g.ExpertBytes, 1, bttoml.Path("groups", i, "expert_bytes"))
+	capacity := len(g.Ranks) * max(g.SlotsPerRank, 0)
+	c.Require(g.Experts <= capacity, bttoml.Path("groups", i, "experts"),
 		"%d experts don't fit %d ranks with %d slots each", g.Experts, len(g.Ranks), g.SlotsPerRank)
-	c.advice.Require(g.Experts != room, bttoml.Path("groups", i, "slots_per_rank"),
+	c.advice.Require(g.Experts != capacity, bttoml.Path("groups", i, "slots_per_rank"),
 		"the ranks hold each expert once and none twice: no hot expert can be replicated")
 }
 
-// accounts checks client accounts; no two share a key.
-func (c *checker) accounts() {
+// checkAccounts checks client accounts. No two accounts share a key.
+func (c *checker) checkAccounts() {
 	names := map[btid.Account]bool{}
-	holder := map[Digest]btid.Account{}
+	keyOwners := map[Digest]btid.Account{}
 	for i, a := range c.bundle.Accounts {
 		key := bttoml.Path("accounts", i, "name")
 		c.Require(a.Name != "", key, "is missing")
@@ -129,17 +131,17 @@
 		hashes := bttoml.Path("accounts", i, "key_hashes")
 		c.Require(len(a.KeyHashes) > 0, hashes, "must list at least one SHA-256 digest of a bearer key")
 		for j, hash := range a.KeyHashes {
-			other, taken := holder[hash]
+			other, taken := keyOwners[hash]
 			c.Require(!taken, bttoml.Path(hashes, j, ""), "is already a key of account %q", other)
 			c.Require(!hash.IsZero(), bttoml.Path(hashes, j, ""), "is no digest of a key")
-			holder[hash] = a.Name
+			keyOwners[hash] = a.Name
 		}
 		for j, name := range a.Services {
 			c.Require(c.services[name] != nil, bttoml.Path(bttoml.Path("accounts", i, "services"), j, ""), "no service is named %q", name)
 		}
-		c.above(a.Rate, bttoml.Path("accounts", i, "rate"))
-		c.atLeast(int64(a.Burst), 1, bttoml.Path("accounts", i, "burst"))
-		c.atLeast(int64(a.Concurrency), 1, bttoml.Path("accounts", i, "concurrency"))
-		c.above(a.Weight, bttoml.Path("accounts", i, "weight"))
+		c.requirePositiveNumber(a.Rate, bttoml.Path("accounts", i, "rate"))
+		c.requireAtLeast(int64(a.Burst), 1, bttoml.Path("accounts", i, "burst"))
+		c.requireAtLeast(int64(a.Concurrency), 1, bttoml.Path("accounts", i, "concurrency"))
+		c.requirePositiveNumber(a.Weight, bttoml.Path("accounts", i, "weight"))
 	}
 }
--- a/core/btbundle/check_homes.go
+++ b/core/btbundle/check_homes.go
@@ -7,16 +7,16 @@
 	"bilberrytide/core/btid"
 )
 
-// MaxHomes is the most key homes that one epoch may list: each grant costs a
+// MaxHomes is the largest number of key homes in one epoch: each grant costs a
 // message to a majority of them.
 const MaxHomes = 5
 
-// MaxEpochs is the most epochs that one service may list: a question about a
-// key names them all.
+// MaxEpochs is the largest number of epochs of one service: a query about a key
+// lists them all.
 const MaxEpochs = 32
 
-// homes checks each service's epochs.
-func (c *checker) homes() {
+// checkEpochs checks the epochs of every service.
+func (c *checker) checkEpochs() {
 	for i, s := range c.bundle.Services {
 		list := bttoml.Path("services", i, "epochs")
 		if !c.Require(len(s.Epochs) > 0, list, "must list at least one set of key homes") {
@@ -25,24 +25,24 @@
 		c.Require(len(s.Epochs) <= MaxEpochs, list,
 			"lists %d epochs, at most %d: change homes again once the oldest is past its memory", len(s.Epochs), MaxEpochs)
 		for j := range s.Epochs {
-			c.epoch(list, j, s.Epochs)
+			c.checkEpoch(list, j, s.Epochs)
 		}
 		last := len(s.Epochs) - 1
 		for j, e := range s.Epochs[:last] {
-			leftOut := s.Epochs[j+1].Since.Add(c.bundle.Idempotency.EpochRetention())
-			c.majority(bttoml.Path(list, j, "homes"), s.Name, e.Homes, leftOut)
+			dropTime := s.Epochs[j+1].Since.Add(c.bundle.Idempotency.EpochRetention())
+			c.checkMajority(bttoml.Path(list, j, "homes"), s.Name, e.Homes, dropTime)
 		}
 		homes := s.Epochs[last].Homes
 		key := bttoml.Path(list, last, "homes")
-		c.lastHomes(key, s.Name, homes)
+		c.checkCurrentHomes(key, s.Name, homes)
 		c.advice.Require(len(homes)%2 == 1, key,
 			"%d homes bear the loss of no more homes than %d would: list an odd number", len(homes), len(homes)-1)
 	}
 }
 
-// epoch checks one epoch by itself and against the one before it. Its homes
+// checkEpoch checks one epoch by itself and against the previous one. Its homes
 // may name targets that are no longer listed.
-func (c *checker) epoch(list string, j int, epochs []HomeEpoch) {
+func (c *checker) checkEpoch(list string, j int, epochs []HomeEpoch) {
 	e := epochs[j]
 	numberKey := bttoml.Path(list, j, "number")
 	sinceKey := bttoml.Path(list, j, "since")
@@ -63,14 +63,14 @@
 	}
 }
 
-// majority checks that the homes of an earlier epoch can still confirm a lease:
-// only listed targets have an address to vote from. Destroyed homes don't count,
-// and an epoch that has no others needs no vote.
-func (c *checker) majority(key string, service btid.Service, homes []btid.Target, leftOut time.Time) {
+// checkMajority checks that the homes of an earlier epoch can still confirm a
+// lease: only listed targets have an address from which to vote. Destroyed
+// homes don't count; an epoch that has no other homes needs no vote.
+func (c *checker) checkMajority(key string, service btid.Service, homes []btid.Target, dropTime time.Time) {
 	count := 0
 	var missing []btid.Target
 	for _, home := range homes {
-		if c.gone[home] {
+		if c.destroyedTargets[home] {
 			continue
 		}
 		count++
@@ -82,24 +82,26 @@
 	c.Require(count == 0 || count-len(missing) >= need, key,
 		"%d of these homes must stay targets of service %q until %s, or none of its homes gets a lease, but %v are not: "+
 			"list some of them again and replace homes in steps, or name in destroyed_targets those that are gone for good with what they remembered",
-		need, service, leftOut.UTC().Format(time.RFC3339), missing)
+		need, service, dropTime.UTC().Format(time.RFC3339), missing)
 }
 
-// destroyedTargets checks the homes that a person states are gone for good.
-func (c *checker) destroyedTargets() {
-	named := listedHomes(c.bundle)
+// checkDestroyedTargets checks the list of homes that an operator declares
+// permanently gone.
+func (c *checker) checkDestroyedTargets() {
+	homes := listedHomes(c.bundle)
 	for i, t := range c.bundle.DestroyedTargets {
 		key := bttoml.Path("destroyed_targets", i, "")
-		c.Require(!c.gone[t], key, "%q is listed twice", t)
+		c.Require(!c.destroyedTargets[t], key, "%q is listed twice", t)
 		c.Require(c.targets[t] == nil, key, "%q stands under targets too: what is gone for good never comes back under its name", t)
-		_, home := named[t]
-		c.advice.Require(home, key, "%q is no key home of a listed epoch: leave it out", t)
-		c.gone[t] = true
+		_, isHome := homes[t]
+		c.advice.Require(isHome, key, "%q is no key home of a listed epoch: leave it out", t)
+		c.destroyedTargets[t] = true
 	}
 }
 
-// lastHomes checks that the homes in force are targets of the service.
-func (c *checker) lastHomes(key string, service btid.Service, homes []btid.Target) {
+// checkCurrentHomes checks that the homes of the epoch in force are targets of
+// the service.
+func (c *checker) checkCurrentHomes(key string, service btid.Service, homes []btid.Target) {
 	for k, home := range homes {
 		t := c.targets[home]
 		homeKey := bttoml.Path(key, k, "")
--- a/core/btbundle/check_successor.go
+++ b/core/btbundle/check_successor.go
@@ -8,22 +8,22 @@
 	"bilberrytide/core/btid"
 )
 
-// CheckSuccessor reports why a bundle must not replace the parent, whose
-// document has the digest: it was made from another one, it forgets key homes
-// that may still have granted keys, or it breaks what at most once rests on.
-// Locate adds the lines.
+// CheckSuccessor returns the reasons why next must not replace parent, whose
+// document has the digest: next was made from another parent, it drops key
+// homes that may still have granted keys, or it breaks a condition of
+// at-most-once execution. The problems have no lines; Locate adds them.
 func CheckSuccessor(parent *Bundle, digest Digest, next *Bundle) Problems {
-	s := &successor{parent: parent, next: next}
+	s := &successorChecker{parent: parent, next: next}
 	if next.Version <= parent.Version {
 		s.add("version", "%d must be over the parent's, which is %d", next.Version, parent.Version)
 	}
 	if next.Parent != digest {
-		s.add("parent", "%s is not the parent, whose digest is %s: make this version anew from it", short(next.Parent), short(digest))
+		s.add("parent", "%s is not the parent, whose digest is %s: make this version anew from it", shortDigest(next.Parent), shortDigest(digest))
 	}
-	s.clockError()
-	s.epochs()
-	s.destroyed()
-	s.keyHomes()
+	s.checkClockError()
+	s.checkEpochs()
+	s.checkDestroyed()
+	s.checkKeyHomes()
 	return s.problems
 }
 
@@ -37,21 +37,21 @@
 	return located
 }
 
-// successor compares a bundle with the one that it is to replace.
-type successor struct {
+// successorChecker compares a bundle with the one that it replaces.
+type successorChecker struct {
 	parent, next *Bundle
 	problems     Problems
 }
 
-func (s *successor) add(key, format string, args ...any) {
+func (s *successorChecker) add(key, format string, args ...any) {
 	s.problems = append(s.problems, Problem{Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// clockError refuses a smaller clock error at whatever time: homes keep the
-// largest that they ever accepted keys with for as long as they run, and a home
-// that starts with a smaller one could take such a key for younger than its
+// checkClockError refuses a smaller clock error, however late: a running home
+// keeps the largest clock error with which it ever accepted keys, and a home
+// that starts with a smaller one could take such a key to be newer than its own
 // lease.
-func (s *successor) clockError() {
+func (s *successorChecker) checkClockError() {
 	before := s.parent.Idempotency.ClockError
 	after := s.next.Idempotency.ClockError
 	if after.Duration < before.Duration {
@@ -60,8 +60,9 @@
 	}
 }
 
-func (s *successor) epochs() {
-	named(s.parent.Services, s.next.Services, func(s *Service) btid.Service { return s.Name }, func(before, after *Service) {
+// checkEpochs checks the epochs of the services that both bundles list.
+func (s *successorChecker) checkEpochs() {
+	pairByName(s.parent.Services, s.next.Services, func(s *Service) btid.Service { return s.Name }, func(before, after *Service) {
 		if before == nil || after == nil {
 			return
 		}
@@ -72,63 +73,64 @@
 	})
 }
 
-// destroyed checks that homes that were lost with their hosts are named, and
-// that what was named stays so while an epoch lists it: voters on bundles that
-// differ in this could give two leases at once.
-func (s *successor) destroyed() {
+// checkDestroyed checks that homes lost with their hosts are listed as
+// destroyed, and that destroyed homes stay listed while an epoch names them:
+// voters whose bundles differ in this could grant two leases at the same time.
+func (s *successorChecker) checkDestroyed() {
 	homes := listedHomes(s.next)
 	for _, t := range s.parent.Targets {
 		host := slices.Index(s.next.DestroyedHosts, t.Host)
-		epoch, home := homes[t.Name]
-		if host >= 0 && home && !slices.Contains(s.next.DestroyedTargets, t.Name) {
+		epoch, isHome := homes[t.Name]
+		if host >= 0 && isHome && !slices.Contains(s.next.DestroyedTargets, t.Name) {
 			s.add(bttoml.Path("destroyed_hosts", host, ""), "target %q stood on host %q and is a key home of epoch %s: "+
 				"add it to destroyed_targets; what replaces it needs a new name", t.Name, t.Host, epoch)
 		}
 	}
 	for _, t := range s.parent.DestroyedTargets {
-		if epoch, home := homes[t]; home && !slices.Contains(s.next.DestroyedTargets, t) {
+		if epoch, isHome := homes[t]; isHome && !slices.Contains(s.next.DestroyedTargets, t) {
 			s.add("destroyed_targets", "%q must stay until epoch %s, whose key home it was, is left out", t, epoch)
 		}
 	}
 }
 
-// keyHomes checks that a home of a listed epoch stays where it is: two processes
-// under one name, an old one and a new one, could both vote.
-func (s *successor) keyHomes() {
-	were := listedHomes(s.parent)
-	are := listedHomes(s.next)
-	before := byName(s.parent.Targets, func(t *Target) btid.Target { return t.Name })
+// checkKeyHomes checks that a home of a listed epoch isn't moved: an old and a
+// new process of the same name could both vote.
+func (s *successorChecker) checkKeyHomes() {
+	homesBefore := listedHomes(s.parent)
+	homesAfter := listedHomes(s.next)
+	targetsBefore := byName(s.parent.Targets, func(t *Target) btid.Target { return t.Name })
 	for i, t := range s.next.Targets {
-		epoch, home := are[t.Name]
-		if _, was := were[t.Name]; !was || !home {
+		epoch, isHome := homesAfter[t.Name]
+		if _, wasHome := homesBefore[t.Name]; !wasHome || !isHome {
 			continue
 		}
-		old := before[t.Name]
+		old := targetsBefore[t.Name]
 		if old == nil {
 			s.add(bttoml.Path("targets", i, "name"), "%q is a key home of epoch %s that the parent doesn't list as a target: "+
 				"nothing tells where it ran, give the target a new name", t.Name, epoch)
 			continue
 		}
-		unmoved(s, i, "host", epoch, old.Host, t.Host)
-		unmoved(s, i, "address", epoch, old.Address, t.Address)
-		unmoved(s, i, "service", epoch, old.Service, t.Service)
+		requireUnchanged(s, i, "host", epoch, old.Host, t.Host)
+		requireUnchanged(s, i, "address", epoch, old.Address, t.Address)
+		requireUnchanged(s, i, "service", epoch, old.Service, t.Service)
 	}
 }
 
-func unmoved[V comparable](s *successor, i int, field string, epoch homeEpoch, before, after V) {
+// requireUnchanged adds a problem if a field of key home i differs.
+func requireUnchanged[V comparable](s *successorChecker, i int, field string, epoch homeEpoch, before, after V) {
 	if before != after {
 		s.add(bttoml.Path("targets", i, field), "becomes %v, was %v, but target %q is a key home of epoch %s: "+
 			"give what runs there a new name, and if the old one is gone for good, name it in destroyed_targets", after, before, s.next.Targets[i].Name, epoch)
 	}
 }
 
-// homeEpoch names a listed epoch of a service.
+// homeEpoch identifies a listed epoch of a service.
 type homeEpoch struct {
 	service btid.Service
 	number  uint64
 }
 
-// String writes the epoch as "1 of service lookup".
+// String returns the epoch as "1 of service lookup".
 func (e homeEpoch) String() string { return fmt.Sprintf("%d of service %s", e.number, e.service) }
 
 // listedHomes returns the key homes of all listed epochs, each with the last
@@ -145,6 +147,9 @@
 	return homes
 }
 
+// epochProblems returns the problems of a service's epochs: a kept one whose
+// homes differ, one dropped before its EpochRetention has passed, and a new one
+// that doesn't come last.
 func epochProblems(before, after *Service, next *Bundle) []string {
 	var texts []string
 	last := before.CurrentEpoch().Number
--- a/core/btbundle/decode.go
+++ b/core/btbundle/decode.go
@@ -10,24 +10,24 @@
 // ErrTooLarge is wrapped by the error of a bundle over MaxBytes.
 var ErrTooLarge = errors.New("bundle too large")
 
-// Problem is one fault of a bundle, with its line and the path of its key.
+// Problem is one error in a bundle, with its line and the path of its key.
 type Problem = bttoml.Problem
 
-// Problems is the error that lists every fault of a bundle.
+// Problems is the error that lists every problem of a bundle.
 type Problems = bttoml.Problems
 
-// Decode reads a bundle's TOML document and checks it whole. The error is
-// Problems, with every fault, or wraps ErrTooLarge.
+// Decode decodes a bundle's TOML document and checks it. The error is Problems,
+// which lists every problem, or wraps ErrTooLarge.
 //
-// Checks between values start once each value fits its key: a document with
-// malformed values gets the list of these first.
+// Values are checked against each other only once each of them fits its key: a
+// document with malformed values gets only the list of those.
 func Decode(document []byte) (*Bundle, error) {
 	b, _, err := Inspect(document)
 	return b, err
 }
 
-// Inspect is Decode that also returns advice: what is accepted, but likely
-// isn't what an operator wants.
+// Inspect decodes like Decode and also returns advice: what is accepted, but is
+// probably not what the operator intended.
 func Inspect(document []byte) (*Bundle, Problems, error) {
 	if err := checkSize(document); err != nil {
 		return nil, nil, err
@@ -39,7 +39,7 @@
 	}
 	advice := bttoml.NewChecker(positions)
 	c := checker{Checker: bttoml.NewChecker(positions), advice: advice, bundle: b}
-	c.check()
+	c.checkAll()
 	problems = append(problems, c.Problems()...)
 	if err := problems.Err(); err != nil {
 		return nil, nil, err
--- a/core/btbundle/decode_test.go
+++ b/core/btbundle/decode_test.go
@@ -20,8 +20,8 @@
 	return problems
 }
 
-func TestDecodeNamesLineAndKey(t *testing.T) {
-	_, err := btbundle.Decode([]byte(small))
+func TestDecodeReportsLineAndKey(t *testing.T) {
+	_, err := btbundle.Decode([]byte(minimalBundle))
 	assert.NilError(t, err)
 	tests := []struct{ old, replacement, want string }{
 		{old: `version = 1`, replacement: `version = 0`, want: `line 1: version: must be 1 or more`},
@@ -58,15 +58,15 @@
 		{old: "\n[[accounts]]", replacement: "\n[[accounts]]\ncolour = 1\n", want: `accounts[0].colour: unknown key`},
 		{old: "created = ", replacement: "destroyed_hosts = [\"h3\"]\ncreated = ", want: `targets[2].host: "h3" stands in destroyed_hosts`},
 		{old: "created = ", replacement: "destroyed_targets = [\"t3\"]\ncreated = ", want: `line 2: destroyed_targets[0]: "t3" stands under targets too`},
-		{old: small[epochAt:targetsAt], replacement: twoEpochs(`"t1", "t8", "t9"`), want: `line 51: services[0].epochs[0].homes: 2 of these homes must stay targets of service "lookup" until 2026-02-01T13:00:06Z, or none of its homes gets a lease, but [t8 t9] are not`},
-		{old: small[epochAt:targetsAt], replacement: twoEpochs(`"t1", "t2", "t9"`), want: ``},
-		{old: small[:targetsAt], replacement: "destroyed_targets = [\"t8\", \"t9\"]\n" + small[:epochAt] + twoEpochs(`"t1", "t8", "t9"`), want: ``},
-		{old: small[:targetsAt], replacement: "destroyed_targets = [\"t8\", \"t9\"]\n" + small[:epochAt] + twoEpochs(`"t8", "t9"`), want: ``},
+		{old: minimalBundle[epochOffset:targetsOffset], replacement: twoEpochs(`"t1", "t8", "t9"`), want: `line 51: services[0].epochs[0].homes: 2 of these homes must stay targets of service "lookup" until 2026-02-01T13:00:06Z, or none of its homes gets a lease, but [t8 t9] are not`},
+		{old: minimalBundle[epochOffset:targetsOffset], replacement: twoEpochs(`"t1", "t2", "t9"`), want: ``},
+		{old: minimalBundle[:targetsOffset], replacement: "destroyed_targets = [\"t8\", \"t9\"]\n" + minimalBundle[:epochOffset] + twoEpochs(`"t1", "t8", "t9"`), want: ``},
+		{old: minimalBundle[:targetsOffset], replacement: "destroyed_targets = [\"t8\", \"t9\"]\n" + minimalBundle[:epochOffset] + twoEpochs(`"t8", "t9"`), want: ``},
 	}
 	for _, test := range tests {
 		t.Run(test.replacement, func(t *testing.T) {
 			document := edited(test.old, test.replacement)
-			assert.Assert(t, document != small, "the edit must change the document")
+			assert.Assert(t, document != minimalBundle, "the edit must change the document")
 			if test.want == "" {
 				_, err := btbundle.Decode([]byte(document))
 				assert.NilError(t, err)
@@ -78,13 +78,14 @@
 }
 
 var (
-	epochAt   = strings.Index(small, "[[services.epochs]]")
-	targetsAt = strings.Index(small, "[[targets]]")
+	epochOffset   = strings.Index(minimalBundle, "[[services.epochs]]")
+	targetsOffset = strings.Index(minimalBundle, "[[targets]]")
 )
 
-// twoEpochs is the small bundle's epoch after one with other homes.
+// twoEpochs returns the minimal bundle's epoch, preceded by one with the given
+// homes.
 func twoEpochs(homes string) string {
-	last := small[epochAt:targetsAt]
+	last := minimalBundle[epochOffset:targetsOffset]
 	first := strings.Replace(last, `"t1", "t2", "t3"`, homes, 1)
 	return first + strings.Replace(last, "number = 1", "number = 2", 1)
 }
@@ -94,6 +95,8 @@
 	return text.Replace("\n[[groups]]\nname = \"g\"\nservice = \"lookup\"\nranks = RANKS\nlayers = 1\nexperts = EXPERTS\nslots_per_rank = SLOTS\nexpert_bytes = 8\n\n[[accounts]]")
 }
 
+// TestDecodeListsEveryWrongValue guards against a decoder that stops at the
+// first wrong value or shifts the positions of the later ones.
 func TestDecodeListsEveryWrongValue(t *testing.T) {
 	document := `version = "x"
 Version = 2
@@ -127,9 +130,11 @@
 	assert.ErrorIs(t, err, btbundle.ErrTooLarge)
 }
 
+// FuzzOffered gives a register any bytes: only the document that was signed may
+// come into force.
 func FuzzOffered(f *testing.F) {
-	f.Add([]byte(small))
-	f.Add(signed([]byte(small), keyPair(0)))
+	f.Add([]byte(minimalBundle))
+	f.Add(signed([]byte(minimalBundle), keyPair(0)))
 	f.Add([]byte("# signature ed25519 00 00\n"))
 	f.Add([]byte("a.b = [{c = 1, d = [2, {e = 3}]}]\n[[a]]\n[a.b]\n\"q\\\"\" = 1979-05-27"))
 	f.Add([]byte("[timeouts]\nrequest = [[], {}]\nx = \"\"\"\n\n\"\"\"\n"))
@@ -139,7 +144,7 @@
 		register.Step(start, btbundle.Started{})
 		for _, e := range register.Step(start, btbundle.Received{Raw: data}) {
 			if in, ok := e.(btbundle.InForce); ok {
-				assert.Equal(t, in.Approved.Digest, btbundle.DigestOf([]byte(small)), "nothing else was ever signed")
+				assert.Equal(t, in.Approved.Digest, btbundle.DigestOf([]byte(minimalBundle)), "only the minimal bundle was signed")
 			}
 		}
 		if _, err := btbundle.Decode(data); err != nil {
--- a/core/btbundle/diff.go
+++ b/core/btbundle/diff.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ChangeKind names what a change does, in snake case.
+// ChangeKind is the kind of a change, in snake case.
 type ChangeKind string
 
 // The kinds of change, by what they concern.
@@ -18,23 +18,23 @@
 	VersionOld ChangeKind = "version_old"
 )
 
-// Change is one outcome of replacing a bundle by another.
+// Change is one effect of replacing a bundle by another.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
-	// Subject names what changes, such as "target drafting-3".
+	// Subject is what changes, such as "target drafting-3".
 	Subject string `json:"subject"`
-	// Text says what it means for callers and operators.
+	// Text states what the change means for callers and operators.
 	Text string `json:"text"`
 }
 
-// String writes the change as "subject: text".
+// String returns the change as "subject: text".
 func (c Change) String() string { return c.Subject + ": " + c.Text }
 
-// Diff tells what replacing old by new brings about: outcomes, not lines. Both
-// bundles must have passed Decode. Nothing is returned where nothing differs
-// but the stamp of version, parent and time.
+// Diff describes the effects of replacing old by new, not the changed lines.
+// Both bundles must have passed Decode. It returns nothing if only version,
+// parent and time differ and the version grows.
 func Diff(old, new *Bundle) []Change {
-	d := &differ{}
+	d := &diffBuilder{}
 	if new.Version <= old.Version {
 		text := fmt.Sprintf("%d is not over %d: processes at %d will refuse it", new.Version, old.Version, old.Version)
 		d.add(VersionOld, "version", "%s", text)
@@ -45,40 +45,41 @@
 	diffAccounts(d, old, new)
 	diffDataCentres(d, old, new)
 	diffEntries(d, old, new)
-	diffDestroyed(d, old, new)
+	diffDestroyedLists(d, old, new)
 	diffPolicy(d, old, new)
 	return d.changes
 }
 
-type differ struct {
+// diffBuilder collects the changes.
+type diffBuilder struct {
 	changes []Change
 }
 
-func (d *differ) add(kind ChangeKind, subject, format string, args ...any) {
+func (d *diffBuilder) add(kind ChangeKind, subject, format string, args ...any) {
 	d.changes = append(d.changes, Change{Kind: kind, Subject: subject, Text: fmt.Sprintf(format, args...)})
 }
 
-// field notes a changed value of something that both bundles have.
-func field[V comparable](d *differ, subject, what string, old, new V) {
+// diffField adds a change if a value differs.
+func diffField[V comparable](d *diffBuilder, subject, what string, old, new V) {
 	if old != new {
 		d.add(Changed, subject, "%s becomes %v, was %v", what, new, old)
 	}
 }
 
-// listed says how the elements of one of a bundle's lists are told of.
-type listed[N ~string, V any] struct {
-	// kind goes before the name in a change's subject.
+// listDiff describes how to compare the elements of one of a bundle's lists.
+type listDiff[N ~string, V any] struct {
+	// kind precedes the name in a change's subject.
 	kind string
 	name func(*V) N
-	// added and removed tell what becomes of the one element; changed compares
-	// the two elements of one name.
+	// added and removed return the text for an element that only one list has;
+	// changed compares two elements of the same name.
 	added, removed func(*V) string
-	changed        func(d *differ, subject string, before, after *V)
+	changed        func(d *diffBuilder, subject string, before, after *V)
 }
 
-// diffList tells how a list changes.
-func diffList[N ~string, V any](d *differ, l listed[N, V], old, new []V) {
-	named(old, new, l.name, func(before, after *V) {
+// diffList adds the changes of a list.
+func diffList[N ~string, V any](d *diffBuilder, l listDiff[N, V], old, new []V) {
+	pairByName(old, new, l.name, func(before, after *V) {
 		switch {
 		case before == nil:
 			d.add(Added, l.subject(after), "%s", l.added(after))
@@ -90,11 +91,11 @@
 	})
 }
 
-func (l listed[N, V]) subject(v *V) string { return l.kind + " " + string(l.name(v)) }
+func (l listDiff[N, V]) subject(v *V) string { return l.kind + " " + string(l.name(v)) }
 
-// named pairs the elements of two lists by name, in the order of the new list
-// with the removed ones last.
-func named[N comparable, V any](old, new []V, name func(*V) N, visit func(before, after *V)) {
+// pairByName calls visit for each name with the elements of both lists, nil
+// where one is missing: in the order of the new list, then the removed ones.
+func pairByName[N comparable, V any](old, new []V, name func(*V) N, visit func(before, after *V)) {
 	before := byName(old, name)
 	after := byName(new, name)
 	for i := range new {
@@ -107,8 +108,8 @@
 	}
 }
 
-// without returns the values of the list that other lacks.
-func without[V comparable](list, other []V) []V {
+// difference returns the values of the list that other lacks.
+func difference[V comparable](list, other []V) []V {
 	var rest []V
 	for _, v := range list {
 		if !slices.Contains(other, v) {
--- a/core/btbundle/diff_fleet.go
+++ b/core/btbundle/diff_fleet.go
@@ -8,8 +8,8 @@
 	"bilberrytide/core/btid"
 )
 
-func diffTargets(d *differ, old, new *Bundle) {
-	diffList(d, listed[btid.Target, Target]{
+func diffTargets(d *diffBuilder, old, new *Bundle) {
+	diffList(d, listDiff[btid.Target, Target]{
 		kind: "target",
 		name: func(t *Target) btid.Target { return t.Name },
 		added: func(t *Target) string {
@@ -22,19 +22,19 @@
 	}, old.Targets, new.Targets)
 }
 
-func diffTarget(d *differ, subject string, before, after *Target) {
-	field(d, subject, "service", before.Service, after.Service)
-	field(d, subject, "host", before.Host, after.Host)
-	field(d, subject, "data centre", before.DataCentre, after.DataCentre)
-	field(d, subject, "agent's address", before.Address, after.Address)
-	field(d, subject, "endpoint", before.Endpoint, after.Endpoint)
-	field(d, subject, "requests at a time", before.Slots, after.Slots)
-	field(d, subject, "requests waiting", before.Queue, after.Queue)
-	field(d, subject, "checks fencing numbers", before.ChecksFencing, after.ChecksFencing)
+func diffTarget(d *diffBuilder, subject string, before, after *Target) {
+	diffField(d, subject, "service", before.Service, after.Service)
+	diffField(d, subject, "host", before.Host, after.Host)
+	diffField(d, subject, "data centre", before.DataCentre, after.DataCentre)
+	diffField(d, subject, "agent's address", before.Address, after.Address)
+	diffField(d, subject, "endpoint", before.Endpoint, after.Endpoint)
+	diffField(d, subject, "requests at a time", before.Slots, after.Slots)
+	diffField(d, subject, "requests waiting", before.Queue, after.Queue)
+	diffField(d, subject, "checks fencing numbers", before.ChecksFencing, after.ChecksFencing)
 }
 
-func diffServices(d *differ, old, new *Bundle) {
-	diffList(d, listed[btid.Service, Service]{
+func diffServices(d *diffBuilder, old, new *Bundle) {
+	diffList(d, listDiff[btid.Service, Service]{
 		kind:    "service",
 		name:    func(s *Service) btid.Service { return s.Name },
 		added:   func(s *Service) string { return fmt.Sprintf("callers may ask for it; it is %s", s.Kind) },
@@ -43,16 +43,16 @@
 	}, old.Services, new.Services)
 }
 
-func diffService(d *differ, subject string, before, after *Service) {
-	field(d, subject, "kind", before.Kind, after.Kind)
-	field(d, subject, "largest body in bytes", before.MaxBody, after.MaxBody)
-	field(d, subject, "goal for the first token", before.FirstToken, after.FirstToken)
-	field(d, subject, "idempotency key required", before.KeyRequired, after.KeyRequired)
+func diffService(d *diffBuilder, subject string, before, after *Service) {
+	diffField(d, subject, "kind", before.Kind, after.Kind)
+	diffField(d, subject, "largest body in bytes", before.MaxBody, after.MaxBody)
+	diffField(d, subject, "goal for the first token", before.FirstToken, after.FirstToken)
+	diffField(d, subject, "idempotency key required", before.KeyRequired, after.KeyRequired)
 	diffHomes(d, subject, before, after)
 }
 
-func diffGroups(d *differ, old, new *Bundle) {
-	diffList(d, listed[btid.Group, Group]{
+func diffGroups(d *diffBuilder, old, new *Bundle) {
+	diffList(d, listDiff[btid.Group, Group]{
 		kind: "group",
 		name: func(g *Group) btid.Group { return g.Name },
 		added: func(g *Group) string {
@@ -63,20 +63,20 @@
 	}, old.Groups, new.Groups)
 }
 
-func diffGroup(d *differ, subject string, before, after *Group) {
+func diffGroup(d *diffBuilder, subject string, before, after *Group) {
 	if !slices.Equal(before.Ranks, after.Ranks) {
 		d.add(Changed, subject, "its ranks change from %d to %d: the group agrees on its map anew", len(before.Ranks), len(after.Ranks))
 	}
-	field(d, subject, "service", before.Service, after.Service)
-	field(d, subject, "layers", before.Layers, after.Layers)
-	field(d, subject, "experts a layer", before.Experts, after.Experts)
-	field(d, subject, "expert slots a rank", before.SlotsPerRank, after.SlotsPerRank)
-	field(d, subject, "bytes an expert", before.ExpertBytes, after.ExpertBytes)
-	field(d, subject, "barrier", before.Barrier, after.Barrier)
+	diffField(d, subject, "service", before.Service, after.Service)
+	diffField(d, subject, "layers", before.Layers, after.Layers)
+	diffField(d, subject, "experts a layer", before.Experts, after.Experts)
+	diffField(d, subject, "expert slots a rank", before.SlotsPerRank, after.SlotsPerRank)
+	diffField(d, subject, "bytes an expert", before.ExpertBytes, after.ExpertBytes)
+	diffField(d, subject, "barrier", before.Barrier, after.Barrier)
 }
 
-func diffAccounts(d *differ, old, new *Bundle) {
-	diffList(d, listed[btid.Account, Account]{
+func diffAccounts(d *diffBuilder, old, new *Bundle) {
+	diffList(d, listDiff[btid.Account, Account]{
 		kind: "client account",
 		name: func(a *Account) btid.Account { return a.Name },
 		added: func(a *Account) string {
@@ -87,23 +87,23 @@
 	}, old.Accounts, new.Accounts)
 }
 
-func diffAccount(d *differ, subject string, before, after *Account) {
-	field(d, subject, "requests a second", before.Rate, after.Rate)
-	field(d, subject, "burst", before.Burst, after.Burst)
-	field(d, subject, "requests at once", before.Concurrency, after.Concurrency)
-	field(d, subject, "weight", before.Weight, after.Weight)
+func diffAccount(d *diffBuilder, subject string, before, after *Account) {
+	diffField(d, subject, "requests a second", before.Rate, after.Rate)
+	diffField(d, subject, "burst", before.Burst, after.Burst)
+	diffField(d, subject, "requests at once", before.Concurrency, after.Concurrency)
+	diffField(d, subject, "weight", before.Weight, after.Weight)
 	if !slices.Equal(before.Services, after.Services) {
-		d.add(Changed, subject, "services become %s, were %s", serviceList(after), serviceList(before))
+		d.add(Changed, subject, "services become %s, were %s", serviceNames(after), serviceNames(before))
 	}
-	for _, hash := range without(after.KeyHashes, before.KeyHashes) {
-		d.add(Added, subject, "a key is accepted: digest %s", short(hash))
+	for _, hash := range difference(after.KeyHashes, before.KeyHashes) {
+		d.add(Added, subject, "a key is accepted: digest %s", shortDigest(hash))
 	}
-	for _, hash := range without(before.KeyHashes, after.KeyHashes) {
-		d.add(Removed, subject, "a key is refused from now on: digest %s", short(hash))
+	for _, hash := range difference(before.KeyHashes, after.KeyHashes) {
+		d.add(Removed, subject, "a key is refused from now on: digest %s", shortDigest(hash))
 	}
 }
 
-func serviceList(a *Account) string {
+func serviceNames(a *Account) string {
 	if len(a.Services) == 0 {
 		return "all"
 	}
@@ -114,22 +114,22 @@
 	return strings.Join(names, ", ")
 }
 
-func short(d Digest) string { return d.String()[:12] }
+func shortDigest(d Digest) string { return d.String()[:12] }
 
-func diffDataCentres(d *differ, old, new *Bundle) {
-	diffList(d, listed[btid.DataCentre, DataCentre]{
+func diffDataCentres(d *diffBuilder, old, new *Bundle) {
+	diffList(d, listDiff[btid.DataCentre, DataCentre]{
 		kind:    "data centre",
 		name:    func(c *DataCentre) btid.DataCentre { return c.Name },
 		added:   func(c *DataCentre) string { return fmt.Sprintf("in region %s", c.Region) },
 		removed: func(*DataCentre) string { return "nothing of the fleet stands there" },
-		changed: func(d *differ, subject string, before, after *DataCentre) {
-			field(d, subject, "region", before.Region, after.Region)
+		changed: func(d *diffBuilder, subject string, before, after *DataCentre) {
+			diffField(d, subject, "region", before.Region, after.Region)
 		},
 	}, old.DataCentres, new.DataCentres)
 }
 
-func diffEntries(d *differ, old, new *Bundle) {
-	diffList(d, listed[btid.Entry, Entry]{
+func diffEntries(d *diffBuilder, old, new *Bundle) {
+	diffList(d, listDiff[btid.Entry, Entry]{
 		kind: "entry",
 		name: func(e *Entry) btid.Entry { return e.Name },
 		added: func(e *Entry) string {
@@ -140,24 +140,24 @@
 	}, old.Entries, new.Entries)
 }
 
-func diffEntry(d *differ, subject string, before, after *Entry) {
-	field(d, subject, "host", before.Host, after.Host)
-	field(d, subject, "data centre", before.DataCentre, after.DataCentre)
-	field(d, subject, "address", before.Address, after.Address)
+func diffEntry(d *diffBuilder, subject string, before, after *Entry) {
+	diffField(d, subject, "host", before.Host, after.Host)
+	diffField(d, subject, "data centre", before.DataCentre, after.DataCentre)
+	diffField(d, subject, "address", before.Address, after.Address)
 }
 
-func diffDestroyed(d *differ, old, new *Bundle) {
-	for _, host := range without(new.DestroyedHosts, old.DestroyedHosts) {
+func diffDestroyedLists(d *diffBuilder, old, new *Bundle) {
+	for _, host := range difference(new.DestroyedHosts, old.DestroyedHosts) {
 		d.add(Added, "destroyed host "+string(host), "what only it could tell is taken as lost for good: approve only if it can't come back")
 	}
-	for _, host := range without(old.DestroyedHosts, new.DestroyedHosts) {
+	for _, host := range difference(old.DestroyedHosts, new.DestroyedHosts) {
 		d.add(Removed, "destroyed host "+string(host), "may hold targets and entries again")
 	}
-	for _, target := range without(new.DestroyedTargets, old.DestroyedTargets) {
+	for _, target := range difference(new.DestroyedTargets, old.DestroyedTargets) {
 		d.add(Added, "destroyed target "+string(target),
 			"counts in no majority of key homes any more: approve only if its process has ended and nothing of its memory can come back")
 	}
-	for _, target := range without(old.DestroyedTargets, new.DestroyedTargets) {
+	for _, target := range difference(old.DestroyedTargets, new.DestroyedTargets) {
 		d.add(Removed, "destroyed target "+string(target), "its name may be used again")
 	}
 }
--- a/core/btbundle/diff_homes.go
+++ b/core/btbundle/diff_homes.go
@@ -7,8 +7,8 @@
 	"bilberrytide/core/btrendezvous"
 )
 
-// diffHomes tells which share of the idempotency keys changes its home.
-func diffHomes(d *differ, subject string, before, after *Service) {
+// diffHomes adds the share of idempotency keys whose home changes.
+func diffHomes(d *diffBuilder, subject string, before, after *Service) {
 	old := before.CurrentEpoch()
 	current := after.CurrentEpoch()
 	if old.Number == current.Number {
@@ -23,14 +23,15 @@
 		100*share, current.Number, current.Homes, old.Homes)
 }
 
-// movedSample is how many keys MovedShare looks at; it errs by about a point.
-const movedSample = 4096
+// movedSampleSize is how many keys MovedShare examines; the estimate is off by
+// about a percentage point.
+const movedSampleSize = 4096
 
 // MovedShare estimates, from a fixed sample of keys, the share of keys whose
 // first home differs between the two sets.
 func MovedShare(old, new []btid.Target) float64 {
 	moved := 0
-	for i := range movedSample {
+	for i := range movedSampleSize {
 		key := strconv.Itoa(i)
 		before, _ := btrendezvous.First(key, old)
 		after, _ := btrendezvous.First(key, new)
@@ -38,5 +39,5 @@
 			moved++
 		}
 	}
-	return float64(moved) / movedSample
+	return float64(moved) / movedSampleSize
 }
--- a/core/btbundle/digest.go
+++ b/core/btbundle/digest.go
@@ -16,16 +16,16 @@
 // DigestOf returns the digest of the bytes.
 func DigestOf(data []byte) Digest { return sha256.Sum256(data) }
 
-// String writes the digest in hexadecimal.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// IsZero tells whether the digest is unset.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// MarshalText writes the digest in hexadecimal.
+// MarshalText returns the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads 64 hexadecimal digits. The error wraps ErrDigest.
+// UnmarshalText parses 64 hexadecimal digits. The error wraps ErrDigest.
 func (d *Digest) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil {
--- a/core/btbundle/duration.go
+++ b/core/btbundle/duration.go
@@ -9,11 +9,12 @@
 // ErrDuration is wrapped by the error of every malformed duration.
 var ErrDuration = errors.New("malformed duration")
 
-// MarshalText writes the duration as Go does: "1m30s".
-func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+// MarshalText returns the duration in Go's notation: "1m30s".
+func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a duration that is not negative. The error wraps ErrDuration.
-func (s *Duration) UnmarshalText(text []byte) error {
+// UnmarshalText parses a duration that is not negative. The error wraps
+// ErrDuration.
+func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf(`%w: %q: write it as "250ms", "30s" or "24h"`, ErrDuration, text)
@@ -21,6 +22,6 @@
 	if duration < 0 {
 		return fmt.Errorf("%w: %q is negative", ErrDuration, text)
 	}
-	s.Duration = duration
+	d.Duration = duration
 	return nil
 }
--- a/core/btbundle/fixture_test.go
+++ b/core/btbundle/fixture_test.go
@@ -16,16 +16,16 @@
 	"bilberrytide/core/btbundle"
 )
 
-// TestMain fixes the seed and the count of randomised runs unless flags set
+// TestMain sets the seed and the number of randomised runs, unless flags set
 // them.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	fix("rapid.seed", "0", "1")
-	fix("rapid.checks", "100", "15")
+	setDefaultFlag("rapid.seed", "0", "1")
+	setDefaultFlag("rapid.checks", "100", "15")
 	os.Exit(m.Run())
 }
 
-func fix(name, unset, value string) {
+func setDefaultFlag(name, unset, value string) {
 	if flag.Lookup(name).Value.String() == unset {
 		_ = flag.Set(name, value)
 	}
@@ -33,8 +33,8 @@
 
 var start = time.Date(2026, 1, 31, 12, 0, 0, 0, time.UTC)
 
-// small is the shortest bundle that passes the checks.
-const small = `version = 1
+// minimalBundle is the shortest bundle that passes the checks.
+const minimalBundle = `version = 1
 created = 2026-01-31T12:00:00Z
 
 [timeouts]
@@ -125,13 +125,14 @@
 weight = 1.0
 `
 
-// edited returns the small bundle with one text replaced once.
+// edited returns the minimal bundle with the first occurrence of a text
+// replaced.
 func edited(old, replacement string) string {
-	return strings.Replace(small, old, replacement, 1)
+	return strings.Replace(minimalBundle, old, replacement, 1)
 }
 
-// version returns the small bundle with that version and a comment that makes
-// its digest its own.
+// version returns the minimal bundle with the given version, and with a comment
+// that gives it a digest of its own.
 func version(number int, label string) []byte {
 	return []byte(edited("version = 1", fmt.Sprintf("version = %d # %s", number, label)))
 }
@@ -156,7 +157,7 @@
 	return a
 }
 
-// signed returns the signed file of a document.
+// signed returns a document's signed file.
 func signed(document []byte, keys ...ed25519.PrivateKey) []byte {
 	s := btbundle.Signed{Document: document}
 	for _, key := range keys {
--- a/core/btbundle/index.go
+++ b/core/btbundle/index.go
@@ -7,28 +7,28 @@
 	"bilberrytide/core/btid"
 )
 
-// Index answers lookups by name in constant time. It is built once a bundle
-// and only read afterwards.
+// Index looks up a bundle's elements by name in constant time. It is built once
+// for each bundle and only read afterwards.
 type Index struct {
-	services  map[btid.Service]*Service
-	targets   map[btid.Target]*Target
-	byService map[btid.Service][]*Target
-	entries   map[btid.Entry]*Entry
-	groups    map[btid.Group]*Group
-	ranks     map[btid.Target]Rank
-	accounts  map[btid.Account]*Account
-	keys      map[keyPrefix][]accountKey
-	centres   map[btid.DataCentre]*DataCentre
+	services     map[btid.Service]*Service
+	targets      map[btid.Target]*Target
+	byService    map[btid.Service][]*Target
+	entries      map[btid.Entry]*Entry
+	groups       map[btid.Group]*Group
+	ranks        map[btid.Target]Rank
+	accounts     map[btid.Account]*Account
+	keysByPrefix map[keyPrefix][]accountKey
+	dataCentres  map[btid.DataCentre]*DataCentre
 }
 
-// Rank is a target's place in its group.
+// Rank is a target's position in its group.
 type Rank struct {
 	Group  *Group
 	Number int
 }
 
-// keyPrefix finds the few keys to compare whole; it is part of a digest, which
-// tells nothing of the key that a caller could use.
+// keyPrefix selects the few key hashes to compare in full. It is part of a
+// digest, which reveals nothing about the key that a caller could use.
 type keyPrefix [8]byte
 
 type accountKey struct {
@@ -36,18 +36,18 @@
 	account *Account
 }
 
-// NewIndex indexes a bundle that Decode returned.
+// NewIndex builds the index of a bundle that Decode returned.
 func NewIndex(b *Bundle) *Index {
 	x := &Index{
-		services:  byName(b.Services, func(s *Service) btid.Service { return s.Name }),
-		targets:   byName(b.Targets, func(t *Target) btid.Target { return t.Name }),
-		byService: map[btid.Service][]*Target{},
-		entries:   byName(b.Entries, func(e *Entry) btid.Entry { return e.Name }),
-		groups:    byName(b.Groups, func(g *Group) btid.Group { return g.Name }),
-		ranks:     map[btid.Target]Rank{},
-		accounts:  byName(b.Accounts, func(a *Account) btid.Account { return a.Name }),
-		keys:      map[keyPrefix][]accountKey{},
-		centres:   byName(b.DataCentres, func(d *DataCentre) btid.DataCentre { return d.Name }),
+		services:     byName(b.Services, func(s *Service) btid.Service { return s.Name }),
+		targets:      byName(b.Targets, func(t *Target) btid.Target { return t.Name }),
+		byService:    map[btid.Service][]*Target{},
+		entries:      byName(b.Entries, func(e *Entry) btid.Entry { return e.Name }),
+		groups:       byName(b.Groups, func(g *Group) btid.Group { return g.Name }),
+		ranks:        map[btid.Target]Rank{},
+		accounts:     byName(b.Accounts, func(a *Account) btid.Account { return a.Name }),
+		keysByPrefix: map[keyPrefix][]accountKey{},
+		dataCentres:  byName(b.DataCentres, func(d *DataCentre) btid.DataCentre { return d.Name }),
 	}
 	for i := range b.Targets {
 		t := &b.Targets[i]
@@ -75,7 +75,7 @@
 func (x *Index) addKeys(a *Account) {
 	for _, hash := range a.KeyHashes {
 		prefix := keyPrefix(hash[:8])
-		x.keys[prefix] = append(x.keys[prefix], accountKey{hash: hash, account: a})
+		x.keysByPrefix[prefix] = append(x.keysByPrefix[prefix], accountKey{hash: hash, account: a})
 	}
 }
 
@@ -92,7 +92,7 @@
 }
 
 // TargetsOf returns the service's targets in the document's order. The slice
-// must not be changed.
+// must not be modified.
 func (x *Index) TargetsOf(service btid.Service) []*Target { return x.byService[service] }
 
 // Entry returns the entry of that name.
@@ -107,7 +107,7 @@
 	return g, ok
 }
 
-// RankOf returns the target's place in its group, or false where it has none.
+// RankOf returns the target's position in its group, or false if it has none.
 func (x *Index) RankOf(target btid.Target) (Rank, bool) {
 	r, ok := x.ranks[target]
 	return r, ok
@@ -115,7 +115,7 @@
 
 // DataCentre returns the data centre of that name.
 func (x *Index) DataCentre(name btid.DataCentre) (*DataCentre, bool) {
-	d, ok := x.centres[name]
+	d, ok := x.dataCentres[name]
 	return d, ok
 }
 
@@ -130,7 +130,7 @@
 func (x *Index) AccountByKey(bearer string) (*Account, bool) {
 	hash := HashKey(bearer)
 	var found *Account
-	for _, k := range x.keys[keyPrefix(hash[:8])] {
+	for _, k := range x.keysByPrefix[keyPrefix(hash[:8])] {
 		if subtle.ConstantTimeCompare(k.hash[:], hash[:]) == 1 {
 			found = k.account
 		}
@@ -141,7 +141,7 @@
 // HashKey returns the digest under which a bundle lists a bearer key.
 func HashKey(bearer string) Digest { return sha256.Sum256([]byte(bearer)) }
 
-// MayUse tells whether the account may ask for the service.
+// MayUse reports whether the account may use the service.
 func (a *Account) MayUse(service btid.Service) bool {
 	for _, s := range a.Services {
 		if s == service {
--- a/core/btbundle/naive_test.go
+++ b/core/btbundle/naive_test.go
@@ -6,20 +6,23 @@
 	"bilberrytide/core/btbundle"
 )
 
-// naive verifies what it is offered, but puts it in force by a simpler rule.
+// naive verifies the files that it receives like a register, but installs them
+// by a simpler rule. The tests use it to show what such a rule breaks.
 type naive struct {
 	current  *btbundle.Approved
 	verified map[string]*btbundle.Approved
 	accepts  func(current, offered *btbundle.Approved, source btbundle.Source) bool
 }
 
-// believesService takes whatever the configuration service holds.
-func believesService(current, offered *btbundle.Approved, source btbundle.Source) bool {
+// trustService accepts whatever the configuration service holds, and higher
+// versions from peers.
+func trustService(current, offered *btbundle.Approved, source btbundle.Source) bool {
 	return source.FromService() || offered.Revision().Version > current.Revision().Version
 }
 
-// versionOnly takes a higher version, and keeps the first of two equal ones.
-func versionOnly(current, offered *btbundle.Approved, _ btbundle.Source) bool {
+// compareVersions accepts a higher version and keeps the first of two equal
+// ones.
+func compareVersions(current, offered *btbundle.Approved, _ btbundle.Source) bool {
 	return offered.Revision().Version > current.Revision().Version
 }
 
@@ -47,7 +50,7 @@
 	return []btbundle.RegisterEffect{effect}
 }
 
-// verify returns nil for bytes that nobody approved; it keeps its answers.
+// verify returns nil for files that are not approved. It caches its results.
 func (n *naive) verify(raw []byte) *btbundle.Approved {
 	if approved, ok := n.verified[string(raw)]; ok {
 		return approved
--- a/core/btbundle/reader.go
+++ b/core/btbundle/reader.go
@@ -6,23 +6,26 @@
 	"bilberrytide/core/btrendezvous"
 )
 
-// readerKey is the rendezvous key by which a data centre's readers are chosen.
-const readerKey = "bundle_reader"
+// readerHashKey is the rendezvous hashing key that ranks the readers of a data
+// centre.
+const readerHashKey = "bundle_reader"
 
-// ReaderPolicy chooses which processes of a data centre read the configuration
-// service, so that its calls stay bounded whatever the fleet's size. The others
-// hear of a new bundle from peers.
+// ReaderPolicy selects which processes of a data centre read the configuration
+// service, so that the number of its calls doesn't grow with the fleet. The
+// other processes learn of a new bundle from peers.
 type ReaderPolicy struct {
-	// Count is how many read while all is well.
+	// Count is how many processes read while all of them succeed.
 	Count int
-	// MaxCount is how many read at once at the most, while readers are silent.
+	// MaxCount is the largest number of processes that read at the same time,
+	// while readers fail.
 	MaxCount int
-	// FailoverTimeout is how long the readers before a process must have read nothing
-	// before it steps in; the next steps in after twice as long, and so on.
+	// FailoverTimeout is how long all processes ranked before the first standby
+	// must have read nothing before it takes over. The next standby waits twice
+	// as long, and so on.
 	FailoverTimeout time.Duration
 }
 
-// DefaultReaderPolicy is the policy that processes use.
+// DefaultReaderPolicy returns the policy that processes use.
 func DefaultReaderPolicy() ReaderPolicy {
 	return ReaderPolicy{Count: 2, MaxCount: 4, FailoverTimeout: 3 * time.Second}
 }
@@ -30,37 +33,37 @@
 // Reader is a process that could read the configuration service.
 type Reader struct {
 	Name Peer
-	// LastRead is when it last read the service with success, on the clock of
-	// the process that asks; zero where that isn't known.
+	// LastRead is when the process last read the service successfully, on the
+	// clock of the process that applies the policy; zero if unknown.
 	LastRead time.Time
 }
 
-// ShouldRead tells whether self reads the service now. Members are the live
+// ShouldRead reports whether self reads the service now. Members are the live
 // processes of self's data centre, self included; since is when self began to
-// watch them.
+// monitor them.
 func (p ReaderPolicy) ShouldRead(now, since time.Time, self Peer, members []Reader) bool {
 	names := make([]Peer, len(members))
-	last := make(map[Peer]time.Time, len(members))
+	lastReads := make(map[Peer]time.Time, len(members))
 	for i, m := range members {
 		names[i] = m.Name
-		last[m.Name] = m.LastRead
+		lastReads[m.Name] = m.LastRead
 	}
-	heard := since
+	latest := since
 	for rank, name := range ReaderOrder(names) {
 		if rank >= p.MaxCount {
 			return false
 		}
 		if name == self {
-			late := rank - p.Count + 1
-			return late <= 0 || now.Sub(heard) >= time.Duration(late)*p.FailoverTimeout
+			turn := rank - p.Count + 1
+			return turn <= 0 || now.Sub(latest) >= time.Duration(turn)*p.FailoverTimeout
 		}
-		if last[name].After(heard) {
-			heard = last[name]
+		if lastReads[name].After(latest) {
+			latest = lastReads[name]
 		}
 	}
 	return false
 }
 
-// ReaderOrder returns the processes in the order in which they step in as
-// readers, alike at every process.
-func ReaderOrder(names []Peer) []Peer { return btrendezvous.Order(readerKey, names) }
+// ReaderOrder returns the processes by rank: the first ones read, the next ones
+// take over when they fail. Every process computes the same order.
+func ReaderOrder(names []Peer) []Peer { return btrendezvous.Order(readerHashKey, names) }
--- a/core/btbundle/register.go
+++ b/core/btbundle/register.go
@@ -15,7 +15,8 @@
 	// InvariantMonotonic: a bundle is replaced only by one with a higher
 	// version, or the same version and a higher digest.
 	InvariantMonotonic btassert.Name = "bundle_monotonic"
-	// InvariantWhole: what is in force is one verified document, byte for byte.
+	// InvariantWhole: the bundle in force is one verified document, unchanged
+	// byte for byte.
 	InvariantWhole btassert.Name = "bundle_whole"
 )
 
@@ -31,9 +32,10 @@
 	ReasonOlder btrequest.Reason = "bundle_older"
 	// ReasonConflict: the bundle in force has this version and a higher digest.
 	ReasonConflict btrequest.Reason = "bundle_conflict"
-	// ReasonPeerShort: a peer answered with less than it had announced.
+	// ReasonPeerShort: a peer answered with a lower revision than it had
+	// announced.
 	ReasonPeerShort btrequest.Reason = "bundle_peer_short"
-	// ReasonFetchFailed: a peer could not be asked or gave no bundle.
+	// ReasonFetchFailed: a peer could not be reached or returned no bundle.
 	ReasonFetchFailed btrequest.Reason = "bundle_fetch_failed"
 	// ReasonFetchTimeout: a peer did not answer in time.
 	ReasonFetchTimeout btrequest.Reason = "bundle_fetch_timeout"
@@ -43,16 +45,16 @@
 // "entry/e1" or "agent/t7".
 type Peer string
 
-// Source tells where a bundle came from: the peer, or the configuration
-// service where Peer is empty.
+// Source is where a bundle came from: a peer, or the configuration service if
+// Peer is empty.
 type Source struct {
 	Peer Peer
 }
 
-// FromService tells whether the source is the configuration service.
+// FromService reports whether the source is the configuration service.
 func (s Source) FromService() bool { return s.Peer == "" }
 
-// String writes the source as it stands in logs.
+// String returns the source as logs show it.
 func (s Source) String() string {
 	if s.FromService() {
 		return "configuration service"
@@ -60,43 +62,44 @@
 	return string(s.Peer)
 }
 
-// RegisterEvent is what a Register is told.
+// RegisterEvent is an input of a Register.
 type RegisterEvent interface{ registerEvent() }
 
-// RegisterEffect is what a Register orders.
+// RegisterEffect is an action that a Register asks its caller to carry out.
 type RegisterEffect interface{ registerEffect() }
 
-// Started tells a process's first moment: the peers that it has asked what is
-// in force. Each one's Announced is its answer.
+// Started reports that the process started and which peers it has asked for
+// their revision in force. Each peer answers with Announced.
 type Started struct{ Peers []Peer }
 
-// Received brings a signed file.
+// Received delivers a signed file from a peer or from the configuration
+// service.
 type Received struct {
 	Raw    []byte
 	Source Source
-	// Requested is the order of the Fetch that this answers; zero where the bytes
-	// came unasked or from the configuration service.
+	// Requested is the revision of the Fetch that this answers; zero if the
+	// bytes were not requested or come from the configuration service.
 	Requested Revision
 }
 
-// Announced brings what a peer says to be in force there; version 0 for nothing.
+// Announced reports the revision that a peer has in force; version 0 for none.
 type Announced struct {
 	Version btid.BundleVersion
 	Digest  Digest
 	From    Peer
 }
 
-// Revision returns what the peer announced.
-func (h Announced) Revision() Revision { return Revision{Version: h.Version, Digest: h.Digest} }
+// Revision returns the revision that the peer announced.
+func (a Announced) Revision() Revision { return Revision{Version: a.Version, Digest: a.Digest} }
 
-// FetchFailed tells that a Fetch brought no bytes.
+// FetchFailed reports that a Fetch returned no bytes.
 type FetchFailed struct {
 	From      Peer
 	Requested Revision
 	Err       error
 }
 
-// Tick lets time pass. It is due a few times a second.
+// Tick lets the Register check its timeouts. It is due a few times a second.
 type Tick struct{}
 
 func (Started) registerEvent()     {}
@@ -105,36 +108,38 @@
 func (FetchFailed) registerEvent() {}
 func (Tick) registerEvent()        {}
 
-// InForce puts a bundle in force, in place of Previous, which may be nil.
+// InForce puts a bundle in force in place of Previous, which may be nil.
 type InForce struct {
 	Approved *Approved
 	Previous *Approved
 	Source   Source
 }
 
-// Fetch asks the peer for the signed file that it announced.
+// Fetch requests the signed file that the peer announced.
 type Fetch struct {
 	From    Peer
 	Version btid.BundleVersion
 	Digest  Digest
 }
 
-// Revision returns what is asked for, which the answer carries as Asked.
+// Revision returns the requested revision, which the answer carries as
+// Requested.
 func (f Fetch) Revision() Revision { return Revision{Version: f.Version, Digest: f.Digest} }
 
-// Deferred tells that the configuration service's value waits for peers' answers.
+// Deferred reports that the configuration service's value waits for the answers
+// of peers.
 type Deferred struct{ Revision Revision }
 
-// Refused tells of a bundle or an answer that changes nothing.
+// Refused reports a bundle or an answer that changes nothing.
 type Refused struct {
 	Reason btrequest.Reason
 	Err    error
 	Source Source
 }
 
-// Conflict tells that two approved bundles have one version. Kept, the one
-// with the higher digest, wins in every process; the operators must find out
-// who approved Lost, as its changes are not in force.
+// Conflict reports two approved bundles with the same version. Every process
+// keeps the one with the higher digest, Kept. The changes in Lost are not in
+// force, so operators must find out who approved it.
 type Conflict struct {
 	Version btid.BundleVersion
 	Kept    Digest
@@ -148,26 +153,26 @@
 func (Refused) registerEffect()  {}
 func (Conflict) registerEffect() {}
 
-// RegisterConfig bounds a Register's waiting.
+// RegisterConfig holds a Register's trust anchor, timeouts and limits.
 type RegisterConfig struct {
 	// Approvers is the trust anchor from the process's settings.
 	Approvers Approvers
-	// MaxDeferral is the longest that a process with nothing in force keeps the
-	// configuration service's value waiting for a peer's answer.
+	// MaxDeferral is the longest time for which a process with nothing in force
+	// defers the configuration service's value to wait for answers of peers.
 	MaxDeferral time.Duration
 	// FetchTimeout is how long a peer has to answer a Fetch.
 	FetchTimeout time.Duration
 	// FetchLimit is how many fetches may be in flight at once.
 	FetchLimit int
-	// Backoff is the mean time that a peer is left aside after its first
-	// failure; it doubles with each in a row, up to BackoffMax.
+	// Backoff is the mean time for which a peer is not asked after its first
+	// failure; it doubles with each failure in a row, up to BackoffMax.
 	Backoff    time.Duration
 	BackoffMax time.Duration
 	// AnnouncementTTL is how long a peer's announcement is remembered.
 	AnnouncementTTL time.Duration
 }
 
-// DefaultRegisterConfig returns the bounds that processes use.
+// DefaultRegisterConfig returns the limits that processes use.
 func DefaultRegisterConfig(approvers Approvers) RegisterConfig {
 	return RegisterConfig{
 		Approvers:       approvers,
@@ -182,37 +187,38 @@
 
 // Register decides which bundle is in force in one process.
 //
-// It accepts only what its approvers signed, whole, and only in place of a
-// lower (version, digest). Any source is as good as another, as the signature
-// tells: so the processes that don't read the configuration service themselves
-// fetch from a peer whose heartbeat announces a higher bundle.
+// It installs only intact bundles that its approvers signed, and only over a
+// lower revision. As the signatures vouch for the content, all sources are
+// equal: a process that doesn't read the configuration service fetches the
+// bundle from a peer whose heartbeat announces a higher revision.
 //
-// A process that starts with nothing holds the configuration service's value,
-// which may be stale, until a peer has answered, all have nothing, or
-// RegisterConfig.Hold has passed. It cannot guarantee that the value is the
-// newest where every peer that knows better is out of reach: a process alone
-// with a stale service runs the stale bundle until it hears of a newer one.
+// A process that starts with nothing in force defers the configuration
+// service's value, which may be stale, until peers have announced revisions
+// none of which is higher, all peers have answered that they have none, or
+// RegisterConfig.MaxDeferral has passed. This doesn't guarantee the newest
+// bundle: a process that reaches no peer with a newer one runs the service's
+// stale bundle until it hears of a newer one.
 type Register struct {
 	config  RegisterConfig
 	assert  *btassert.Asserter
 	random  *rand.Rand
 	now     time.Time
 	current *Approved
-	// order is that of current when it was put in force.
-	order Revision
-	// outranked is the last bundle refused for a higher one: a stale source
-	// offers it again and again.
-	outranked *Approved
-	startup   startup
-	peers     map[Peer]*peerState
-	conflict  Conflict
-	effects   []RegisterEffect
+	// revision is that of current at the time when it was put in force.
+	revision Revision
+	// lastRefused is the last bundle refused for its lower revision. It is kept
+	// because a stale source sends the same bundle repeatedly.
+	lastRefused *Approved
+	startup     startup
+	peers       map[Peer]*peerState
+	conflict    Conflict
+	effects     []RegisterEffect
 }
 
 var _ btcore.Machine[RegisterEvent, RegisterEffect] = (*Register)(nil)
 
-// NewRegister returns a register with nothing in force. The source of
-// randomness spreads fetches over peers and jitters their backoff.
+// NewRegister returns a register with nothing in force. The random source
+// spreads fetches over peers and jitters their backoff.
 func NewRegister(config RegisterConfig, assert *btassert.Asserter, random *rand.Rand) *Register {
 	return &Register{config: config, assert: assert, random: random, peers: map[Peer]*peerState{}}
 }
@@ -220,5 +226,5 @@
 // InForce returns the bundle in force, or nil.
 func (r *Register) InForce() *Approved { return r.current }
 
-// Announcement returns what heartbeats say: the order of the bundle in force.
-func (r *Register) Announcement() Revision { return r.order }
+// Announcement returns the revision in force, which heartbeats carry.
+func (r *Register) Announcement() Revision { return r.revision }
--- a/core/btbundle/register_bench_test.go
+++ b/core/btbundle/register_bench_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	tick       = 10 * time.Millisecond
-	heartbeat  = 500 * time.Millisecond
-	serviceGap = 86400 * time.Millisecond // 1,000 changes a day
-	watchWait  = 30 * time.Second
-	most       = 7 // data centres of the size to come
+	stepLength      = 10 * time.Millisecond
+	heartbeat       = 500 * time.Millisecond
+	publishInterval = 86400 * time.Millisecond // 1,000 changes a day
+	watchWait       = 30 * time.Second
+	maxDataCentres  = 7 // data centres at the expected future size
 )
 
-// rollout is a fleet of registers of which only the readers read the
-// configuration service, each by one waiting watch.
+// rollout simulates registers of which only the readers read the configuration
+// service, each with one long-polling call.
 type rollout struct {
 	registers []*btbundle.Register
 	names     []btbundle.Peer
-	// watchers lists who hears each process's heartbeats.
+	// watchers lists the processes that receive each process's heartbeats.
 	watchers [][]int
 	readers  []int
 	now      time.Time
@@ -40,7 +40,7 @@
 func newRollout(size, fanOut int, push bool) *rollout {
 	r := &rollout{now: start, pending: map[int][]func(){}, random: rand.New(rand.NewPCG(1, 1)), push: push}
 	r.watchers = make([][]int, size)
-	centres := min(most, max(1, size/10))
+	centres := min(maxDataCentres, max(1, size/10))
 	members := make([][]btbundle.Reader, centres)
 	for i := range size {
 		r.registers = append(r.registers, newRegister(uint64(i)))
@@ -58,8 +58,8 @@
 	return r
 }
 
-// watch makes i hear its neighbour on a ring, which keeps the graph whole, and
-// others by chance.
+// watch makes i receive heartbeats from its neighbour in a ring, which keeps
+// the graph connected, and from randomly chosen processes.
 func (r *rollout) watch(i, size, fanOut int) {
 	r.watchers[(i+1)%size] = append(r.watchers[(i+1)%size], i)
 	for range fanOut - 1 {
@@ -68,14 +68,14 @@
 	}
 }
 
-// publish answers the readers' watches and returns the time until the bundle
-// is in force everywhere.
+// publish answers the readers' calls and returns the time until the bundle is
+// in force in every process.
 func (r *rollout) publish(document []byte) time.Duration {
 	r.latest = signed(document, keyPair(0))
 	r.missing = len(r.registers)
 	begin := r.now
 	for _, i := range r.readers {
-		r.after(2*tick, func() { r.apply(i, btbundle.Received{Raw: r.latest}) })
+		r.after(2*stepLength, func() { r.apply(i, btbundle.Received{Raw: r.latest}) })
 	}
 	for r.missing > 0 {
 		r.advance()
@@ -84,30 +84,30 @@
 }
 
 func (r *rollout) after(delay time.Duration, run func()) {
-	at := r.step + int(delay/tick)
+	at := r.step + int(delay/stepLength)
 	r.pending[at] = append(r.pending[at], run)
 }
 
 func (r *rollout) advance() {
 	r.step++
-	r.now = r.now.Add(tick)
+	r.now = r.now.Add(stepLength)
 	for _, run := range r.pending[r.step] {
 		run()
 	}
 	delete(r.pending, r.step)
 	for i := range r.registers {
-		if (r.step+i*7)%int(heartbeat/tick) == 0 {
+		if (r.step+i*7)%int(heartbeat/stepLength) == 0 {
 			r.apply(i, btbundle.Tick{})
-			r.beat(i)
+			r.heartbeat(i)
 		}
 	}
 }
 
-func (r *rollout) beat(i int) {
-	order := r.registers[i].Announcement()
+func (r *rollout) heartbeat(i int) {
+	revision := r.registers[i].Announcement()
 	for _, j := range r.watchers[i] {
-		event := btbundle.Announced{Version: order.Version, Digest: order.Digest, From: r.names[i]}
-		r.after(tick, func() { r.apply(j, event) })
+		event := btbundle.Announced{Version: revision.Version, Digest: revision.Digest, From: r.names[i]}
+		r.after(stepLength, func() { r.apply(j, event) })
 	}
 }
 
@@ -117,20 +117,21 @@
 		case btbundle.InForce:
 			r.missing--
 			if r.push {
-				r.beat(i)
+				r.heartbeat(i)
 			}
 		case btbundle.Fetch:
 			r.fetches++
 			answer := btbundle.Received{Raw: r.latest, Source: btbundle.Source{Peer: e.From}, Requested: e.Revision()}
-			r.after(2*tick, func() { r.apply(i, answer) })
+			r.after(2*stepLength, func() { r.apply(i, answer) })
 		}
 	}
 }
 
-// BenchmarkRollout measures simulated time until a new bundle is in force in
-// every process, by fleet size and by how many processes each one hears. The
-// configuration service's calls are worked out from the number of readers: one
-// waiting watch each, renewed after watchWait and after each change.
+// BenchmarkRollout measures the simulated time until a new bundle is in force
+// in every process, by fleet size and by the number of processes from which
+// each one receives heartbeats. The rate of calls of the configuration service
+// is computed from the number of readers: one long-polling call each, renewed
+// after watchWait and after each change.
 func BenchmarkRollout(b *testing.B) {
 	for _, size := range []int{10, 100, 400} {
 		for _, fanOut := range []int{2, 4, 8} {
@@ -154,7 +155,7 @@
 		worst = max(worst, took)
 	}
 	mean := total / time.Duration(number)
-	watches := float64(len(r.readers)) * (1/watchWait.Seconds() + 1/serviceGap.Seconds())
+	watches := float64(len(r.readers)) * (1/watchWait.Seconds() + 1/publishInterval.Seconds())
 	b.ReportMetric(float64(mean.Milliseconds()), "ms_mean")
 	b.ReportMetric(float64(worst.Milliseconds()), "ms_worst")
 	b.ReportMetric(mean.Seconds()/heartbeat.Seconds(), "rounds")
@@ -164,9 +165,10 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// largeDocument is a bundle of the size to come: 830 targets, 690 accounts.
+// largeDocument returns a bundle of the expected future size: 830 targets, 690
+// accounts.
 func largeDocument() []byte {
-	document := []byte(small)
+	document := []byte(minimalBundle)
 	for i := range 827 {
 		document = fmt.Appendf(document, "\n[[targets]]\nname = \"m%d\"\nservice = \"lookup\"\nhost = \"hm%d\"\n"+
 			"data_centre = \"aarhus\"\naddress = \"10.0.%d.%d:7100\"\nendpoint = \"10.0.%d.%d:7200\"\nslots = 4\nqueue = 8\n",
@@ -180,7 +182,7 @@
 }
 
 func BenchmarkVerify(b *testing.B) {
-	for label, document := range map[string][]byte{"today": []byte(small), "large": largeDocument()} {
+	for label, document := range map[string][]byte{"today": []byte(minimalBundle), "large": largeDocument()} {
 		b.Run(label, func(b *testing.B) {
 			parsed, err := btbundle.ParseSigned(signed(document, keyPair(0)))
 			assert.NilError(b, err)
--- a/core/btbundle/register_fetch.go
+++ b/core/btbundle/register_fetch.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// peerState is what a register knows of one peer.
+// peerState is what a register knows about one peer.
 type peerState struct {
-	announced Revision
-	heard     time.Time
-	// failures counts in a row; until is when the peer is asked again.
+	announced   Revision
+	announcedAt time.Time
+	// failures counts failures in a row; the peer is not asked before retryAt.
 	failures int
-	until    time.Time
-	// asked is the order of the fetch in flight; zero for none.
-	asked    Revision
-	deadline time.Time
+	retryAt  time.Time
+	// requested is the revision of the fetch in flight; zero for none.
+	requested     Revision
+	fetchDeadline time.Time
 }
 
-func (p *peerState) inFlight() bool { return p.asked != Revision{} }
+func (p *peerState) fetching() bool { return p.requested != Revision{} }
 
-func (r *Register) heard(e Announced) {
-	delete(r.startup.silent, e.From)
+func (r *Register) onAnnounced(e Announced) {
+	delete(r.startup.unanswered, e.From)
 	if e.Version > 0 {
-		r.startup.heard = true
+		r.startup.peerHasBundle = true
 	}
 	p := r.peers[e.From]
 	if p == nil {
@@ -32,30 +32,31 @@
 		r.peers[e.From] = p
 	}
 	p.announced = e.Revision()
-	p.heard = r.now
+	p.announcedAt = r.now
 }
 
-// answered ends the peer's fetch of that order; false where none is in flight.
-func (r *Register) answered(from Peer, asked Revision) bool {
+// completeFetch ends the peer's fetch of that revision. It returns false if no
+// such fetch is in flight.
+func (r *Register) completeFetch(from Peer, requested Revision) bool {
 	p := r.peers[from]
-	if p == nil || !p.inFlight() || p.asked != asked {
+	if p == nil || !p.fetching() || p.requested != requested {
 		return false
 	}
-	p.asked = Revision{}
+	p.requested = Revision{}
 	return true
 }
 
-func (r *Register) fetchFailed(e FetchFailed) {
-	if !r.answered(e.From, e.Requested) {
+func (r *Register) onFetchFailed(e FetchFailed) {
+	if !r.completeFetch(e.From, e.Requested) {
 		return
 	}
 	r.refuse(ReasonFetchFailed, e.Err, Source{Peer: e.From})
-	r.setAside(e.From)
+	r.backOff(e.From)
 }
 
-// setAside leaves a peer alone for a time that doubles with each failure in a
-// row, and forgets what it announced.
-func (r *Register) setAside(name Peer) {
+// backOff stops fetches from the peer for a time that doubles with each failure
+// in a row, and discards its announcement.
+func (r *Register) backOff(name Peer) {
 	p := r.peers[name]
 	if p == nil {
 		return
@@ -64,69 +65,72 @@
 	pause = min(pause, r.config.BackoffMax)
 	jitter := time.Duration(r.random.Int64N(int64(pause) + 1))
 	p.failures++
-	p.until = r.now.Add(pause/2 + jitter)
+	p.retryAt = r.now.Add(pause/2 + jitter)
 	p.announced = Revision{}
 }
 
-// expire gives up on fetches without an answer and forgets silent peers.
-func (r *Register) expire() {
+// expirePeers times out fetches and deletes peers that have announced nothing
+// for longer than AnnouncementTTL.
+func (r *Register) expirePeers() {
 	for _, name := range slices.Sorted(maps.Keys(r.peers)) {
 		p := r.peers[name]
-		if p.inFlight() && !r.now.Before(p.deadline) {
-			p.asked = Revision{}
+		if p.fetching() && !r.now.Before(p.fetchDeadline) {
+			p.requested = Revision{}
 			r.refuse(ReasonFetchTimeout, nil, Source{Peer: name})
-			r.setAside(name)
+			r.backOff(name)
 		}
-		if !p.inFlight() && r.now.Sub(p.heard) > r.config.AnnouncementTTL {
+		if !p.fetching() && r.now.Sub(p.announcedAt) > r.config.AnnouncementTTL {
 			delete(r.peers, name)
 		}
 	}
 }
 
-// highest returns the highest order that a peer in good standing announces.
-func (r *Register) highest() Revision {
+// highestAnnounced returns the highest revision announced by a peer that may be
+// asked now.
+func (r *Register) highestAnnounced() Revision {
 	var best Revision
 	for _, p := range r.peers {
-		if !r.now.Before(p.until) && p.announced.Compare(best) > 0 {
+		if !r.now.Before(p.retryAt) && p.announced.Compare(best) > 0 {
 			best = p.announced
 		}
 	}
 	return best
 }
 
-// fetch asks for what is higher than the bundle in force: the highest first,
-// each order from one peer at a time, which chance picks among those that
-// announce it.
-func (r *Register) fetch() {
-	running := map[Revision]bool{}
+// startFetches fetches revisions higher than the one in force, the highest
+// first and each from one peer at a time. Among the peers that announce a
+// revision, it picks one with the fewest failures at random.
+func (r *Register) startFetches() {
+	requested := map[Revision]bool{}
 	for _, p := range r.peers {
-		if p.inFlight() {
-			running[p.asked] = true
+		if p.fetching() {
+			requested[p.requested] = true
 		}
 	}
-	flights := len(running)
+	inFlight := len(requested)
 	for _, name := range r.candidates() {
-		if flights >= r.config.FetchLimit {
+		if inFlight >= r.config.FetchLimit {
 			return
 		}
 		p := r.peers[name]
-		if running[p.announced] {
+		if requested[p.announced] {
 			continue
 		}
-		running[p.announced] = true
-		flights++
-		p.asked = p.announced
-		p.deadline = r.now.Add(r.config.FetchTimeout)
-		r.emit(Fetch{From: name, Version: p.asked.Version, Digest: p.asked.Digest})
+		requested[p.announced] = true
+		inFlight++
+		p.requested = p.announced
+		p.fetchDeadline = r.now.Add(r.config.FetchTimeout)
+		r.emit(Fetch{From: name, Version: p.requested.Version, Digest: p.requested.Digest})
 	}
 }
 
-// candidates lists the peers worth asking, best first.
+// candidates returns the peers that may be asked: those with the highest
+// revision first, then those with the fewest failures, then in random order.
 func (r *Register) candidates() []Peer {
 	var names []Peer
 	for _, name := range slices.Sorted(maps.Keys(r.peers)) {
 		p := r.peers[name]
-		if !p.inFlight() && !r.now.Before(p.until) && p.announced.Compare(r.order) > 0 {
+		if !p.fetching() && !r.now.Before(p.retryAt) && p.announced.Compare(r.revision) > 0 {
 			names = append(names, name)
 		}
 	}
--- a/core/btbundle/register_step.go
+++ b/core/btbundle/register_step.go
@@ -8,21 +8,22 @@
 	"bilberrytide/core/btrequest"
 )
 
-// startup is what a process knows before anything is in force.
+// startup is the state of a process that has nothing in force yet.
 type startup struct {
-	until time.Time
-	// silent holds the asked peers that have not yet answered.
-	silent map[Peer]bool
-	asked  bool
-	// heard tells that a peer with something in force has answered.
-	heard bool
-	held  *Approved
+	// deadline is when the service's value stops waiting for peers.
+	deadline time.Time
+	// unanswered holds the queried peers that have not answered yet.
+	unanswered map[Peer]bool
+	queried    bool
+	// peerHasBundle is set once a peer with a bundle in force has answered.
+	peerHasBundle bool
+	deferred      *Approved
 }
 
-// Step applies one event.
+// Step applies one event and returns the effects, in order.
 func (r *Register) Step(now time.Time, event RegisterEvent) []RegisterEffect {
 	if r.now.IsZero() {
-		r.startup.until = now.Add(r.config.MaxDeferral)
+		r.startup.deadline = now.Add(r.config.MaxDeferral)
 	}
 	if now.After(r.now) {
 		r.now = now
@@ -30,18 +31,18 @@
 	r.effects = nil
 	switch e := event.(type) {
 	case Started:
-		r.started(e)
+		r.onStarted(e)
 	case Received:
-		r.offered(e)
+		r.onReceived(e)
 	case Announced:
-		r.heard(e)
+		r.onAnnounced(e)
 	case FetchFailed:
-		r.fetchFailed(e)
+		r.onFetchFailed(e)
 	case Tick:
-		r.expire()
+		r.expirePeers()
 	}
-	r.release()
-	r.fetch()
+	r.resolveDeferred()
+	r.startFetches()
 	return r.effects
 }
 
@@ -51,48 +52,49 @@
 	r.emit(Refused{Reason: reason, Err: err, Source: source})
 }
 
-// started notes whom the process asks. Asking again adds peers, but makes the
-// service's value wait no longer.
-func (r *Register) started(e Started) {
-	if !r.startup.asked {
-		r.startup.until = r.now.Add(r.config.MaxDeferral)
-		r.startup.silent = map[Peer]bool{}
+// onStarted records the queried peers. A repeated Started adds peers, but
+// doesn't extend the deferral.
+func (r *Register) onStarted(e Started) {
+	if !r.startup.queried {
+		r.startup.deadline = r.now.Add(r.config.MaxDeferral)
+		r.startup.unanswered = map[Peer]bool{}
 	}
-	r.startup.asked = true
+	r.startup.queried = true
 	for _, p := range e.Peers {
-		r.startup.silent[p] = true
+		r.startup.unanswered[p] = true
 	}
 }
 
-func (r *Register) offered(e Received) {
-	asked := r.answered(e.Source.Peer, e.Requested)
+func (r *Register) onReceived(e Received) {
+	requested := r.completeFetch(e.Source.Peer, e.Requested)
 	approved, err := r.verify(e.Raw)
 	if err != nil {
 		r.refuse(reasonOf(err), err, e.Source)
-		r.setAside(e.Source.Peer)
+		r.backOff(e.Source.Peer)
 		return
 	}
-	if asked && approved.Revision().Compare(e.Requested) < 0 {
+	if requested && approved.Revision().Compare(e.Requested) < 0 {
 		r.refuse(ReasonPeerShort, nil, e.Source)
-		r.setAside(e.Source.Peer)
-	} else if asked {
+		r.backOff(e.Source.Peer)
+	} else if requested {
 		r.peers[e.Source.Peer].failures = 0
 	}
-	if e.Source.FromService() && r.holds() {
-		r.hold(approved)
+	if e.Source.FromService() && r.mustDefer() {
+		r.deferValue(approved)
 		return
 	}
-	r.consider(approved, e.Source)
+	r.installIfHigher(approved, e.Source)
 }
 
-// verify checks a signed file; the bundles at hand need no second check.
+// verify parses and verifies a signed file. A document that the register
+// already knows is not verified again.
 func (r *Register) verify(raw []byte) (*Approved, error) {
 	signed, err := ParseSigned(raw)
 	if err != nil {
 		return nil, err
 	}
 	digest := DigestOf(signed.Document)
-	for _, known := range []*Approved{r.current, r.startup.held, r.outranked} {
+	for _, known := range []*Approved{r.current, r.startup.deferred, r.lastRefused} {
 		if known != nil && known.Digest == digest {
 			return known, nil
 		}
@@ -111,72 +113,77 @@
 	}
 }
 
-// holds tells whether the configuration service's value must wait.
-func (r *Register) holds() bool {
+// mustDefer reports whether the configuration service's value must wait for
+// peers.
+func (r *Register) mustDefer() bool {
 	s := &r.startup
-	if r.current != nil || !r.now.Before(s.until) {
+	if r.current != nil || !r.now.Before(s.deadline) {
 		return false
 	}
-	if s.asked && len(s.silent) == 0 && !s.heard {
+	if s.queried && len(s.unanswered) == 0 && !s.peerHasBundle {
 		return false
 	}
-	return !s.heard || s.held == nil || s.held.Revision().Compare(r.highest()) < 0
+	return !s.peerHasBundle || s.deferred == nil || s.deferred.Revision().Compare(r.highestAnnounced()) < 0
 }
 
-// hold keeps the highest of the configuration service's values.
-func (r *Register) hold(approved *Approved) {
-	if approved.Revision().Compare(r.startup.held.Revision()) <= 0 {
+// deferValue stores the configuration service's value unless a higher one is
+// deferred already.
+func (r *Register) deferValue(approved *Approved) {
+	if approved.Revision().Compare(r.startup.deferred.Revision()) <= 0 {
 		return
 	}
-	r.startup.held = approved
+	r.startup.deferred = approved
 	r.emit(Deferred{Revision: approved.Revision()})
 }
 
-// release considers the held value once nothing speaks for waiting longer.
-func (r *Register) release() {
-	held := r.startup.held
-	if held == nil || r.holds() {
+// resolveDeferred hands the deferred value to installIfHigher once it no longer
+// has to wait.
+func (r *Register) resolveDeferred() {
+	deferred := r.startup.deferred
+	if deferred == nil || r.mustDefer() {
 		return
 	}
-	r.startup.held = nil
-	r.consider(held, Source{})
+	r.startup.deferred = nil
+	r.installIfHigher(deferred, Source{})
 }
 
-// consider puts the bundle in force if it is higher than the one that is.
-func (r *Register) consider(approved *Approved, source Source) {
-	order := approved.Revision()
-	current := r.order
-	switch c := order.Compare(current); {
+// installIfHigher installs the bundle if its revision is higher than the one in
+// force, and refuses it if it is lower.
+func (r *Register) installIfHigher(approved *Approved, source Source) {
+	revision := approved.Revision()
+	current := r.revision
+	switch c := revision.Compare(current); {
 	case c == 0:
 		return
 	case c < 0:
-		r.outranked = approved
+		r.lastRefused = approved
 		r.refuseLower(approved, source)
-	case order.Version == current.Version:
-		r.report(order, current, source)
+	case revision.Version == current.Version:
+		r.reportConflict(revision, current, source)
 		r.install(approved, source)
 	default:
 		r.install(approved, source)
 	}
 }
 
-// errLower is wrapped by the error of a bundle below the one in force.
-var errLower = errors.New("not above the bundle in force")
+// errNotHigher is wrapped by the error of a bundle below the one in force.
+var errNotHigher = errors.New("not above the bundle in force")
 
-// refuseLower tells of a bundle that the one in force outranks.
+// refuseLower refuses a bundle whose revision is lower than the one in force.
 func (r *Register) refuseLower(approved *Approved, source Source) {
-	order := approved.Revision()
-	current := r.order
-	if order.Version < current.Version {
-		r.refuse(ReasonOlder, fmt.Errorf("%w: version %d is below %d", errLower, order.Version, current.Version), source)
+	revision := approved.Revision()
+	current := r.revision
+	if revision.Version < current.Version {
+		r.refuse(ReasonOlder, fmt.Errorf("%w: version %d is below %d", errNotHigher, revision.Version, current.Version), source)
 		return
 	}
-	r.report(current, order, source)
-	r.refuse(ReasonConflict, fmt.Errorf("%w: version %d with a lower digest", errLower, order.Version), source)
+	r.reportConflict(current, revision, source)
+	r.refuse(ReasonConflict, fmt.Errorf("%w: version %d with a lower digest", errNotHigher, revision.Version), source)
 }
 
-// report tells of two bundles with one version, once each pair.
-func (r *Register) report(kept, lost Revision, source Source) {
+// reportConflict reports two bundles with the same version, unless they are the
+// pair that was reported last.
+func (r *Register) reportConflict(kept, lost Revision, source Source) {
 	conflict := Conflict{Version: kept.Version, Kept: kept.Digest, Lost: lost.Digest, Source: source}
 	same := r.conflict.Version == conflict.Version && r.conflict.Kept == conflict.Kept && r.conflict.Lost == conflict.Lost
 	if same {
@@ -186,27 +193,27 @@
 	r.emit(conflict)
 }
 
-// install puts a bundle in force. What it replaces is checked too: whoever
-// changes the shared value of the one in force would else go unseen.
+// install puts a bundle in force. It also checks the bundle that it replaces:
+// nothing else would detect that the shared value was modified while in force.
 func (r *Register) install(approved *Approved, source Source) {
-	order := approved.Revision()
+	revision := approved.Revision()
 	previous := r.current
-	unchanged := previous == nil || whole(previous) && previous.Revision() == r.order
-	r.assert.That(unchanged, InvariantWhole, "%v was changed while in force", r.order)
-	if !r.assert.That(order.Compare(r.order) > 0, InvariantMonotonic, "%v after %v", order, r.order) {
+	unchanged := previous == nil || intact(previous) && previous.Revision() == r.revision
+	r.assert.That(unchanged, InvariantWhole, "%v was changed while in force", r.revision)
+	if !r.assert.That(revision.Compare(r.revision) > 0, InvariantMonotonic, "%v after %v", revision, r.revision) {
 		return
 	}
-	if !r.assert.That(whole(approved), InvariantWhole, "%v from %s", order, source) {
+	if !r.assert.That(intact(approved), InvariantWhole, "%v from %s", revision, source) {
 		return
 	}
 	r.current = approved
-	r.order = order
+	r.revision = revision
 	r.emit(InForce{Approved: approved, Previous: previous, Source: source})
 }
 
-// whole tells whether the value is a verified one that still holds the bytes
-// that were verified.
-func whole(approved *Approved) bool {
+// intact reports whether the value was verified and still holds the bytes that
+// were verified.
+func intact(approved *Approved) bool {
 	signed, err := ParseSigned(approved.Raw)
 	return err == nil && approved.Verified() && DigestOf(signed.Document) == approved.Digest
 }
--- a/core/btbundle/register_test.go
+++ b/core/btbundle/register_test.go
@@ -14,7 +14,7 @@
 	"bilberrytide/core/btrequest"
 )
 
-// effectsOf picks the effects of one type.
+// effectsOf returns the effects of one type.
 func effectsOf[E btbundle.RegisterEffect](effects []btbundle.RegisterEffect) []E {
 	var found []E
 	for _, effect := range effects {
@@ -25,18 +25,18 @@
 	return found
 }
 
-func offer(number int) btbundle.Received {
+func receivedFromService(number int) btbundle.Received {
 	return btbundle.Received{Raw: signed(version(number, "x"), keyPair(0))}
 }
 
-func offerFrom(peer btbundle.Peer, number int, asked btbundle.Revision) btbundle.Received {
-	o := offer(number)
+func receivedFrom(peer btbundle.Peer, number int, requested btbundle.Revision) btbundle.Received {
+	o := receivedFromService(number)
 	o.Source.Peer = peer
-	o.Requested = asked
+	o.Requested = requested
 	return o
 }
 
-func heard(peer btbundle.Peer, number int) btbundle.Announced {
+func announcedBy(peer btbundle.Peer, number int) btbundle.Announced {
 	if number == 0 {
 		return btbundle.Announced{From: peer}
 	}
@@ -46,7 +46,10 @@
 
 func versionOf(r *btbundle.Register) int { return int(r.Announcement().Version) }
 
-func TestRegisterHoldsTheServiceAtStart(t *testing.T) {
+// TestRegisterDefersServiceValueAtStart guards against a starting process that
+// installs a stale value of the configuration service before its peers could
+// announce a newer bundle, or that waits for them longer than needed.
+func TestRegisterDefersServiceValueAtStart(t *testing.T) {
 	peers := btbundle.Started{Peers: []btbundle.Peer{"agent/t1", "agent/t2"}}
 	tests := []struct {
 		name   string
@@ -54,16 +57,16 @@
 		after  time.Duration
 		want   int
 	}{
-		{name: "before Started", events: []btbundle.RegisterEvent{offer(2)}, want: 0},
-		{name: "no answer yet", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 0)}, want: 0},
-		{name: "no peers", events: []btbundle.RegisterEvent{btbundle.Started{}, offer(2)}, want: 2},
-		{name: "all have nothing", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 0), heard("agent/t2", 0)}, want: 2},
-		{name: "a peer has the same", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 2)}, want: 2},
-		{name: "a peer has an older one", events: []btbundle.RegisterEvent{peers, heard("agent/t1", 1), offer(2)}, want: 2},
-		{name: "a peer has a newer one", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 5)}, want: 0},
-		{name: "a peer brings the newer one", events: []btbundle.RegisterEvent{peers, offer(2), heard("agent/t1", 5),
-			offerFrom("agent/t1", 5, btbundle.Revision{})}, want: 5},
-		{name: "time is up", events: []btbundle.RegisterEvent{peers, offer(2)}, after: 3 * time.Second, want: 2},
+		{name: "before Started", events: []btbundle.RegisterEvent{receivedFromService(2)}, want: 0},
+		{name: "no answer yet", events: []btbundle.RegisterEvent{peers, receivedFromService(2), announcedBy("agent/t1", 0)}, want: 0},
+		{name: "no peers", events: []btbundle.RegisterEvent{btbundle.Started{}, receivedFromService(2)}, want: 2},
+		{name: "all have nothing", events: []btbundle.RegisterEvent{peers, receivedFromService(2), announcedBy("agent/t1", 0), announcedBy("agent/t2", 0)}, want: 2},
+		{name: "a peer has the same", events: []btbundle.RegisterEvent{peers, receivedFromService(2), announcedBy("agent/t1", 2)}, want: 2},
+		{name: "a peer has an older one", events: []btbundle.RegisterEvent{peers, announcedBy("agent/t1", 1), receivedFromService(2)}, want: 2},
+		{name: "a peer has a newer one", events: []btbundle.RegisterEvent{peers, receivedFromService(2), announcedBy("agent/t1", 5)}, want: 0},
+		{name: "a peer brings the newer one", events: []btbundle.RegisterEvent{peers, receivedFromService(2), announcedBy("agent/t1", 5),
+			receivedFrom("agent/t1", 5, btbundle.Revision{})}, want: 5},
+		{name: "time is up", events: []btbundle.RegisterEvent{peers, receivedFromService(2)}, after: 3 * time.Second, want: 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -77,22 +80,26 @@
 	}
 }
 
-// Without the hold, a process that restarts with nothing falls back behind its
-// peers as soon as the service is stale.
-func TestRegisterWithoutHoldGoesBack(t *testing.T) {
+// TestRegisterWithoutDeferralReverts shows why the deferral exists: without it,
+// a process that restarts with nothing in force installs an older bundle than
+// its peers have whenever the service is stale.
+func TestRegisterWithoutDeferralReverts(t *testing.T) {
 	for hold, want := range map[time.Duration]int{0: 2, btbundle.DefaultRegisterConfig(btbundle.Approvers{}).MaxDeferral: 5} {
 		config := btbundle.DefaultRegisterConfig(approvers(keyPair(0)))
 		config.MaxDeferral = hold
 		r := btbundle.NewRegister(config, btassert.New(btassert.Panic()), rand.New(rand.NewPCG(1, 1)))
 		r.Step(start, btbundle.Started{Peers: []btbundle.Peer{"agent/t1"}})
-		first := effectsOf[btbundle.InForce](r.Step(start, offer(2)))
-		r.Step(start, heard("agent/t1", 5))
-		first = append(first, effectsOf[btbundle.InForce](r.Step(start, offerFrom("agent/t1", 5, heard("agent/t1", 5).Revision())))...)
+		first := effectsOf[btbundle.InForce](r.Step(start, receivedFromService(2)))
+		r.Step(start, announcedBy("agent/t1", 5))
+		first = append(first, effectsOf[btbundle.InForce](r.Step(start, receivedFrom("agent/t1", 5, announcedBy("agent/t1", 5).Revision())))...)
 		assert.Equal(t, int(first[0].Approved.Revision().Version), want, "hold %s", hold)
 	}
 }
 
-func TestRegisterConflictIsLoudOnceAndEndsTheSame(t *testing.T) {
+// TestRegisterReportsConflictOnce guards against processes that keep different
+// bundles of the same version depending on the order in which they arrive, and
+// against repeated reports of the same conflict.
+func TestRegisterReportsConflictOnce(t *testing.T) {
 	one := approve(t, version(3, "one"))
 	two := approve(t, version(3, "two"))
 	higher := one
@@ -134,7 +141,7 @@
 	}
 	r := newRegister(1)
 	r.Step(start, btbundle.Started{})
-	r.Step(start, offer(4))
+	r.Step(start, receivedFromService(4))
 	for _, test := range tests {
 		effects := r.Step(start, btbundle.Received{Raw: test.raw})
 		refused := effectsOf[btbundle.Refused](effects)
@@ -144,36 +151,38 @@
 	}
 }
 
-func TestRegisterLeavesBadPeersAside(t *testing.T) {
-	lie := btbundle.Announced{Version: 99, Digest: btbundle.DigestOf([]byte("lie")), From: "agent/bad"}
-	asked := btbundle.Revision{Version: lie.Version, Digest: lie.Digest}
+// TestRegisterBacksOffFromFailingPeers guards against a failing or false peer
+// that blocks fetches from others or is asked without a pause.
+func TestRegisterBacksOffFromFailingPeers(t *testing.T) {
+	falseAnnouncement := btbundle.Announced{Version: 99, Digest: btbundle.DigestOf([]byte("lie")), From: "agent/bad"}
+	requested := btbundle.Revision{Version: falseAnnouncement.Version, Digest: falseAnnouncement.Digest}
 	tests := []struct {
 		name  string
 		event btbundle.RegisterEvent
 		after time.Duration
 		want  btrequest.Reason
 	}{
-		{name: "short", event: offerFrom("agent/bad", 4, asked), want: btbundle.ReasonPeerShort},
-		{name: "forged", event: btbundle.Received{Raw: version(99, "x"), Source: btbundle.Source{Peer: "agent/bad"}, Requested: asked}, want: btbundle.ReasonSignature},
-		{name: "failed", event: btbundle.FetchFailed{From: "agent/bad", Requested: asked, Err: errors.New("refused")}, want: btbundle.ReasonFetchFailed},
+		{name: "short", event: receivedFrom("agent/bad", 4, requested), want: btbundle.ReasonPeerShort},
+		{name: "forged", event: btbundle.Received{Raw: version(99, "x"), Source: btbundle.Source{Peer: "agent/bad"}, Requested: requested}, want: btbundle.ReasonSignature},
+		{name: "failed", event: btbundle.FetchFailed{From: "agent/bad", Requested: requested, Err: errors.New("refused")}, want: btbundle.ReasonFetchFailed},
 		{name: "silent", event: btbundle.Tick{}, after: time.Second, want: btbundle.ReasonFetchTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRegister(1)
 			r.Step(start, btbundle.Started{})
-			r.Step(start, offer(4))
-			assert.Equal(t, len(effectsOf[btbundle.Fetch](r.Step(start, lie))), 1)
+			r.Step(start, receivedFromService(4))
+			assert.Equal(t, len(effectsOf[btbundle.Fetch](r.Step(start, falseAnnouncement))), 1)
 			now := start.Add(test.after)
 			refused := effectsOf[btbundle.Refused](r.Step(now, test.event))
 			assert.Equal(t, len(refused), 1)
 			assert.Equal(t, refused[0].Reason, test.want)
-			assert.Equal(t, len(effectsOf[btbundle.Fetch](r.Step(now, lie))), 0, "a bad peer is left aside")
-			good := effectsOf[btbundle.Fetch](r.Step(now, heard("agent/good", 5)))
+			assert.Equal(t, len(effectsOf[btbundle.Fetch](r.Step(now, falseAnnouncement))), 0, "a failing peer must not be asked again at once")
+			good := effectsOf[btbundle.Fetch](r.Step(now, announcedBy("agent/good", 5)))
 			assert.Equal(t, len(good), 1)
 			assert.Equal(t, good[0].From, btbundle.Peer("agent/good"))
 			later := now.Add(time.Second)
-			assert.Equal(t, len(effectsOf[btbundle.Fetch](r.Step(later, lie))), 1, "and asked again later")
+			assert.Equal(t, len(effectsOf[btbundle.Fetch](r.Step(later, falseAnnouncement))), 1, "a failing peer must be asked again after its backoff")
 		})
 	}
 }
@@ -184,12 +193,15 @@
 	fetches := 0
 	for i := range 50 {
 		peer := btbundle.Peer("agent/t" + string(rune('a'+i)))
-		fetches += len(effectsOf[btbundle.Fetch](r.Step(start, heard(peer, 1+i%10))))
+		fetches += len(effectsOf[btbundle.Fetch](r.Step(start, announcedBy(peer, 1+i%10))))
 	}
 	assert.Equal(t, fetches, btbundle.DefaultRegisterConfig(btbundle.Approvers{}).FetchLimit)
 }
 
-func TestRegisterSeesChangedBundles(t *testing.T) {
+// TestRegisterDetectsModifiedBundles guards against code that modifies the
+// shared bundle in force: the next installation must report it and still take
+// effect.
+func TestRegisterDetectsModifiedBundles(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*btbundle.Approved)
@@ -203,9 +215,9 @@
 			sink := btassert.SinkFunc(func(v btassert.Violation) { violated = append(violated, v.Name) })
 			r := btbundle.NewRegister(btbundle.DefaultRegisterConfig(approvers(keyPair(0))), btassert.New(sink), nil)
 			r.Step(start, btbundle.Started{})
-			r.Step(start, offer(2))
+			r.Step(start, receivedFromService(2))
 			test.change(r.InForce())
-			r.Step(start, offer(3))
+			r.Step(start, receivedFromService(3))
 			assert.DeepEqual(t, violated, []btassert.Name{btbundle.InvariantWhole})
 			assert.Equal(t, versionOf(r), 3)
 		})
--- a/core/btbundle/signed.go
+++ b/core/btbundle/signed.go
@@ -14,26 +14,26 @@
 var ErrSignature = errors.New("bundle signature refused")
 
 const (
-	// MaxSignatures is the most signatures that one signed file may carry.
+	// MaxSignatures is the largest number of signatures in one signed file.
 	MaxSignatures = 16
 
-	trailer   = "# signature "
-	algorithm = "ed25519"
+	trailerPrefix = "# signature "
+	algorithm     = "ed25519"
 )
 
-// KeyID names a public key: the first eight bytes of its SHA-256 digest.
+// KeyID identifies a public key: the first eight bytes of its SHA-256 digest.
 type KeyID [8]byte
 
-// KeyIDOf returns the key's name.
+// KeyIDOf returns the key's identifier.
 func KeyIDOf(key ed25519.PublicKey) KeyID {
 	digest := DigestOf(key)
 	return KeyID(digest[:8])
 }
 
-// String writes the name in hexadecimal.
+// String returns the identifier in hexadecimal.
 func (k KeyID) String() string { return hex.EncodeToString(k[:]) }
 
-// MarshalText writes the name in hexadecimal.
+// MarshalText returns the identifier in hexadecimal.
 func (k KeyID) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
 // Signature is one approver's signature of a document's exact bytes.
@@ -42,16 +42,17 @@
 	Bytes [ed25519.SignatureSize]byte
 }
 
-// Signed is a signed file: a TOML document and one trailer line a signature,
-// "# signature ed25519 <key id> <base64>".
+// Signed is a signed file: a TOML document followed by one trailer line for
+// each signature, "# signature ed25519 <key id> <base64>".
 type Signed struct {
 	// Document is every byte before the first trailer line.
 	Document   []byte
 	Signatures []Signature
 }
 
-// ParseSigned takes a signed file apart. A file without trailer lines is a
-// document without signatures. The error wraps ErrSignature or ErrTooLarge.
+// ParseSigned splits a signed file into document and signatures. A file without
+// trailer lines is an unsigned document. The error wraps ErrSignature or
+// ErrTooLarge.
 func ParseSigned(data []byte) (Signed, error) {
 	if err := checkSize(data); err != nil {
 		return Signed{}, err
@@ -59,8 +60,8 @@
 	start := trailerStart(data)
 	signed := Signed{Document: bytes.Clone(data[:start])}
 	for len(data) > start {
-		line, rest, whole := bytes.Cut(data[start:], []byte("\n"))
-		if !whole {
+		line, rest, terminated := bytes.Cut(data[start:], []byte("\n"))
+		if !terminated {
 			return Signed{}, fmt.Errorf("%w: the last line is cut", ErrSignature)
 		}
 		signature, err := parseTrailer(line)
@@ -76,12 +77,13 @@
 	return signed, nil
 }
 
-// trailerStart returns the offset of the first trailer line, or the length.
+// trailerStart returns the offset of the first trailer line, or the length of
+// the data if there is none.
 func trailerStart(data []byte) int {
-	if bytes.HasPrefix(data, []byte(trailer)) {
+	if bytes.HasPrefix(data, []byte(trailerPrefix)) {
 		return 0
 	}
-	if at := bytes.Index(data, []byte("\n"+trailer)); at >= 0 {
+	if at := bytes.Index(data, []byte("\n"+trailerPrefix)); at >= 0 {
 		return at + 1
 	}
 	return len(data)
@@ -89,7 +91,7 @@
 
 func parseTrailer(line []byte) (Signature, error) {
 	fields := bytes.Fields(line)
-	if len(fields) != 5 || !bytes.HasPrefix(line, []byte(trailer)) {
+	if len(fields) != 5 || !bytes.HasPrefix(line, []byte(trailerPrefix)) {
 		return Signature{}, fmt.Errorf("%w: %.60q is no signature line; nothing may follow the first one", ErrSignature, line)
 	}
 	if string(fields[2]) != algorithm {
@@ -106,19 +108,19 @@
 	return Signature{KeyID: KeyID(id), Bytes: [ed25519.SignatureSize]byte(raw)}, nil
 }
 
-// Bytes writes the signed file. The document must end with a line end, as
-// TerminateDocument sees to.
+// Bytes returns the signed file. The document must end with a newline, see
+// TerminateDocument.
 func (s Signed) Bytes() []byte {
 	data := bytes.Clone(s.Document)
 	for _, signature := range s.Signatures {
 		encoded := base64.StdEncoding.EncodeToString(signature.Bytes[:])
-		data = fmt.Appendf(data, "%s%s %s %s\n", trailer, algorithm, signature.KeyID, encoded)
+		data = fmt.Appendf(data, "%s%s %s %s\n", trailerPrefix, algorithm, signature.KeyID, encoded)
 	}
 	return data
 }
 
-// TerminateDocument returns the document with a line end at its end, which a
-// signature line must follow.
+// TerminateDocument returns the document with a newline at its end, as the
+// first signature must begin a line.
 func TerminateDocument(document []byte) []byte {
 	if bytes.HasSuffix(document, []byte("\n")) {
 		return document
@@ -126,7 +128,7 @@
 	return append(bytes.Clone(document), '\n')
 }
 
-// Sign signs the document's exact bytes.
+// Sign signs the exact bytes of the document.
 func Sign(document []byte, key ed25519.PrivateKey) Signature {
 	public := key.Public().(ed25519.PublicKey)
 	raw := ed25519.Sign(key, document)
--- a/core/btbundle/signed_test.go
+++ b/core/btbundle/signed_test.go
@@ -22,7 +22,7 @@
 func TestVerify(t *testing.T) {
 	one := keyPair(0)
 	two := keyPair(1)
-	whole := string(signed([]byte(small), one))
+	whole := string(signed([]byte(minimalBundle), one))
 	both := approvers(one, two)
 	tests := []struct {
 		name      string
@@ -31,18 +31,18 @@
 		want      string
 	}{
 		{name: "one of one", raw: whole, approvers: approvers(one)},
-		{name: "two of two", raw: string(signed([]byte(small), two, one)), approvers: both},
+		{name: "two of two", raw: string(signed([]byte(minimalBundle), two, one)), approvers: both},
 		{name: "one of two", raw: whole, approvers: both, want: "1 of the known approvers signed, 2 must"},
-		{name: "one signs twice", raw: string(signed([]byte(small), one, one)), approvers: both, want: "1 of the known"},
-		{name: "unsigned", raw: small, approvers: approvers(one), want: "0 of the known approvers signed, 1 must; the file has no signature"},
-		{name: "stranger", raw: string(signed([]byte(small), two)), approvers: approvers(one), want: "0 of the known approvers signed, 1 must; the file has signatures of the keys " + btbundle.KeyIDOf(two.Public().(ed25519.PublicKey)).String()},
-		{name: "stranger beside", raw: string(signed([]byte(small), two, one)), approvers: approvers(one)},
+		{name: "one signs twice", raw: string(signed([]byte(minimalBundle), one, one)), approvers: both, want: "1 of the known"},
+		{name: "unsigned", raw: minimalBundle, approvers: approvers(one), want: "0 of the known approvers signed, 1 must; the file has no signature"},
+		{name: "stranger", raw: string(signed([]byte(minimalBundle), two)), approvers: approvers(one), want: "0 of the known approvers signed, 1 must; the file has signatures of the keys " + btbundle.KeyIDOf(two.Public().(ed25519.PublicKey)).String()},
+		{name: "stranger beside", raw: string(signed([]byte(minimalBundle), two, one)), approvers: approvers(one)},
 		{name: "document changed", raw: strings.Replace(whole, "rate = 10.0", "rate = 99.0", 1), approvers: approvers(one), want: "either was changed"},
 		{name: "text after the trailer", raw: whole + "x = 1\n", approvers: approvers(one), want: "nothing may follow"},
 		{name: "cut", raw: whole[:len(whole)-1], approvers: approvers(one), want: "the last line is cut"},
 		{name: "cut earlier", raw: whole[:len(whole)-9] + "\n", approvers: approvers(one), want: "malformed signature"},
 		{name: "other algorithm", raw: strings.Replace(whole, " ed25519 ", " rsa ", 1), approvers: approvers(one), want: "unknown algorithm"},
-		{name: "many", raw: whole + strings.Repeat(strings.TrimPrefix(whole, small), 16), approvers: approvers(one), want: "over 16 signatures"},
+		{name: "many", raw: whole + strings.Repeat(strings.TrimPrefix(whole, minimalBundle), 16), approvers: approvers(one), want: "over 16 signatures"},
 		{name: "malformed document", raw: string(signed([]byte("x = 1\n"), one)), approvers: approvers(one), want: "line 1: x: unknown key"},
 		{name: "no approvers", raw: whole, approvers: btbundle.Approvers{}, want: "no key is listed"},
 		{name: "one key twice", raw: whole, approvers: approvers(one, one), want: "listed twice"},
@@ -57,7 +57,7 @@
 			}
 			assert.NilError(t, err)
 			assert.Equal(t, string(approved.Raw), test.raw)
-			assert.Equal(t, approved.Digest, btbundle.DigestOf([]byte(small)), "signatures don't change the digest")
+			assert.Equal(t, approved.Digest, btbundle.DigestOf([]byte(minimalBundle)), "signatures don't change the digest")
 		})
 	}
 }
@@ -84,7 +84,7 @@
 
 func ExampleApprovers_Verify() {
 	key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
-	document := []byte(small)
+	document := []byte(minimalBundle)
 	file := btbundle.Signed{Document: document, Signatures: []btbundle.Signature{btbundle.Sign(document, key)}}
 
 	anchor := btbundle.Approvers{Keys: []btbundle.Approver{{Name: "anna", Key: btbundle.PublicKey(key.Public().(ed25519.PublicKey))}}}
--- a/core/btbundle/successor.go
+++ b/core/btbundle/successor.go
@@ -8,20 +8,22 @@
 	"bilberrytide/core/btrendezvous"
 )
 
-// ApprovalWindow is the longest that may pass between a version's making and
-// its approval. Epochs of key homes stay listed for at least as long, as the
-// bundle that ended one came in force at an unknown time within it.
+// ApprovalWindow is the longest time that may pass between the creation of a
+// version and its approval. Epochs of key homes stay listed for at least this
+// long, as the bundle that ended one came into force at an unknown time within
+// it.
 const ApprovalWindow = 24 * time.Hour
 
-// EpochRetention is how long after a later epoch was made an earlier one must stay
-// listed: its homes may still be asked about keys, and may still grant.
+// EpochRetention is how long an epoch must stay listed after the next one was
+// created: until then its homes may still be asked about keys and may still
+// grant them.
 func (i Idempotency) EpochRetention() time.Duration {
 	return ApprovalWindow + i.Retention.Duration + i.Lease.Duration + 2*i.ClockError.Duration
 }
 
-// NextEpochs returns the service's epochs as the next version lists them:
-// without those that are past their memory, and with a new one where a home is
-// no longer a target of the service. Homes that remain stay homes.
+// NextEpochs returns the service's epochs as the next version lists them. It
+// drops those past their EpochRetention and appends one if a home is no longer
+// a target of the service. Homes that are still targets stay homes.
 func NextEpochs(s *Service, targets []Target, i Idempotency, now time.Time) []HomeEpoch {
 	epochs := slices.Clone(s.Epochs)
 	for len(epochs) > 1 && now.Sub(epochs[1].Since) > i.EpochRetention() {
@@ -38,40 +40,40 @@
 	return append(epochs, HomeEpoch{Number: last.Number + 1, Since: now, Homes: homes})
 }
 
-// nextHomes keeps the homes that are still targets and fills up from the data
-// centres that hold the fewest of them.
+// nextHomes keeps the homes that are still targets and adds targets from the
+// data centres with the fewest homes.
 func nextHomes(service btid.Service, old []btid.Target, targets []Target) []btid.Target {
-	centre := map[btid.Target]btid.DataCentre{}
+	centreOf := map[btid.Target]btid.DataCentre{}
 	var names []btid.Target
 	for _, t := range targets {
 		if t.Service == service {
-			centre[t.Name] = t.DataCentre
+			centreOf[t.Name] = t.DataCentre
 			names = append(names, t.Name)
 		}
 	}
 	var homes []btid.Target
-	held := map[btid.DataCentre]int{}
+	homesIn := map[btid.DataCentre]int{}
 	for _, home := range old {
-		if at, ok := centre[home]; ok {
+		if at, ok := centreOf[home]; ok {
 			homes = append(homes, home)
-			held[at]++
+			homesIn[at]++
 		}
 	}
-	spare := slices.DeleteFunc(btrendezvous.Order(string(service), names), func(t btid.Target) bool {
+	candidates := slices.DeleteFunc(btrendezvous.Order(string(service), names), func(t btid.Target) bool {
 		return slices.Contains(homes, t)
 	})
-	for len(homes) < homeCount(len(old), len(names)) {
-		best := slices.MinFunc(spare, func(a, b btid.Target) int { return held[centre[a]] - held[centre[b]] })
+	for len(homes) < homeSetSize(len(old), len(names)) {
+		best := slices.MinFunc(candidates, func(a, b btid.Target) int { return homesIn[centreOf[a]] - homesIn[centreOf[b]] })
 		homes = append(homes, best)
-		held[centre[best]]++
-		spare = slices.DeleteFunc(spare, func(t btid.Target) bool { return t == best })
+		homesIn[centreOf[best]]++
+		candidates = slices.DeleteFunc(candidates, func(t btid.Target) bool { return t == best })
 	}
 	return homes
 }
 
-// homeCount returns how many homes to list: as many as before, or the largest
-// odd number up to MaxHomes that the targets allow.
-func homeCount(before, targets int) int {
+// homeSetSize returns how many homes to list: as many as before, or else the
+// largest odd number up to MaxHomes for which there are targets.
+func homeSetSize(before, targets int) int {
 	if before > 0 {
 		return min(before, targets)
 	}
@@ -82,26 +84,26 @@
 	return count
 }
 
-// NextDestroyed returns the destroyed targets as the version after the parent
-// lists them, whose services list the epochs: those of the draft but for the
-// homes of epochs that are left out now, and the parent's homes on hosts that
-// the draft lists as destroyed, unless the draft lists them elsewhere.
+// NextDestroyed returns the destroyed targets as the version after parent lists
+// them; epochs are those that it will list. It drops the homes that no epoch
+// names any more, and adds the parent's homes on hosts that the draft lists as
+// destroyed, unless the draft lists the home as a target.
 func NextDestroyed(parent, draft *Bundle, epochs []HomeEpoch) []btid.Target {
-	remembered := map[btid.Target]bool{}
+	listedHome := map[btid.Target]bool{}
 	for _, e := range epochs {
 		for _, home := range e.Homes {
-			remembered[home] = true
+			listedHome[home] = true
 		}
 	}
-	named := listedHomes(draft)
+	draftHomes := listedHomes(draft)
 	next := slices.DeleteFunc(slices.Clone(draft.DestroyedTargets), func(t btid.Target) bool {
-		_, home := named[t]
-		return home && !remembered[t]
+		_, isHome := draftHomes[t]
+		return isHome && !listedHome[t]
 	})
-	listed := byName(draft.Targets, func(t *Target) btid.Target { return t.Name })
+	draftTargets := byName(draft.Targets, func(t *Target) btid.Target { return t.Name })
 	for _, t := range parent.Targets {
-		lost := slices.Contains(draft.DestroyedHosts, t.Host) && listed[t.Name] == nil
-		if lost && remembered[t.Name] && !slices.Contains(next, t.Name) {
+		lost := slices.Contains(draft.DestroyedHosts, t.Host) && draftTargets[t.Name] == nil
+		if lost && listedHome[t.Name] && !slices.Contains(next, t.Name) {
 			next = append(next, t.Name)
 		}
 	}
--- a/core/btbundle/successor_test.go
+++ b/core/btbundle/successor_test.go
@@ -21,8 +21,8 @@
 	return b
 }
 
-// fourth is a target that may stand in for one that goes.
-const fourth = `[[targets]]
+// fourthTarget is a target that can replace a removed one.
+const fourthTarget = `[[targets]]
 name = "t4"
 service = "lookup"
 host = "h4"
@@ -34,22 +34,25 @@
 
 `
 
-// replaced is the small bundle with target t2 replaced by t4.
-func replaced() string {
-	text := edited("[[accounts]]", fourth+"[[accounts]]")
+// replacedTarget returns the minimal bundle with target t2 replaced by t4.
+func replacedTarget() string {
+	text := edited("[[accounts]]", fourthTarget+"[[accounts]]")
 	at := strings.Index(text, "[[targets]]\nname = \"t2\"")
 	end := strings.Index(text, "[[targets]]\nname = \"t3\"")
 	return text[:at] + text[end:]
 }
 
+// TestDraftAppendsAndPrunesEpochs guards against epochs that are dropped before
+// their retention has passed or whose homes are edited: keys that they granted
+// could be granted again.
 func TestDraftAppendsAndPrunesEpochs(t *testing.T) {
 	now := start.Add(time.Hour)
-	second, err := btdraft.Next([]byte(small), []byte(replaced()), now)
+	second, err := btdraft.Next([]byte(minimalBundle), []byte(replacedTarget()), now)
 	assert.NilError(t, err)
-	old := decode(t, []byte(small))
+	old := decode(t, []byte(minimalBundle))
 	next := decode(t, second)
 	assert.Equal(t, next.Version, btid.BundleVersion(2))
-	assert.Equal(t, next.Parent, btbundle.DigestOf([]byte(small)))
+	assert.Equal(t, next.Parent, btbundle.DigestOf([]byte(minimalBundle)))
 	assert.Assert(t, next.Created.Equal(now))
 	assert.Equal(t, len(next.Services[0].Epochs), 2)
 	assert.DeepEqual(t, next.Services[0].CurrentEpoch().Homes, []btid.Target{"t1", "t3", "t4"})
@@ -58,44 +61,48 @@
 	memory := next.Idempotency.EpochRetention()
 	third, err := btdraft.Next(second, second, now.Add(memory))
 	assert.NilError(t, err)
-	assert.Equal(t, len(decode(t, third).Services[0].Epochs), 2, "still remembered")
+	assert.Equal(t, len(decode(t, third).Services[0].Epochs), 2, "still within the retention")
 	third, err = btdraft.Next(second, second, now.Add(memory+time.Second))
 	assert.NilError(t, err)
 	assert.Equal(t, len(decode(t, third).Services[0].Epochs), 1)
 	assert.Equal(t, len(btbundle.CheckSuccessor(next, btbundle.DigestOf(second), decode(t, third))), 0)
 
-	hasty := strings.Replace(string(third), now.Add(memory+time.Second).Format(time.RFC3339), now.Format(time.RFC3339), 1)
-	problems := btbundle.CheckSuccessor(next, btbundle.DigestOf(second), decode(t, []byte(hasty)))
+	tooEarly := strings.Replace(string(third), now.Add(memory+time.Second).Format(time.RFC3339), now.Format(time.RFC3339), 1)
+	problems := btbundle.CheckSuccessor(next, btbundle.DigestOf(second), decode(t, []byte(tooEarly)))
 	assert.Assert(t, cmp.Contains(problems.Error(), "epoch 1 is left out"))
 	edited := strings.Replace(string(second), `homes = ["t1", "t2", "t3"]`, `homes = ["t1"]`, 1)
-	problems = btbundle.CheckSuccessor(old, btbundle.DigestOf([]byte(small)), decode(t, []byte(edited)))
+	problems = btbundle.CheckSuccessor(old, btbundle.DigestOf([]byte(minimalBundle)), decode(t, []byte(edited)))
 	assert.Assert(t, cmp.Contains(problems.Error(), "epoch 1 has other homes"))
 }
 
-// lostHost is the small bundle without t2, whose host is destroyed.
-func lostHost() string { return "destroyed_hosts = [\"h2\"]\n" + replaced() }
+// destroyedHost returns the minimal bundle with target t2 replaced by t4 and
+// t2's host listed as destroyed.
+func destroyedHost() string { return "destroyed_hosts = [\"h2\"]\n" + replacedTarget() }
 
+// TestSuccessorKeepsKeyHomes guards against a next version that lets a key be
+// granted twice: by a home that returns under its name elsewhere, by voters
+// that disagree on the destroyed homes, or by a smaller clock error.
 func TestSuccessorKeepsKeyHomes(t *testing.T) {
 	next := func(parent, text string) string {
 		draft, err := btdraft.Next([]byte(parent), []byte(text), start.Add(time.Hour))
 		assert.NilError(t, err)
 		return string(draft)
 	}
-	lost := next(small, lostHost())
+	lost := next(minimalBundle, destroyedHost())
 	assert.Assert(t, cmp.Contains(lost, `destroyed_targets = ["t2"]`))
-	removed := next(small, replaced())
-	readded := strings.Replace(removed, "[[accounts]]", strings.ReplaceAll(fourth, "4\"", "2\"")+"[[accounts]]", 1)
+	removed := next(minimalBundle, replacedTarget())
+	readded := strings.Replace(removed, "[[accounts]]", strings.ReplaceAll(fourthTarget, "4\"", "2\"")+"[[accounts]]", 1)
 	tests := []struct{ parent, text, old, replacement, want string }{
-		{small, lost, "", "", ""},
-		{small, next(small, small), "", "", ""},
-		{small, lost, `destroyed_targets = ["t2"]`, ``, `line 1: destroyed_hosts[0]: target "t2" stood on host "h2" and is a key home of epoch 1 of service lookup: add it to destroyed_targets`},
+		{minimalBundle, lost, "", "", ""},
+		{minimalBundle, next(minimalBundle, minimalBundle), "", "", ""},
+		{minimalBundle, lost, `destroyed_targets = ["t2"]`, ``, `line 1: destroyed_hosts[0]: target "t2" stood on host "h2" and is a key home of epoch 1 of service lookup: add it to destroyed_targets`},
 		{lost, next(lost, lost), `destroyed_targets = ["t2"]`, ``, `destroyed_targets: "t2" must stay until epoch 1 of service lookup`},
 		{removed, next(removed, readded), "", "", `targets[3].name: "t2" is a key home of epoch 1 of service lookup that the parent doesn't list`},
-		{small, next(small, small), `host = "h2"`, `host = "h9"`, `line 67: targets[1].host: becomes h9, was h2, but target "t2" is a key home of epoch 1 of service lookup: give what runs there a new name`},
-		{small, next(small, small), `7102`, `7109`, `targets[1].address: becomes 127.0.0.1:7109, was 127.0.0.1:7102`},
-		{small, next(small, small), `7202`, `7209`, ``},
-		{small, next(small, small), `clock_error = "1s"`, `clock_error = "900ms"`, `line 14: idempotency.clock_error: 900ms is under the parent's, which is 1s`},
-		{small, next(small, small), `clock_error = "1s"`, `clock_error = "1100ms"`, ``},
+		{minimalBundle, next(minimalBundle, minimalBundle), `host = "h2"`, `host = "h9"`, `line 67: targets[1].host: becomes h9, was h2, but target "t2" is a key home of epoch 1 of service lookup: give what runs there a new name`},
+		{minimalBundle, next(minimalBundle, minimalBundle), `7102`, `7109`, `targets[1].address: becomes 127.0.0.1:7109, was 127.0.0.1:7102`},
+		{minimalBundle, next(minimalBundle, minimalBundle), `7202`, `7209`, ``},
+		{minimalBundle, next(minimalBundle, minimalBundle), `clock_error = "1s"`, `clock_error = "900ms"`, `line 14: idempotency.clock_error: 900ms is under the parent's, which is 1s`},
+		{minimalBundle, next(minimalBundle, minimalBundle), `clock_error = "1s"`, `clock_error = "1100ms"`, ``},
 	}
 	for _, test := range tests {
 		t.Run(test.replacement+test.want, func(t *testing.T) {
@@ -107,20 +114,22 @@
 	}
 	later, err := btdraft.Next([]byte(lost), []byte(lost), start.Add(100*time.Hour))
 	assert.NilError(t, err)
-	assert.Assert(t, cmp.Contains(string(later), `destroyed_targets = []`), "left out with its epoch")
+	assert.Assert(t, cmp.Contains(string(later), `destroyed_targets = []`), "dropped with its epoch")
 }
 
-func TestDraftKeepsEverythingElse(t *testing.T) {
+// TestDraftPreservesOtherText guards against edits of a draft that change lines
+// other than version, parent, time and epochs.
+func TestDraftPreservesOtherText(t *testing.T) {
 	const blocks = "[[services.epochs]]\nnumber = 1\nsince = 2026-01-31T12:00:00Z\nhomes = [\"t1\", \"t2\", \"t3\"]\n"
-	inline := strings.Replace(replaced(), "\n"+blocks, "epochs = [ # homes\n{number = 1, since = 2026-01-31T12:00:00Z, homes = [\"t1\", \"t2\", \"t3\"]}]\n", 1)
+	inline := strings.Replace(replacedTarget(), "\n"+blocks, "epochs = [ # homes\n{number = 1, since = 2026-01-31T12:00:00Z, homes = [\"t1\", \"t2\", \"t3\"]}]\n", 1)
 	for name, draft := range map[string]string{
-		"tables":  "# first line\n" + strings.Replace(replaced(), "slots = 4", "slots = 4 # four", 1),
+		"tables":  "# first line\n" + strings.Replace(replacedTarget(), "slots = 4", "slots = 4 # four", 1),
 		"inline":  inline,
 		"missing": strings.Replace(edited(blocks, ""), "version = 1\ncreated = 2026-01-31T12:00:00Z\n", "# nothing stamped\n", 1),
-		"no end":  strings.TrimSuffix(small, "\n"),
+		"no end":  strings.TrimSuffix(minimalBundle, "\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			next, err := btdraft.Next([]byte(small), []byte(draft), start.Add(time.Hour))
+			next, err := btdraft.Next([]byte(minimalBundle), []byte(draft), start.Add(time.Hour))
 			assert.NilError(t, err)
 			kept := 0
 			for line := range strings.Lines(draft) {
@@ -133,16 +142,16 @@
 			assert.Equal(t, decode(t, next).Version, btid.BundleVersion(2))
 		})
 	}
-	_, err := btdraft.Next([]byte(small), []byte("colour = 1\n"), start)
+	_, err := btdraft.Next([]byte(minimalBundle), []byte("colour = 1\n"), start)
 	assert.ErrorContains(t, err, "line 1: colour: unknown key")
-	first, err := btdraft.Next(nil, []byte(small), start)
+	first, err := btdraft.Next(nil, []byte(minimalBundle), start)
 	assert.NilError(t, err)
-	assert.Equal(t, string(first), small)
+	assert.Equal(t, string(first), minimalBundle)
 }
 
-func TestDiffSpeaksInOutcomes(t *testing.T) {
-	old := decode(t, []byte(small))
-	second, err := btdraft.Next([]byte(small), []byte(lostHost()), start)
+func TestDiffDescribesEffects(t *testing.T) {
+	old := decode(t, []byte(minimalBundle))
+	second, err := btdraft.Next([]byte(minimalBundle), []byte(destroyedHost()), start)
 	assert.NilError(t, err)
 	text := strings.Replace(string(second), "rate = 10.0", "rate = 20.0", 1)
 	text = strings.Replace(text, `budget_share = 0.2`, `budget_share = 0.1`, 1)
@@ -164,7 +173,10 @@
 	assert.Equal(t, len(btbundle.Diff(old, old)), 1, "the version must grow")
 }
 
-func TestReaderPolicyBoundsReadersAndFailsOver(t *testing.T) {
+// TestReaderPolicyFailover guards against a service that nobody reads when its
+// readers fail, and against more than MaxCount readers when the service itself
+// fails.
+func TestReaderPolicyFailover(t *testing.T) {
 	policy := btbundle.DefaultReaderPolicy()
 	readers := func(after time.Duration, lastRead func(i int) time.Time) int {
 		var members []btbundle.Reader
@@ -182,8 +194,8 @@
 	never := func(int) time.Time { return time.Time{} }
 	recent := func(int) time.Time { return start.Add(time.Hour) }
 	assert.Equal(t, readers(0, never), policy.Count)
-	assert.Equal(t, readers(policy.FailoverTimeout, never), policy.Count+1, "one steps in")
-	assert.Equal(t, readers(time.Hour, never), policy.MaxCount, "bounded however long the service is silent")
+	assert.Equal(t, readers(policy.FailoverTimeout, never), policy.Count+1, "one standby takes over")
+	assert.Equal(t, readers(time.Hour, never), policy.MaxCount, "bounded however long reads fail")
 	assert.Equal(t, readers(time.Hour, recent), policy.Count)
 	assert.Assert(t, !policy.ShouldRead(start, start, "agent/stranger", nil))
 }
