--- a/core/btannounce/btannounce.go
+++ b/core/btannounce/btannounce.go
@@ -1,5 +1,5 @@
-// Package btannounce holds the messages by which processes tell each other
-// which bundle they have in force, and hand it on.
+// Package btannounce defines the messages with which processes announce the
+// bundle that they have in force and pass it on.
 package btannounce
 
 import (
@@ -13,29 +13,31 @@
 // ErrMessage is wrapped by the error of every malformed message.
 var ErrMessage = errors.New("malformed announcement")
 
-// MaxReads is how many reads of the configuration service one announcement
-// tells of.
+// MaxReads is the largest number of reads of the configuration service in one
+// announcement.
 const MaxReads = 4
 
-// Read tells when a process last read the configuration service with success.
+// Read is the last successful read of the configuration service by a process.
 type Read struct {
 	Reader btbundle.Peer `cbor:"reader" json:"reader"`
-	// Age is how long ago that was when the announcement was made, so that no
-	// two clocks are compared.
+	// Age is how long before the announcement the read took place. Unlike a
+	// time, it needs no comparison of two clocks.
 	Age time.Duration `cbor:"age" json:"age"`
 }
 
-// Announcement says what a process has in force, and is asked for with one.
+// Announcement carries the revision that a process has in force. It is also the
+// request for the receiver's announcement.
 type Announcement struct {
 	Revision btbundle.Revision `cbor:"order" json:"order"`
 	// Reads are the latest reads of the service that the sender knows of, its
-	// own and others', newest first.
+	// own and those of others, newest first.
 	Reads []Read `cbor:"reads,omitempty" json:"reads"`
-	// HostLeaving tells an agent that the platform's list calls its host leaving.
+	// HostLeaving tells an agent that its host is leaving by the platform's
+	// list.
 	HostLeaving bool `cbor:"host_leaving,omitempty" json:"host_leaving"`
 }
 
-// Validate reports an announcement that no process could make.
+// Validate returns an error for an announcement that no process sends.
 func (a Announcement) Validate() error {
 	if err := a.Revision.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMessage, err)
@@ -51,12 +53,12 @@
 	return nil
 }
 
-// Ask asks for the signed file of the bundle in force.
+// Ask requests the signed file of the bundle in force.
 type Ask struct {
 	Revision btbundle.Revision `cbor:"order" json:"order"`
 }
 
-// Validate reports an ask for nothing.
+// Validate returns an error for a malformed revision.
 func (a Ask) Validate() error {
 	if err := a.Revision.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMessage, err)
--- a/core/btannounce/btannounce_test.go
+++ b/core/btannounce/btannounce_test.go
@@ -13,7 +13,7 @@
 	"bilberrytide/core/btbundle"
 )
 
-func TestFileArrivesAsItWas(t *testing.T) {
+func TestFileRoundTrip(t *testing.T) {
 	raw := bytes.Repeat([]byte("slots = 8\n"), 500)
 	packed := btannounce.Pack(raw)
 	assert.NilError(t, packed.Validate())
@@ -27,19 +27,21 @@
 	assert.Equal(t, len(none), 0)
 }
 
-func TestFileIsBounded(t *testing.T) {
-	var bomb bytes.Buffer
-	w := gzip.NewWriter(&bomb)
+// TestUnpackRejectsBadFiles guards against a peer that sends a small file which
+// expands beyond the size limit, a truncated file or one that isn't compressed.
+func TestUnpackRejectsBadFiles(t *testing.T) {
+	var oversized bytes.Buffer
+	w := gzip.NewWriter(&oversized)
 	_, err := w.Write(make([]byte, btbundle.MaxBytes+1))
 	assert.NilError(t, err)
 	assert.NilError(t, w.Close())
-	for _, data := range [][]byte{bomb.Bytes(), bomb.Bytes()[:bomb.Len()/2], []byte("plain text")} {
+	for _, data := range [][]byte{oversized.Bytes(), oversized.Bytes()[:oversized.Len()/2], []byte("plain text")} {
 		_, err := btannounce.File{Gzip: data}.Unpack()
 		assert.ErrorIs(t, err, btannounce.ErrMessage)
 	}
 }
 
-func TestAnnouncementIsChecked(t *testing.T) {
+func TestAnnouncementValidate(t *testing.T) {
 	read := btannounce.Read{Reader: "entry/e1", Age: time.Second}
 	assert.NilError(t, btannounce.Announcement{Reads: []btannounce.Read{read}}.Validate())
 	for _, reads := range [][]btannounce.Read{
@@ -59,8 +61,8 @@
 	// <nil>
 }
 
-// BenchmarkPack reports what one fetch of a bundle of 830 targets, 380 entries
-// and 690 accounts costs.
+// BenchmarkPack measures the compression of a bundle of 830 targets, 380
+// entries and 690 client accounts for a fetch.
 func BenchmarkPack(b *testing.B) {
 	var draft bytes.Buffer
 	for i := range 830 {
--- a/core/btannounce/file.go
+++ b/core/btannounce/file.go
@@ -9,13 +9,13 @@
 	"bilberrytide/core/btbundle"
 )
 
-// File carries the signed file that is in force at the sender, compressed;
-// empty where nothing is. Its signatures, not the sender, vouch for it.
+// File is the compressed signed file of the bundle in force at the sender;
+// empty if none is. Its signatures vouch for it, not the sender.
 type File struct {
 	Gzip []byte `cbor:"gzip" json:"-"`
 }
 
-// Pack compresses a signed file. The same bytes always give the same file.
+// Pack compresses a signed file. Equal input always gives equal output.
 func Pack(raw []byte) File {
 	if len(raw) == 0 {
 		return File{}
@@ -23,18 +23,18 @@
 	var packed bytes.Buffer
 	w, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
 	if err != nil {
-		// The level is a constant of the library.
+		// Only an invalid level gives an error.
 		panic(err)
 	}
-	// A buffer takes every byte.
+	// Writes to a bytes.Buffer never fail.
 	_, _ = w.Write(raw)
 	_ = w.Close()
 	return File{Gzip: packed.Bytes()}
 }
 
-// Unpack returns the signed file; nil for an empty one. It stops at the largest
-// size that a bundle with its signatures has, whatever the bytes claim. The
-// error wraps ErrMessage.
+// Unpack returns the signed file; nil for an empty one. It stops expanding and
+// fails beyond btbundle.MaxBytes, the largest size of a signed file. The error
+// wraps ErrMessage.
 func (f File) Unpack() ([]byte, error) {
 	if len(f.Gzip) == 0 {
 		return nil, nil
@@ -53,7 +53,7 @@
 	return raw, nil
 }
 
-// Validate reports a file that is larger than any bundle with its signatures.
+// Validate returns an error for a file larger than any signed bundle.
 func (f File) Validate() error {
 	if len(f.Gzip) > btbundle.MaxBytes {
 		return fmt.Errorf("%w: file of %d bytes, at most %d", ErrMessage, len(f.Gzip), btbundle.MaxBytes)
--- a/core/btannounce/fuzz_test.go
+++ b/core/btannounce/fuzz_test.go
@@ -11,14 +11,14 @@
 	"bilberrytide/core/btbundle"
 )
 
-// FuzzMessages decodes any bytes as each message: they give an error, or a
-// message that stays valid when it is sent on.
+// FuzzMessages decodes any bytes as each kind of message: the result is an
+// error or a message that stays valid when it is encoded and decoded again.
 func FuzzMessages(f *testing.F) {
-	order := btbundle.Revision{Version: 3, Digest: btbundle.DigestOf([]byte("x"))}
+	revision := btbundle.Revision{Version: 3, Digest: btbundle.DigestOf([]byte("x"))}
 	for _, seed := range []any{
-		btannounce.Announcement{Revision: order, Reads: []btannounce.Read{{Reader: "entry/e1", Age: time.Second}}},
+		btannounce.Announcement{Revision: revision, Reads: []btannounce.Read{{Reader: "entry/e1", Age: time.Second}}},
 		btannounce.Announcement{Reads: make([]btannounce.Read, btannounce.MaxReads+1)},
-		btannounce.Ask{Revision: order},
+		btannounce.Ask{Revision: revision},
 		btannounce.Pack([]byte("version = 1\n")),
 	} {
 		data, err := cbor.Marshal(seed)
@@ -27,9 +27,9 @@
 		f.Add(data[:len(data)/2])
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		sentOn[btannounce.Announcement](t, data)
-		sentOn[btannounce.Ask](t, data)
-		sentOn[btannounce.File](t, data)
+		checkReencoded[btannounce.Announcement](t, data)
+		checkReencoded[btannounce.Ask](t, data)
+		checkReencoded[btannounce.File](t, data)
 		var file btannounce.File
 		if cbor.Unmarshal(data, &file) == nil && file.Validate() == nil {
 			raw, err := file.Unpack()
@@ -38,7 +38,7 @@
 	})
 }
 
-func sentOn[M interface{ Validate() error }](t *testing.T, data []byte) {
+func checkReencoded[M interface{ Validate() error }](t *testing.T, data []byte) {
 	var first, second M
 	if cbor.Unmarshal(data, &first) != nil || first.Validate() != nil {
 		return
