--- a/core/btreader/btreader.go
+++ b/core/btreader/btreader.go
@@ -1,9 +1,10 @@
-// Package btreader decides which processes read the configuration service, so
-// that its calls stay bounded whatever the fleet's size.
+// Package btreader selects the processes that read the configuration service,
+// so that the number of its calls doesn't grow with the fleet.
 //
-// In each data centre a few entries read, in turns by btbundle.ReaderPolicy; all
-// other processes hear from peers. Nobody relies on that without limit: a
-// process that hears of no read, or of nobody, for a while reads by itself.
+// In each data centre a few entries read, selected by btbundle.ReaderPolicy;
+// all other processes learn of bundles from peers. This dependence is limited
+// in time: a process that learns of no read, or hears from no peer, for a while
+// reads by itself.
 package btreader
 
 import (
@@ -17,84 +18,89 @@
 )
 
 const (
-	// WatchTimeout is how long one call waits at the service. It lies below the
-	// readers' silence limit, so that a reader that waits is not taken for dead.
+	// WatchTimeout is how long one call waits at the service. It is below
+	// FailoverTimeout, so that a reader that waits is not considered failed.
 	WatchTimeout = 2 * time.Second
-	// FailoverTimeout is how long the readers' last read may lie back before the next
-	// entry steps in: a waiting call, and the news of it on its way.
+	// FailoverTimeout is how long ago the readers' last read may be before the
+	// next entry takes over: the length of a waiting call, and the time in
+	// which its announcement arrives.
 	FailoverTimeout = 5 * time.Second
-	// IsolationTimeout is how long a process that hears of nobody's read, or of
-	// nobody, relies on others, before its random part of IsolationJitter.
+	// IsolationTimeout is how long a process that learns of no read, or hears
+	// from no peer, relies on others; a random part of IsolationJitter is
+	// added.
 	IsolationTimeout = 15 * time.Second
-	// IsolationJitter is the largest random wait that each process adds, so that a
-	// fleet that lost its readers does not come at once.
+	// IsolationJitter is the largest random wait that each process adds, so
+	// that a fleet that has lost its readers doesn't call the service all at
+	// once.
 	IsolationJitter = 10 * time.Second
-	// BootstrapTimeout is how long a process with nothing in force waits for its seeds
-	// before it reads the service itself, plus a random part of IsolationJitter.
+	// BootstrapTimeout is how long a process with nothing in force waits for
+	// its seeds before it reads the service itself; a random part of
+	// IsolationJitter is added.
 	BootstrapTimeout = 5 * time.Second
 )
 
-// Selector is what one process knows of who reads. It is not safe for concurrent
-// use.
+// Selector decides whether one process reads the configuration service. It is
+// not safe for concurrent use.
 type Selector struct {
 	self    btbundle.Peer
 	seeds   []btbundle.Peer
 	started time.Time
 	policy  btbundle.ReaderPolicy
-	// jitter is this incarnation's part of IsolationJitter.
+	// jitter is this process's part of IsolationJitter, drawn once at its
+	// start.
 	jitter time.Duration
-	// heard is when a peer with a bundle last announced anything.
-	heard time.Time
-	// reads is when others of this data centre last read the service.
-	reads map[btbundle.Peer]time.Time
+	// lastAnnouncement is when a peer with a bundle in force last announced it.
+	lastAnnouncement time.Time
+	// peerReads holds when other processes of this data centre last read the
+	// service.
+	peerReads map[btbundle.Peer]time.Time
 }
 
-// New returns the turns of a process that starts now; seeds are the entries
+// New returns the selector of a process that starts now; seeds are the entries
 // that it asks while nothing is in force.
 func New(self btbundle.Peer, seeds []btbundle.Peer, now time.Time, random *rand.Rand) *Selector {
 	policy := btbundle.DefaultReaderPolicy()
 	policy.FailoverTimeout = FailoverTimeout
 	return &Selector{
-		self:    self,
-		seeds:   seeds,
-		started: now,
-		policy:  policy,
-		jitter:  time.Duration(random.Int64N(int64(IsolationJitter))),
-		reads:   map[btbundle.Peer]time.Time{},
+		self:      self,
+		seeds:     seeds,
+		started:   now,
+		policy:    policy,
+		jitter:    time.Duration(random.Int64N(int64(IsolationJitter))),
+		peerReads: map[btbundle.Peer]time.Time{},
 	}
 }
 
-// Observe notes what a peer announced.
-func (t *Selector) Observe(now time.Time, a btannounce.Announcement) {
+// Observe records the announcement of a peer.
+func (s *Selector) Observe(now time.Time, a btannounce.Announcement) {
 	if a.Revision.Version > 0 {
-		t.heard = now
+		s.lastAnnouncement = now
 	}
 	for _, read := range a.Reads {
 		at := now.Add(-read.Age)
-		if read.Reader != t.self && at.After(t.reads[read.Reader]) {
-			t.reads[read.Reader] = at
+		if read.Reader != s.self && at.After(s.peerReads[read.Reader]) {
+			s.peerReads[read.Reader] = at
 		}
 	}
 }
 
-// Retain forgets the reads of processes that are none of the entries of the data
-// centre.
-func (t *Selector) Retain(entries []btbundle.Peer) {
-	for name := range t.reads {
+// Retain drops the reads of all processes but the entries of the data centre.
+func (s *Selector) Retain(entries []btbundle.Peer) {
+	for name := range s.peerReads {
 		if !slices.Contains(entries, name) {
-			delete(t.reads, name)
+			delete(s.peerReads, name)
 		}
 	}
 }
 
-// RecentReads returns the newest reads known, newest first; own is this process's,
-// zero for none.
-func (t *Selector) RecentReads(now, own time.Time) []btannounce.Read {
+// RecentReads returns the newest known reads, newest first, at most
+// btannounce.MaxReads. Own is when this process last read, zero for never.
+func (s *Selector) RecentReads(now, own time.Time) []btannounce.Read {
 	var reads []btannounce.Read
 	if !own.IsZero() {
-		reads = append(reads, btannounce.Read{Reader: t.self, Age: max(0, now.Sub(own))})
+		reads = append(reads, btannounce.Read{Reader: s.self, Age: max(0, now.Sub(own))})
 	}
-	for name, at := range t.reads {
+	for name, at := range s.peerReads {
 		if age := max(0, now.Sub(at)); age < IsolationTimeout {
 			reads = append(reads, btannounce.Read{Reader: name, Age: age})
 		}
@@ -105,57 +111,58 @@
 	return reads[:min(len(reads), btannounce.MaxReads)]
 }
 
-// ShouldRead tells whether this process reads the service now. Entries are those of
-// its data centre, itself included where the bundle lists it; nil while nothing
-// is in force. Own is when it last read, zero for never.
-func (t *Selector) ShouldRead(now time.Time, entries []btbundle.Peer, own time.Time) bool {
+// ShouldRead reports whether this process reads the service now. Entries are
+// those of its data centre, itself included if the bundle lists it; nil while
+// nothing is in force. Own is when it last read, zero for never.
+func (s *Selector) ShouldRead(now time.Time, entries []btbundle.Peer, own time.Time) bool {
 	if entries == nil {
-		return t.boot(now, own)
+		return s.shouldBootstrap(now, own)
 	}
-	if !slices.Contains(entries, t.self) {
-		return now.Sub(later(t.started, t.heard)) > IsolationTimeout+t.jitter
+	if !slices.Contains(entries, s.self) {
+		return now.Sub(later(s.started, s.lastAnnouncement)) > IsolationTimeout+s.jitter
 	}
-	return t.byPolicy(now, entries, own) || t.lastResort(now, entries)
+	return s.selectedByPolicy(now, entries, own) || s.readersUnreachable(now, entries)
 }
 
-// boot decides for a process with nothing in force. Without seeds it knows of
-// no other source. With them, the seeds read, and the others only when these
-// give no bundle.
-func (t *Selector) boot(now, own time.Time) bool {
-	if len(t.seeds) == 0 {
+// shouldBootstrap decides for a process with nothing in force. Without seeds,
+// the service is the only source. With seeds, the seeds read first; the others
+// read only if these provide no bundle in time.
+func (s *Selector) shouldBootstrap(now, own time.Time) bool {
+	if len(s.seeds) == 0 {
 		return true
 	}
-	if slices.Contains(t.seeds, t.self) && t.byPolicy(now, t.seeds, own) {
+	if slices.Contains(s.seeds, s.self) && s.selectedByPolicy(now, s.seeds, own) {
 		return true
 	}
-	return now.Sub(t.started) > BootstrapTimeout+t.jitter
+	return now.Sub(s.started) > BootstrapTimeout+s.jitter
 }
 
-func (t *Selector) byPolicy(now time.Time, entries []btbundle.Peer, own time.Time) bool {
+// selectedByPolicy applies the reader policy to the given entries.
+func (s *Selector) selectedByPolicy(now time.Time, entries []btbundle.Peer, own time.Time) bool {
 	members := make([]btbundle.Reader, 0, len(entries))
 	for _, name := range entries {
-		read := t.reads[name]
-		if name == t.self {
+		read := s.peerReads[name]
+		if name == s.self {
 			read = own
 		}
 		members = append(members, btbundle.Reader{Name: name, LastRead: read})
 	}
-	return t.policy.ShouldRead(now, t.started, t.self, members)
+	return s.policy.ShouldRead(now, s.started, s.self, members)
 }
 
-// lastResort has any entry read when all of those before it have been silent
-// for long: the policy alone would have the service unread once the few that
-// may step in are dead.
-func (t *Selector) lastResort(now time.Time, entries []btbundle.Peer) bool {
-	limit := IsolationTimeout + t.jitter
-	if now.Sub(t.started) <= limit {
+// readersUnreachable reports whether all entries ranked before this one have
+// read nothing for a long time. Without it, nobody would read the service once
+// the few entries that the policy lets take over have failed.
+func (s *Selector) readersUnreachable(now time.Time, entries []btbundle.Peer) bool {
+	limit := IsolationTimeout + s.jitter
+	if now.Sub(s.started) <= limit {
 		return false
 	}
 	for _, name := range btbundle.ReaderOrder(entries) {
-		if name == t.self {
+		if name == s.self {
 			return true
 		}
-		if now.Sub(t.reads[name]) <= limit {
+		if now.Sub(s.peerReads[name]) <= limit {
 			return false
 		}
 	}
