--- a/core/btbundle/reader.go
+++ b/core/btbundle/reader.go
@@ -25,7 +25,8 @@
 	FailoverTimeout time.Duration
 }
 
-// DefaultReaderPolicy returns the policy that processes use.
+// DefaultReaderPolicy returns the default policy. Package btreader uses it with
+// a longer FailoverTimeout, as its readers wait for changes in each call.
 func DefaultReaderPolicy() ReaderPolicy {
 	return ReaderPolicy{Count: 2, MaxCount: 4, FailoverTimeout: 3 * time.Second}
 }
--- a/core/btbundle/successor.go
+++ b/core/btbundle/successor.go
@@ -85,9 +85,10 @@
 }
 
 // NextDestroyed returns the destroyed targets as the version after parent lists
-// them; epochs are those that it will list. It drops the homes that no epoch
-// names any more, and adds the parent's homes on hosts that the draft lists as
-// destroyed, unless the draft lists the home as a target.
+// them; epochs are those that it will list. It drops the homes that only epochs
+// of the draft name that are left out now, and adds the parent's homes on hosts
+// that the draft lists as destroyed, unless the draft lists the home as a
+// target.
 func NextDestroyed(parent, draft *Bundle, epochs []HomeEpoch) []btid.Target {
 	listedHome := map[btid.Target]bool{}
 	for _, e := range epochs {
