--- a/core/btinventory/adopt.go
+++ b/core/btinventory/adopt.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Adopt takes in the whole list of another register, which has already given
+// ReplaceFromPeer takes in the whole list of another register, which has already given
 // missing targets their grace: what it lacks is gone. A record that this register
 // has dropped stays dropped, though the other one, whose reading was interrupted,
 // still gives it its grace. Without this a target that had left got seven requests
 // more than three seconds after its leaving was listed.
-func (r *Register) Adopt(now time.Time, list []Target) []Change {
+func (r *Registry) ReplaceFromPeer(now time.Time, list []Target) []Change {
 	changes := r.Expire(now)
 	listed := make(map[ID]bool, len(list))
 	for _, t := range list {
@@ -32,9 +32,9 @@
 // putTold takes in a record that another register has. If it is the very one that is
 // missing here, the other gives it its grace too: two of them would clear each other's doubt
 // for good.
-func (r *Register) putTold(t Target) []Change {
+func (r *Registry) putTold(t Target) []Change {
 	var until time.Time
-	if rec, found := r.records[t.ID]; found && rec.target.Start == t.Start && t.Since <= rec.target.Since {
+	if rec, found := r.records[t.ID]; found && rec.target.Start == t.Start && t.Created <= rec.target.Created {
 		until = rec.missingUntil
 	}
 	changes := r.Put(t)
--- a/core/btinventory/btinventory.go
+++ b/core/btinventory/btinventory.go
@@ -66,9 +66,9 @@
 	// Start tells this start of the target from another under the same ID; zero where
 	// the platform doesn't tell.
 	Start btid.Incarnation `json:"start,omitempty"`
-	// Since is the list's position at which the record was made; zero if the list
+	// Created is the list's position at which the record was made; zero if the list
 	// has none. Of two records with one address the later one is right.
-	Since Position `json:"since,omitempty"`
+	Created Position `json:"since,omitempty"`
 	// Member is set for ranks of a lock-step group.
 	Member *Member `json:"member,omitempty"`
 	// GroupBroken tells that the rank's group wasn't open when the record was written, a
@@ -169,8 +169,8 @@
 	Kept = "target_kept"
 )
 
-// Register keeps the listed targets. It is not safe for concurrent use.
-type Register struct {
+// Registry keeps the listed targets. It is not safe for concurrent use.
+type Registry struct {
 	grace       time.Duration
 	records     map[ID]*record
 	interrupted bool
@@ -189,17 +189,17 @@
 // the few seconds in which another register may still list them.
 const maxLeft = 1024
 
-// NewRegister returns an empty register. Grace is how long after an
+// NewRegistry returns an empty register. Grace is how long after an
 // interruption a target that vanished meanwhile is kept.
-func NewRegister(grace time.Duration) *Register {
-	return &Register{grace: grace, records: make(map[ID]*record), left: make(map[ID]Target)}
+func NewRegistry(grace time.Duration) *Registry {
+	return &Registry{grace: grace, records: make(map[ID]*record), left: make(map[ID]Target)}
 }
 
 // Interrupted notes that the list can't be read.
-func (r *Register) Interrupted() { r.interrupted = true }
+func (r *Registry) Interrupted() { r.interrupted = true }
 
-// Regained notes that the list is read again.
-func (r *Register) Regained(now time.Time) {
+// Resumed notes that the list is read again.
+func (r *Registry) Resumed(now time.Time) {
 	if r.interrupted {
 		r.interrupted = false
 		r.regained = now
@@ -212,14 +212,14 @@
 // A target whose address and place a later one has is gone, though its record takes
 // some seconds to lapse. Without this 161 requests were sent to former targets on a
 // day on which all engines started anew, and turned away; with it none.
-func (r *Register) Put(t Target) []Change {
+func (r *Registry) Put(t Target) []Change {
 	var changes []Change
 	for _, id := range r.ids() {
 		other := r.records[id].target
 		if !t.takesPlaceOf(other) {
 			continue
 		}
-		if other.Since > t.Since {
+		if other.Created > t.Created {
 			return r.drop(t.ID)
 		}
 		changes = append(changes, r.drop(id)...)
@@ -247,7 +247,7 @@
 // or rank says nothing of the target at that address: whoever is there tells by
 // itself that a request is meant for another.
 func (t Target) takesPlaceOf(o Target) bool {
-	if t.ID == o.ID || t.Address != o.Address || t.Since == 0 || o.Since == 0 {
+	if t.ID == o.ID || t.Address != o.Address || t.Created == 0 || o.Created == 0 {
 		return false
 	}
 	if t.Service != o.Service || (t.Member == nil) != (o.Member == nil) {
@@ -256,12 +256,12 @@
 	return t.Member == nil || *t.Member == *o.Member
 }
 
-// Refuse takes in that the record under an ID can't be used: it names no target,
+// Invalidate takes in that the record under an ID can't be used: it names no target,
 // whatever the one before it said. A target that lives renews its record.
-func (r *Register) Refuse(id ID) []Change { return r.drop(id) }
+func (r *Registry) Invalidate(id ID) []Change { return r.drop(id) }
 
 // drop takes a record out for good, if it is there.
-func (r *Register) drop(id ID) []Change {
+func (r *Registry) drop(id ID) []Change {
 	rec, found := r.records[id]
 	if !found {
 		return nil
@@ -272,8 +272,8 @@
 }
 
 // remember notes a dropped record.
-func (r *Register) remember(t Target) {
-	if t.Since == 0 {
+func (r *Registry) remember(t Target) {
+	if t.Created == 0 {
 		return
 	}
 	if _, found := r.left[t.ID]; !found {
@@ -288,9 +288,9 @@
 
 // hasLeft tells whether this very record was dropped. A target that is listed again
 // after its record lapsed has a newer one.
-func (r *Register) hasLeft(t Target) bool {
+func (r *Registry) hasLeft(t Target) bool {
 	known, found := r.left[t.ID]
-	return found && t.Since != 0 && t.Since <= known.Since
+	return found && t.Created != 0 && t.Created <= known.Created
 }
 
 func same(a, b Target) bool {
@@ -305,7 +305,7 @@
 }
 
 // Remove takes a removal in. It is final unless the list has just come back.
-func (r *Register) Remove(now time.Time, id ID) []Change {
+func (r *Registry) Remove(now time.Time, id ID) []Change {
 	rec, found := r.records[id]
 	if !found {
 		return nil
@@ -319,7 +319,7 @@
 }
 
 // Replace takes a whole list in: targets that it lacks are removed.
-func (r *Register) Replace(now time.Time, list []Target) []Change {
+func (r *Registry) Replace(now time.Time, list []Target) []Change {
 	var changes []Change
 	listed := make(map[ID]bool, len(list))
 	for _, t := range list {
@@ -339,7 +339,7 @@
 }
 
 // Expire removes missing targets whose grace is over.
-func (r *Register) Expire(now time.Time) []Change {
+func (r *Registry) Expire(now time.Time) []Change {
 	var changes []Change
 	for _, id := range r.ids() {
 		rec := r.records[id]
@@ -351,7 +351,7 @@
 }
 
 // Targets lists all known targets in the order of their IDs.
-func (r *Register) Targets() []Target {
+func (r *Registry) Targets() []Target {
 	list := make([]Target, 0, len(r.records))
 	for _, id := range r.ids() {
 		list = append(list, r.records[id].target)
@@ -359,7 +359,7 @@
 	return list
 }
 
-func (r *Register) ids() []ID {
+func (r *Registry) ids() []ID {
 	ids := make([]ID, 0, len(r.records))
 	for id := range r.records {
 		ids = append(ids, id)
--- a/core/btinventory/btinventory_test.go
+++ b/core/btinventory/btinventory_test.go
@@ -21,11 +21,11 @@
 // listed returns a target whose record was made at a revision of the list.
 func listed(id btinventory.ID, since btinventory.Position) btinventory.Target {
 	t := target(id)
-	t.Since = since
+	t.Created = since
 	return t
 }
 
-func ids(r *btinventory.Register) []btinventory.ID {
+func ids(r *btinventory.Registry) []btinventory.ID {
 	var list []btinventory.ID
 	for _, t := range r.Targets() {
 		list = append(list, t.ID)
@@ -34,7 +34,7 @@
 }
 
 func TestRemovedTargetsAreGoneAtOnce(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(target("a"))
 	r.Put(target("b"))
 	changes := r.Remove(start, "a")
@@ -46,11 +46,11 @@
 // A target that can't renew its record while the list is away vanishes from it,
 // and must not be lost to callers for that.
 func TestTargetsThatLapsedMeanwhileStayForAGrace(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(target("back"))
 	r.Put(target("dead"))
 	r.Interrupted()
-	r.Regained(start)
+	r.Resumed(start)
 	r.Remove(start, "back")
 	r.Remove(start, "dead")
 	assert.Equal(t, len(ids(r)), 2)
@@ -65,7 +65,7 @@
 }
 
 func TestAnInterruptionWithoutAnEndForgivesNothing(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(target("a"))
 	r.Interrupted()
 	r.Remove(start, "a")
@@ -73,20 +73,20 @@
 }
 
 func TestDrainingTargetsGetNoGrace(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	a := target("a")
 	r.Put(a)
 	a.State = btinventory.Draining
 	changes := r.Put(a)
 	assert.Equal(t, changes[0].What, btinventory.Drained)
 	r.Interrupted()
-	r.Regained(start)
+	r.Resumed(start)
 	r.Remove(start, "a")
 	assert.Equal(t, len(ids(r)), 0)
 }
 
 func TestAWholeListRemovesWhatItLacks(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Replace(start, []btinventory.Target{target("a"), target("b")})
 	changes := r.Replace(start, []btinventory.Target{target("b"), target("c")})
 	assert.Equal(t, len(changes), 2)
@@ -94,18 +94,18 @@
 }
 
 func TestAnotherRegistersListIsTakenAsItIs(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(target("a"))
 	r.Put(target("b"))
 	r.Interrupted()
-	r.Regained(start)
-	assert.Equal(t, len(r.Adopt(start, []btinventory.Target{target("b"), target("c")})), 2)
+	r.Resumed(start)
+	assert.Equal(t, len(r.ReplaceFromPeer(start, []btinventory.Target{target("b"), target("c")})), 2)
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"b", "c"})
-	assert.Equal(t, len(r.Adopt(start, []btinventory.Target{target("b"), target("c")})), 0)
+	assert.Equal(t, len(r.ReplaceFromPeer(start, []btinventory.Target{target("b"), target("c")})), 0)
 }
 
 func TestRenewalsAreNoChange(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	a := target("a")
 	a.Member = &btinventory.Member{Group: "g", Rank: 1, Size: 2}
 	r.Put(a)
@@ -132,7 +132,7 @@
 
 // Two records with one address are two incarnations, of which the later one runs.
 func TestALaterIncarnationReplacesTheFormer(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(listed("old", 3))
 	changes := r.Put(listed("new", 7))
 	assert.Equal(t, changes[0].What, btinventory.Gone)
@@ -152,28 +152,28 @@
 // target three seconds after its leaving was listed.
 func TestATargetThatLeftIsNotAdoptedAgain(t *testing.T) {
 	gone := target("gone")
-	gone.Since = 7
+	gone.Created = 7
 	stays := target("stays")
-	stays.Since = 3
+	stays.Created = 3
 	stays.Address = netip.MustParseAddrPort("127.0.0.1:81")
-	interrupted := btinventory.NewRegister(grace)
-	reader := btinventory.NewRegister(grace)
-	for _, r := range []*btinventory.Register{interrupted, reader} {
+	interrupted := btinventory.NewRegistry(grace)
+	reader := btinventory.NewRegistry(grace)
+	for _, r := range []*btinventory.Registry{interrupted, reader} {
 		r.Put(gone)
 		r.Put(stays)
 	}
 	interrupted.Interrupted()
-	interrupted.Regained(start)
+	interrupted.Resumed(start)
 	interrupted.Remove(start, "gone")
 	reader.Remove(start, "gone")
 	assert.Equal(t, len(interrupted.Targets()), 2)
 
-	reader.Adopt(start, interrupted.Targets())
+	reader.ReplaceFromPeer(start, interrupted.Targets())
 	assert.DeepEqual(t, ids(reader), []btinventory.ID{"stays"})
 
 	// Its record is made anew: it only had lapsed.
-	gone.Since = 9
-	changes := reader.Adopt(start, []btinventory.Target{gone, stays})
+	gone.Created = 9
+	changes := reader.ReplaceFromPeer(start, []btinventory.Target{gone, stays})
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, changes[0].What, btinventory.Added)
 	assert.DeepEqual(t, ids(reader), []btinventory.ID{"gone", "stays"})
@@ -182,12 +182,12 @@
 // What was read to be listed again counts, whatever was read before.
 func TestATargetThatIsReadAgainIsBack(t *testing.T) {
 	back := target("back")
-	back.Since = 7
-	r := btinventory.NewRegister(grace)
+	back.Created = 7
+	r := btinventory.NewRegistry(grace)
 	r.Put(back)
 	r.Remove(start, "back")
 	r.Put(back)
-	r.Adopt(start, []btinventory.Target{back})
+	r.ReplaceFromPeer(start, []btinventory.Target{back})
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"back"})
 }
 
@@ -195,20 +195,20 @@
 // new word of the target: each would clear the other's doubt, and a target that is gone
 // stayed known for good.
 func TestAnotherEntrysGraceIsNoNewRecord(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(listed("a", 3))
 	r.Interrupted()
-	r.Regained(start)
+	r.Resumed(start)
 	assert.Equal(t, r.Remove(start, "a")[0].What, btinventory.Missing)
-	r.Adopt(start.Add(grace/2), []btinventory.Target{listed("a", 3)})
+	r.ReplaceFromPeer(start.Add(grace/2), []btinventory.Target{listed("a", 3)})
 	assert.Equal(t, len(r.Expire(start.Add(grace))), 1)
 	assert.Equal(t, len(ids(r)), 0)
 	// One that is listed again after its record had lapsed has a newer one.
 	r.Put(listed("b", 4))
 	r.Interrupted()
-	r.Regained(start)
+	r.Resumed(start)
 	r.Remove(start, "b")
-	r.Adopt(start.Add(grace/2), []btinventory.Target{listed("b", 9)})
+	r.ReplaceFromPeer(start.Add(grace/2), []btinventory.Target{listed("b", 9)})
 	assert.Equal(t, len(r.Expire(start.Add(grace))), 0)
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"b"})
 }
--- a/core/btinventory/completeness.go
+++ b/core/btinventory/completeness.go
@@ -6,11 +6,11 @@
 	"bilberrytide/core/btid"
 )
 
-// AbsentFor is for how long some rank of a group is missing from the list before the
+// IncompleteAfter is for how long some rank of a group is missing from the list before the
 // group counts as one that isn't all there. A record lapses 3.6 s after its target's last
 // renewal, and a target that has ended is back some seconds later: callers who wait for
 // that are served.
-const AbsentFor = 10 * time.Second
+const IncompleteAfter = 10 * time.Second
 
 // Completeness tells which lock-step groups are not all there: a group can't work without
 // each of its ranks, however many of them are ready. Its methods are not safe for
@@ -34,8 +34,8 @@
 	return &Completeness{since: make(map[Group]time.Time)}
 }
 
-// Listed takes a list of targets in.
-func (c *Completeness) Listed(now time.Time, list []Target) {
+// Update takes a list of targets in.
+func (c *Completeness) Update(now time.Time, list []Target) {
 	missing := missingRanks(list)
 	for g := range c.since {
 		if missing[g] == 0 {
@@ -71,16 +71,16 @@
 	return missing
 }
 
-// Absent tells whether some rank of the group has been missing for so long that nobody
+// Incomplete tells whether some rank of the group has been missing for so long that nobody
 // should wait for the group.
-func (c *Completeness) Absent(now time.Time, service btid.Service, group string) bool {
+func (c *Completeness) Incomplete(now time.Time, service btid.Service, group string) bool {
 	since, missing := c.since[Group{Service: service, Name: group}]
-	return missing && now.Sub(since) >= AbsentFor
+	return missing && now.Sub(since) >= IncompleteAfter
 }
 
-// Broken tells of each group in the list whether all of its ranks say that it isn't open.
+// BrokenGroups tells of each group in the list whether all of its ranks say that it isn't open.
 // Their records are a second old or more, so that what an entry sees itself goes first.
-func Broken(list []Target) map[Group]bool {
+func BrokenGroups(list []Target) map[Group]bool {
 	broken := make(map[Group]bool)
 	for _, t := range list {
 		if t.Member == nil {
--- a/core/btinventory/completeness_test.go
+++ b/core/btinventory/completeness_test.go
@@ -21,7 +21,7 @@
 func TestAGroupWithoutAllOfItsRanksIsAbsentAfterAWhile(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
-	const short, long = btinventory.AbsentFor - time.Second, btinventory.AbsentFor
+	const short, long = btinventory.IncompleteAfter - time.Second, btinventory.IncompleteAfter
 	type listing struct {
 		after time.Duration
 		list  []btinventory.Target
@@ -44,10 +44,10 @@
 		t.Run(name, func(t *testing.T) {
 			completeness := btinventory.NewCompleteness()
 			for _, l := range c.listings {
-				completeness.Listed(at(l.after), l.list)
+				completeness.Update(at(l.after), l.list)
 			}
-			assert.Equal(t, completeness.Absent(at(c.at), "llm", "g"), c.absent)
-			assert.Assert(t, !completeness.Absent(at(c.at), "other", "g"))
+			assert.Equal(t, completeness.Incomplete(at(c.at), "llm", "g"), c.absent)
+			assert.Assert(t, !completeness.Incomplete(at(c.at), "other", "g"))
 		})
 	}
 }
--- a/core/btinventory/instance_test.go
+++ b/core/btinventory/instance_test.go
@@ -33,7 +33,7 @@
 // A target that starts again under its ID is gone and another is there: whoever keeps
 // something by the instance keeps nothing of the one before.
 func TestANewStartUnderAnIDEndsTheOneBefore(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(started("a", 3, 100))
 	changes := r.Put(started("a", 3, 50))
 	assert.Equal(t, len(changes), 2)
@@ -46,10 +46,10 @@
 
 // What the old start's record was waiting for does not befall the new one.
 func TestTheGraceOfAnOldStartDoesNotEndTheNewOne(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(started("a", 3, 1))
 	r.Interrupted()
-	r.Regained(start)
+	r.Resumed(start)
 	r.Remove(start, "a")
 	r.Put(started("a", 9, 2))
 	assert.Equal(t, len(r.Expire(start.Add(2*grace))), 0)
@@ -59,13 +59,13 @@
 // A record that can't be used ends the one before at once, also within the grace that
 // a target has whose record lapsed.
 func TestARefusedRecordNamesNoTarget(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	r.Put(target("a"))
 	r.Put(target("b"))
 	r.Interrupted()
-	r.Regained(start)
-	assert.Equal(t, len(r.Refuse("a")), 1)
-	assert.Equal(t, len(r.Refuse("never listed")), 0)
+	r.Resumed(start)
+	assert.Equal(t, len(r.Invalidate("a")), 1)
+	assert.Equal(t, len(r.Invalidate("never listed")), 0)
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"b"})
 	r.Put(target("a"))
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"a", "b"})
@@ -79,7 +79,7 @@
 	rank := listed("rank", 9)
 	rank.Member = &btinventory.Member{Group: "g", Rank: 1, Size: 2}
 	for _, foreign := range []btinventory.Target{other, rank} {
-		r := btinventory.NewRegister(grace)
+		r := btinventory.NewRegistry(grace)
 		r.Put(listed("a", 3))
 		r.Put(foreign)
 		r.Put(listed("a", 3))
@@ -92,7 +92,7 @@
 func TestRegisterFollowsTheListThroughRestarts(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		r := btinventory.NewRegister(grace)
+		r := btinventory.NewRegistry(grace)
 		now := start
 		last := map[btinventory.ID]btid.Incarnation{}
 		alive := map[btinventory.Instance]bool{}
@@ -117,12 +117,12 @@
 			case 0:
 				follow(r.Remove(now, id))
 			case 1:
-				follow(r.Refuse(id))
+				follow(r.Invalidate(id))
 				delete(last, id)
 			case 2:
 				r.Interrupted()
 			case 3:
-				r.Regained(now)
+				r.Resumed(now)
 			default:
 				next := started(id, btinventory.Position(i+1), btid.Incarnation(1+random.IntN(3)))
 				next.Address = netip.AddrPortFrom(next.Address.Addr(), uint16(1000+number))
--- a/core/btinventory/kept_test.go
+++ b/core/btinventory/kept_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestWhatIsKnownHoldsAgainstACopy(t *testing.T) {
-	r := btinventory.NewRegister(grace)
+	r := btinventory.NewRegistry(grace)
 	at := func(era, revision uint64) btinventory.Position {
-		p, err := btinventory.At(era, revision)
+		p, err := btinventory.NewPosition(era, revision)
 		assert.NilError(t, err)
 		return p
 	}
@@ -27,12 +27,12 @@
 	r.Put(newer)
 	now := start.Add(time.Minute)
 	r.Restored(now, 2)
-	older.Since = at(2, 10)
+	older.Created = at(2, 10)
 	changes := r.Replace(now, []btinventory.Target{older})
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"newer"})
 	assert.Equal(t, changes[0].What, btinventory.Kept)
 	// What is written from now on holds at once.
-	newer.Since = at(2, 12)
+	newer.Created = at(2, 12)
 	r.Put(newer)
 	assert.DeepEqual(t, ids(r), []btinventory.ID{"newer"})
 	assert.Equal(t, len(r.Expire(now.Add(time.Minute))), 0, fmt.Sprint(ids(r)))
--- a/core/btinventory/learning_test.go
+++ b/core/btinventory/learning_test.go
@@ -56,7 +56,7 @@
 
 // learner is an entry: it reads the store itself, or hears of it from another one.
 type learner struct {
-	register *btinventory.Register
+	register *btinventory.Registry
 	revision uint64
 }
 
@@ -69,7 +69,7 @@
 		case e.removed:
 			l.register.Remove(start, e.id)
 		case e.refused:
-			l.register.Refuse(e.id)
+			l.register.Invalidate(e.id)
 		default:
 			l.register.Put(e.target)
 		}
@@ -82,7 +82,7 @@
 	if minds && other.revision < l.revision {
 		return
 	}
-	l.register.Adopt(start, other.register.Targets())
+	l.register.ReplaceFromPeer(start, other.register.Targets())
 	l.revision = max(l.revision, other.revision)
 }
 
@@ -106,7 +106,7 @@
 	s := &store{}
 	entries := make([]*learner, 4)
 	for i := range entries {
-		entries[i] = &learner{register: btinventory.NewRegister(grace)}
+		entries[i] = &learner{register: btinventory.NewRegistry(grace)}
 	}
 	for range 120 {
 		l := entries[random.IntN(len(entries))]
--- a/core/btinventory/position.go
+++ b/core/btinventory/position.go
@@ -24,8 +24,8 @@
 // ErrPosition means that a position is out of bounds.
 var ErrPosition = errors.New("position out of bounds")
 
-// At returns the position of a revision in an era. The error wraps ErrPosition.
-func At(era, revision uint64) (Position, error) {
+// NewPosition returns the position of a revision in an era. The error wraps ErrPosition.
+func NewPosition(era, revision uint64) (Position, error) {
 	if era > MaxEra || revision > MaxRevision {
 		return 0, fmt.Errorf("%w: era %d, revision %d", ErrPosition, era, revision)
 	}
--- a/core/btinventory/restored.go
+++ b/core/btinventory/restored.go
@@ -12,26 +12,26 @@
 // against whole lists: a target that is missing keeps its work for the grace, one that has
 // left or drains gets none, and an earlier start doesn't replace a later one. What a target
 // writes from now on holds at once.
-func (r *Register) Restored(now time.Time, era uint64) {
+func (r *Registry) Restored(now time.Time, era uint64) {
 	r.Interrupted()
-	r.Regained(now)
+	r.Resumed(now)
 	r.restored = now
 	r.era = era
 }
 
 // missedElsewhere tells whether another register, which told of the record, gives it its
 // grace: the list that came back has no such record.
-func (r *Register) missedElsewhere(now time.Time, t Target) bool {
-	return r.recentlyRestored(now) && t.Since != 0 && t.Since.Era() < r.era
+func (r *Registry) missedElsewhere(now time.Time, t Target) bool {
+	return r.recentlyRestored(now) && t.Created != 0 && t.Created.Era() < r.era
 }
 
 // recentlyRestored tells whether a list may still have older records than what is known.
-func (r *Register) recentlyRestored(now time.Time) bool {
+func (r *Registry) recentlyRestored(now time.Time) bool {
 	return !r.restored.IsZero() && now.Before(r.restored.Add(restoredFor))
 }
 
 // outdated tells whether a record of a list may be older than what is known.
-func (r *Register) outdated(now time.Time, t Target) bool {
+func (r *Registry) outdated(now time.Time, t Target) bool {
 	if !r.recentlyRestored(now) {
 		return false
 	}
@@ -43,7 +43,7 @@
 		return t.Start < known.Start || t.Start == known.Start && known.State == Draining && t.State == Ready
 	}
 	for _, rec := range r.records {
-		if rec.target.Since.Era() < t.Since.Era() && t.takesPlaceOf(rec.target) {
+		if rec.target.Created.Era() < t.Created.Era() && t.takesPlaceOf(rec.target) {
 			// It had the address before the copy was made, the one that is known after.
 			return true
 		}
@@ -52,7 +52,7 @@
 }
 
 // mayReturn tells whether a target that a list lacks may write its record again.
-func (r *Register) mayReturn(now time.Time, id ID) bool {
+func (r *Registry) mayReturn(now time.Time, id ID) bool {
 	if r.records[id].target.State != Ready || !r.recentlyRestored(now) || !now.Before(r.restored.Add(r.grace)) {
 		return false
 	}
--- a/core/btinventory/restored_test.go
+++ b/core/btinventory/restored_test.go
@@ -66,7 +66,7 @@
 	if before, found := s.items[t.ID]; found {
 		created = before.created
 	}
-	t.Since, _ = btinventory.At(s.era, created)
+	t.Created, _ = btinventory.NewPosition(s.era, created)
 	s.items[t.ID] = eraItem{target: t, created: created, written: now}
 	s.history = append(s.history, eraEvent{revision: s.revision, id: t.ID, target: t})
 }
@@ -81,7 +81,7 @@
 }
 
 func (s *eraStore) position() btinventory.Position {
-	p, _ := btinventory.At(s.era, s.revision)
+	p, _ := btinventory.NewPosition(s.era, s.revision)
 	return p
 }
 
@@ -96,7 +96,7 @@
 	s.era = era
 	for id, i := range s.items {
 		i.written = now
-		i.target.Since, _ = btinventory.At(era, i.created)
+		i.target.Created, _ = btinventory.NewPosition(era, i.created)
 		s.items[id] = i
 	}
 }
@@ -125,7 +125,7 @@
 
 // eraEntry is an entry: it reads the list itself, or hears of it.
 type eraEntry struct {
-	register *btinventory.Register
+	register *btinventory.Registry
 	position btinventory.Position
 	known    bool
 	reads    bool
@@ -159,7 +159,7 @@
 		e.register.Interrupted()
 		return
 	}
-	e.register.Regained(now)
+	e.register.Resumed(now)
 	p := s.position()
 	full := !e.known || p.Era() != e.position.Era() || e.position.Revision() > s.revision
 	from := e.position.Revision()
@@ -195,7 +195,7 @@
 	e.moved(now, o.position)
 	e.listedAt = o.listedAt
 	e.known = true
-	e.follow(now, e.register.Adopt(now, o.register.Targets()))
+	e.follow(now, e.register.ReplaceFromPeer(now, o.register.Targets()))
 }
 
 // eraWorld is a store, its targets and entries.
@@ -216,7 +216,7 @@
 		w.targets = append(w.targets, &eraTarget{id: btinventory.ID(rune('a' + i)), start: 1, alive: true, since: start})
 	}
 	for i := range 5 {
-		w.entries = append(w.entries, &eraEntry{register: btinventory.NewRegister(eraGrace), reads: i < 3, marks: map[btinventory.Instance]time.Time{}, naive: naive})
+		w.entries = append(w.entries, &eraEntry{register: btinventory.NewRegistry(eraGrace), reads: i < 3, marks: map[btinventory.Instance]time.Time{}, naive: naive})
 	}
 	return w
 }
--- a/io/btdirect/broken.go
+++ b/io/btdirect/broken.go
@@ -81,7 +81,7 @@
 // retry budget: 162 requests in 0.6 s. The first request is still sent, to find out
 // whether the group serves by now.
 func (f *fleet) adoptReportedBroken(list []btinventory.Target) (newlyBroken []btinventory.Group) {
-	for group, broken := range btinventory.Broken(list) {
+	for group, broken := range btinventory.BrokenGroups(list) {
 		s := f.service(group.Service)
 		_, known := s.broken[group.Name]
 		if !broken || known || s.observedGroups[group.Name] {
@@ -153,7 +153,7 @@
 		}
 		anyReady = true
 		_, broken := s.broken[t.groupName()]
-		if !broken || !f.completeness.Absent(now, name, t.groupName()) {
+		if !broken || !f.completeness.Incomplete(now, name, t.groupName()) {
 			return false
 		}
 	}
--- a/io/btdirect/fleet.go
+++ b/io/btdirect/fleet.go
@@ -140,7 +140,7 @@
 func (f *fleet) configure(_ *btcatalog.Index, list []btinventory.Target) []btinventory.Group {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.completeness.Listed(f.clock(), list)
+	f.completeness.Update(f.clock(), list)
 	listed := make(map[btinventory.Instance]bool, len(list))
 	for _, s := range f.services {
 		s.targets = s.targets[:0]
--- a/io/btdirect/peer_list.go
+++ b/io/btdirect/peer_list.go
@@ -132,7 +132,7 @@
 	if l.Same {
 		return
 	}
-	changes := sc.register.Adopt(now, l.Targets)
+	changes := sc.register.ReplaceFromPeer(now, l.Targets)
 	for _, c := range changes {
 		sc.log.Info(c.What, "target", c.Target.Instance(), "service", c.Target.Service, "address", c.Target.Address, "position", l.Position.String(), "from", from, "age_ms", now.Sub(readAt).Milliseconds())
 	}
--- a/io/btdirect/source_cache.go
+++ b/io/btdirect/source_cache.go
@@ -61,7 +61,7 @@
 	hasCatalogOnce sync.Once
 
 	mu       sync.Mutex
-	register *btinventory.Register
+	register *btinventory.Registry
 	// position is that of the cached list. hasList reports that there is one.
 	position btinventory.Position
 	hasList  bool
@@ -93,7 +93,7 @@
 		log:          o.Log,
 		meter:        o.Meter,
 		onChange:     onChange,
-		register:     btinventory.NewRegister(missingGrace),
+		register:     btinventory.NewRegistry(missingGrace),
 		hasCatalog:   make(chan struct{}),
 		rosters:      make(map[btid.Service]btinventory.Roster),
 		loggedErrors: make(map[string]string),
@@ -179,7 +179,7 @@
 		sc.storeLost = false
 		sc.log.Info("dependency regained", "dependency", "store", "position", u.Position.String(), "age_ms", sc.readAge().Milliseconds())
 	}
-	sc.register.Regained(now)
+	sc.register.Resumed(now)
 	sc.setPosition(now, u.Position, "store")
 	sc.readAt = now
 	sc.listedAt = now
@@ -223,7 +223,7 @@
 		list := make([]btinventory.Target, 0, len(u.Changes))
 		for _, c := range u.Changes {
 			if c.Refused {
-				changes = append(changes, sc.register.Refuse(c.ID)...)
+				changes = append(changes, sc.register.Invalidate(c.ID)...)
 				continue
 			}
 			list = append(list, c.Target)
@@ -240,7 +240,7 @@
 func (sc *sourceCache) applyChange(now time.Time, c TargetChange) []btinventory.Change {
 	switch {
 	case c.Refused:
-		return sc.register.Refuse(c.ID)
+		return sc.register.Invalidate(c.ID)
 	case c.Removed:
 		return sc.register.Remove(now, c.ID)
 	}
--- a/io/btdirect/wait.go
+++ b/io/btdirect/wait.go
@@ -46,7 +46,7 @@
 		return false
 	case ReasonGroupIncomplete:
 		// An outage that has lasted this long is as likely to last as long again.
-		x.endUnserved(ReasonGroupIncomplete, btinventory.AbsentFor)
+		x.endUnserved(ReasonGroupIncomplete, btinventory.IncompleteAfter)
 		return false
 	}
 	queuedAt := e.options.Clock()
