--- a/core/btcatalog/btcatalog_test.go
+++ b/core/btcatalog/btcatalog_test.go
@@ -46,10 +46,10 @@
 
 func TestKeysNameTheirAccount(t *testing.T) {
 	c := catalog(route("a", "/"))
-	assert.Assert(t, !btcatalog.NewIndex(c).Keyed())
+	assert.Assert(t, !btcatalog.NewIndex(c).RequiresKey())
 	c.Accounts = []btcatalog.Account{{Name: "one", Keys: []string{"k1", "k2"}}, {Name: "two"}}
 	x := btcatalog.NewIndex(c)
-	assert.Assert(t, x.Keyed())
+	assert.Assert(t, x.RequiresKey())
 	a, found := x.Account("k2")
 	assert.Assert(t, found)
 	assert.Equal(t, a.Name, btid.Account("one"))
@@ -63,7 +63,7 @@
 	counts := map[btid.Service]int{}
 	const draws = 1000
 	for i := range draws {
-		counts[r.Split(float64(i)/draws)]++
+		counts[r.PickService(float64(i)/draws)]++
 	}
 	assert.Equal(t, counts["x"], 900)
 	assert.Equal(t, counts["y"], 100)
--- a/core/btcatalog/index.go
+++ b/core/btcatalog/index.go
@@ -74,8 +74,8 @@
 	return strings.ToLower(host)
 }
 
-// Keyed tells whether requests need a key: the catalog lists accounts.
-func (x *Index) Keyed() bool { return len(x.catalog.Accounts) > 0 }
+// RequiresKey tells whether requests need a key: the catalog lists accounts.
+func (x *Index) RequiresKey() bool { return len(x.catalog.Accounts) > 0 }
 
 // Account returns the account that holds the key.
 func (x *Index) Account(key string) (*Account, bool) {
@@ -92,9 +92,9 @@
 // Services lists the services in the catalog's order.
 func (x *Index) Services() []Service { return x.catalog.Services }
 
-// Split returns the service for a request of the route. The draw is a uniform
+// PickService returns the service for a request of the route. The draw is a uniform
 // number in [0, 1).
-func (r *Route) Split(draw float64) btid.Service {
+func (r *Route) PickService(draw float64) btid.Service {
 	total := 0
 	for _, s := range r.Shares {
 		total += max(s.Weight, 0)
--- a/core/btevents/btevents.go
+++ b/core/btevents/btevents.go
@@ -25,9 +25,9 @@
 	count  int
 }
 
-// Resumed returns a splitter for a stream that continues after an event, whose
+// NewAfter returns a splitter for a stream that continues after an event, whose
 // earlier events it drops.
-func Resumed(last string) *Splitter {
+func NewAfter(last string) *Splitter {
 	s := &Splitter{last: last, number: -1}
 	if n, err := strconv.ParseInt(last, 10, 64); err == nil {
 		s.number = n
--- a/core/btevents/btevents_test.go
+++ b/core/btevents/btevents_test.go
@@ -46,7 +46,7 @@
 		assert.NilError(t, err)
 		next := btevents.New()
 		if first.Last() != "" {
-			next = btevents.Resumed(first.Last())
+			next = btevents.NewAfter(first.Last())
 		}
 		rest, err := next.Add([]byte(whole))
 		assert.NilError(t, err)
--- a/io/btdirect/exchange.go
+++ b/io/btdirect/exchange.go
@@ -127,7 +127,7 @@
 		return refused
 	}
 	x.deadline = x.receivedAt.Add(min(x.callerTimeout(), route.Timeout))
-	service, found := x.index.Service(route.Split(rand.Float64()))
+	service, found := x.index.Service(route.PickService(rand.Float64()))
 	if !found {
 		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonNoTarget, retryAfter: x.defaultRetryAfter()}
 	}
@@ -137,7 +137,7 @@
 
 // authenticate finds the client account of the caller's key.
 func (x *exchange) authenticate() *refusal {
-	if !x.index.Keyed() {
+	if !x.index.RequiresKey() {
 		return nil
 	}
 	account, found := x.index.Account(x.info.Key)
--- a/io/btdirect/stream.go
+++ b/io/btdirect/stream.go
@@ -47,7 +47,7 @@
 // last event that was sent.
 func (s *streamWriter) resume() {
 	if last := s.lastEventID(); last != "" {
-		s.events = btevents.Resumed(last)
+		s.events = btevents.NewAfter(last)
 		return
 	}
 	s.events = btevents.New()
@@ -76,7 +76,7 @@
 	if x.stream == nil {
 		x.stream = &streamWriter{x: x, flush: http.NewResponseController(x.writer), events: btevents.New()}
 		if x.info.LastEvent != "" {
-			x.stream.events = btevents.Resumed(x.info.LastEvent)
+			x.stream.events = btevents.NewAfter(x.info.LastEvent)
 		}
 	} else {
 		x.stream.resume()
