--- a/core/btcatalog/btcatalog.go
+++ b/core/btcatalog/btcatalog.go
@@ -1,9 +1,9 @@
-// Package btcatalog holds the versioned configuration of a fleet whose targets
+// Package btcatalog defines the versioned configuration of a fleet whose targets
 // are reached directly: routes, services, client accounts and caller limits.
 //
-// A catalog is decoded and checked as a whole; an Index over it answers the
-// questions of the request path. A Register keeps the newest one and never goes
-// back to an earlier version.
+// A catalog is decoded and validated as a whole. An Index over it serves the
+// lookups of the request path. Whoever holds the catalog in use replaces it only by
+// a later version.
 package btcatalog
 
 import (
@@ -14,29 +14,29 @@
 	"bilberrytide/core/btid"
 )
 
-// ErrCatalog is wrapped by the error of every catalog that can't be used.
+// ErrCatalog is wrapped by every error of Validate.
 var ErrCatalog = errors.New("invalid catalog")
 
-// Kind tells what may be repeated on a route.
+// Kind tells whether requests of a route may be repeated.
 type Kind string
 
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be run more than once.
 	Idempotent Kind = "idempotent"
-	// Once requests run at most once for each attempt of the caller.
+	// Once requests are run at most once each time that the caller sends one.
 	Once Kind = "once"
-	// Stream requests are answered by a series of numbered events.
+	// Stream requests are answered by a stream of numbered events.
 	Stream Kind = "stream"
 )
 
-// Share is a service's part of a route's requests.
+// Share is a service's weight among the services of a route.
 type Share struct {
 	Service btid.Service
 	// Weight is relative to the other shares of the route.
 	Weight int
 }
 
-// Route sends the requests of one host name and path prefix to services.
+// Route maps the requests of one host name and path prefix to services.
 type Route struct {
 	Name string
 	// Host is the host name in lower case, without a port.
@@ -45,24 +45,24 @@
 	Prefix string
 	Kind   Kind
 	Shares []Share
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the most time from a request's receipt to its answer.
 	Timeout time.Duration
-	// Objective is the time to the first event, or to the whole answer, that
-	// the operator aims at.
+	// Objective is the operator's latency objective for the first event of a stream,
+	// or for the whole answer.
 	Objective time.Duration
-	// MaxGap is the longest pause between two events of a stream on time.
+	// MaxGap is the longest pause between two events of a stream that is on time.
 	MaxGap time.Duration
 	// Attempts is the most targets that one request may be sent to.
 	Attempts int
 	// Priority orders requests at targets; 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may be continued at another target.
+	// Resumable streams may be continued by another target.
 	Resumable bool
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable tells whether a request of the route may be run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
@@ -78,10 +78,10 @@
 type Engine struct {
 	// Slots is how many requests one engine runs at once.
 	Slots int
-	// StepTime is the fixed part of a token step, SequenceTime what each
+	// StepTime is the fixed part of a token step's duration, SequenceTime what each
 	// running request adds.
 	StepTime, SequenceTime time.Duration
-	// Stride is how many token steps a pass with running requests has.
+	// Stride is the number of token steps in a pass with running requests.
 	Stride int
 	// Group is set where the engines are ranks of a lock-step group.
 	Group *Group
@@ -89,20 +89,20 @@
 
 // Group is the shape of a group's expert maps.
 type Group struct {
-	// Layers is how many layers have a placement of their own; Experts is how
-	// many experts each has, and Slots how many a rank may hold in each.
+	// Layers is the number of layers with a placement of their own, Experts the number
+	// of experts in each, and Slots the most that a rank may hold in each.
 	Layers  int `json:"layers"`
 	Experts int `json:"experts"`
 	Slots   int `json:"slots"`
-	// NewPerMap is how many experts of a layer one map may bring to a rank.
+	// NewPerMap is the most experts of a layer that one map may add to a rank.
 	NewPerMap int `json:"new_per_map"`
 	// ExpertBytes is the size of one expert in one layer.
 	ExpertBytes int64 `json:"expert_bytes"`
 	// CopyTime is how long a rank takes to load one expert.
 	CopyTime time.Duration `json:"copy_time"`
-	// ExpertShare is the part of a token's work that experts do, 0 to 1.
+	// ExpertShare is the share of a token's work that experts do, 0 to 1.
 	ExpertShare float64 `json:"expert_share"`
-	// FormTime is how long the group takes to open once all ranks are there.
+	// FormTime is how long the group takes to open once all ranks are present.
 	FormTime time.Duration `json:"form_time"`
 }
 
@@ -110,11 +110,12 @@
 type Account struct {
 	Name btid.Account
 	Keys []string
-	// Priority goes before the route's where it is set.
+	// Priority, if set, overrides the route's.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits bound what a caller may send and how long it may take. Zero BodyBytes leaves
+// the limit to the entry.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -131,8 +132,8 @@
 	Limits   Limits
 }
 
-// Validate reports a catalog that can't be served. The error wraps ErrCatalog
-// and names the field.
+// Validate returns an error if the catalog can't be used. It wraps ErrCatalog and
+// names the version and the service or route.
 func (c *Catalog) Validate() error {
 	if c.Version == 0 {
 		return fmt.Errorf("%w: version 0", ErrCatalog)
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// Errors of a route; Validate wraps them.
+// Errors of Route.validate, which Validate wraps.
 var (
 	errPrefix   = errors.New("prefix must begin and end with a slash")
 	errKind     = errors.New("unknown kind")
--- a/core/btcatalog/btcatalog_test.go
+++ b/core/btcatalog/btcatalog_test.go
@@ -57,7 +57,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+func TestPickServiceFollowsTheWeights(t *testing.T) {
 	r := route("a", "/")
 	r.Shares = []btcatalog.Share{{Service: "x", Weight: 9}, {Service: "y", Weight: 1}, {Service: "z", Weight: 0}}
 	counts := map[btid.Service]int{}
@@ -69,15 +69,15 @@
 	assert.Equal(t, counts["y"], 100)
 }
 
-func TestUnusableCatalogsAreRefused(t *testing.T) {
+func TestInvalidCatalogsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*btcatalog.Catalog){
-		"no version":      func(c *btcatalog.Catalog) { c.Version = 0 },
-		"service twice":   func(c *btcatalog.Catalog) { c.Services = append(c.Services, c.Services[0]) },
-		"prefix":          func(c *btcatalog.Catalog) { c.Routes[0].Prefix = "/x" },
-		"kind":            func(c *btcatalog.Catalog) { c.Routes[0].Kind = "" },
-		"unknown service": func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Service = "t" },
-		"no weight":       func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Weight = 0 },
-		"timeout":         func(c *btcatalog.Catalog) { c.Routes[0].Timeout = 0 },
+		"no version":        func(c *btcatalog.Catalog) { c.Version = 0 },
+		"duplicate service": func(c *btcatalog.Catalog) { c.Services = append(c.Services, c.Services[0]) },
+		"prefix":            func(c *btcatalog.Catalog) { c.Routes[0].Prefix = "/x" },
+		"kind":              func(c *btcatalog.Catalog) { c.Routes[0].Kind = "" },
+		"unknown service":   func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Service = "t" },
+		"no weight":         func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Weight = 0 },
+		"timeout":           func(c *btcatalog.Catalog) { c.Routes[0].Timeout = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := catalog(route("a", "/"))
--- a/core/btcatalog/index.go
+++ b/core/btcatalog/index.go
@@ -6,8 +6,8 @@
 	"bilberrytide/core/btid"
 )
 
-// Index answers the request path's questions about one catalog. It is
-// immutable and safe for concurrent use.
+// Index looks up the routes, accounts and services of one catalog. It is immutable
+// and safe for concurrent use.
 type Index struct {
 	catalog  *Catalog
 	routes   map[string]map[string]*Route
@@ -47,11 +47,11 @@
 // Version returns the catalog's version.
 func (x *Index) Version() uint64 { return x.catalog.Version }
 
-// Limits returns what callers may send.
+// Limits returns the limits of callers' requests.
 func (x *Index) Limits() Limits { return x.catalog.Limits }
 
-// Route returns the route with the longest prefix of the path among those of
-// the host; false if there is none. The host may carry a port.
+// Route returns the host name's route with the longest prefix of the path; false if
+// there is none. The host name may carry a port.
 func (x *Index) Route(host, path string) (*Route, bool) {
 	byPrefix := x.routes[hostName(host)]
 	for end := len(path); end > 0; {
@@ -74,7 +74,8 @@
 	return strings.ToLower(host)
 }
 
-// RequiresKey tells whether requests need a key: the catalog lists accounts.
+// RequiresKey tells whether the catalog lists accounts, so that requests of routes that
+// aren't public need a key.
 func (x *Index) RequiresKey() bool { return len(x.catalog.Accounts) > 0 }
 
 // Account returns the account that holds the key.
@@ -89,20 +90,20 @@
 	return s, found
 }
 
-// Services lists the services in the catalog's order.
+// Services returns the services in the catalog's order.
 func (x *Index) Services() []Service { return x.catalog.Services }
 
-// PickService returns the service for a request of the route. The draw is a uniform
+// PickService selects a service of the route by weight. The draw is a uniform random
 // number in [0, 1).
 func (r *Route) PickService(draw float64) btid.Service {
 	total := 0
 	for _, s := range r.Shares {
 		total += max(s.Weight, 0)
 	}
-	mark := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range r.Shares {
-		mark -= float64(max(s.Weight, 0))
-		if mark < 0 {
+		remaining -= float64(max(s.Weight, 0))
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/core/btevents/btevents.go
+++ b/core/btevents/btevents.go
@@ -1,6 +1,6 @@
 // Package btevents splits a stream of server-sent events into whole events and
-// keeps track of the last one, so that a broken stream can be continued at
-// another target without an event lost, doubled or cut in half.
+// tracks the ID of the last one, so that another target can continue a broken
+// stream without losing, repeating or truncating an event.
 package btevents
 
 import (
@@ -9,24 +9,24 @@
 	"strconv"
 )
 
-// ErrTooLong means that an event is longer than a splitter holds.
+// ErrTooLong means that an event is longer than MaxEventBytes.
 var ErrTooLong = errors.New("event too long")
 
-// MaxEventBytes is the longest event that a splitter holds. Engines put a few
+// MaxEventBytes is the longest event that a splitter buffers. Engines put a few
 // tokens into one event, which take far less.
 const MaxEventBytes = 1 << 20
 
-// Splitter takes a stream in pieces of any size and gives back whole events.
-// It is not safe for concurrent use.
+// Splitter accepts a stream in pieces of any size and returns whole events. It is
+// not safe for concurrent use.
 type Splitter struct {
-	rest   []byte
-	last   string
-	number int64
-	count  int
+	pending []byte
+	last    string
+	number  int64
+	count   int
 }
 
-// NewAfter returns a splitter for a stream that continues after an event, whose
-// earlier events it drops.
+// NewAfter returns a splitter for a stream that is resumed after the event with the ID
+// last. It drops events up to that one if their IDs are numbers.
 func NewAfter(last string) *Splitter {
 	s := &Splitter{last: last, number: -1}
 	if n, err := strconv.ParseInt(last, 10, 64); err == nil {
@@ -38,33 +38,33 @@
 // New returns a splitter for a stream from its beginning.
 func New() *Splitter { return &Splitter{number: -1} }
 
-// Add takes a piece and returns the whole events that it completes, byte for
-// byte. Events that are not newer than the last one are dropped.
+// Add appends a piece and returns the events that it completes, byte for byte. Events
+// whose numeric ID isn't above the last one's are dropped. The error is ErrTooLong.
 func (s *Splitter) Add(piece []byte) ([]byte, error) {
-	s.rest = append(s.rest, piece...)
+	s.pending = append(s.pending, piece...)
 	var out []byte
 	for {
-		end := eventEnd(s.rest)
+		end := eventEnd(s.pending)
 		if end < 0 {
 			break
 		}
-		event := s.rest[:end]
-		if s.take(event) {
+		event := s.pending[:end]
+		if s.accept(event) {
 			out = append(out, event...)
 		}
-		s.rest = s.rest[end:]
+		s.pending = s.pending[end:]
 	}
-	if len(s.rest) > MaxEventBytes {
+	if len(s.pending) > MaxEventBytes {
 		return out, ErrTooLong
 	}
-	if len(s.rest) == 0 {
-		s.rest = nil
+	if len(s.pending) == 0 {
+		s.pending = nil
 	}
 	return out, nil
 }
 
-// take notes an event and tells whether it is new.
-func (s *Splitter) take(event []byte) bool {
+// accept records the event's ID and tells whether the event is new.
+func (s *Splitter) accept(event []byte) bool {
 	id, found := eventID(event)
 	if !found {
 		return true
@@ -81,22 +81,23 @@
 	return true
 }
 
-// Last returns the ID of the last whole event; empty before the first.
+// Last returns the ID of the last whole event that has one; empty before the first.
 func (s *Splitter) Last() string { return s.last }
 
-// Count returns how many events with an ID came.
+// Count returns the number of new events with an ID.
 func (s *Splitter) Count() int { return s.count }
 
-// Partial tells whether a part of an event has arrived and not its end.
-func (s *Splitter) Partial() bool { return len(s.rest) > 0 }
+// Partial tells whether an incomplete event is buffered.
+func (s *Splitter) Partial() bool { return len(s.pending) > 0 }
 
-// eventEnd returns the length of the first event with its blank line, or -1.
+// eventEnd returns the length of the first event including its blank line, or -1 if it
+// is incomplete.
 func eventEnd(data []byte) int {
 	end := -1
-	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		i := bytes.Index(data, mark)
-		if i >= 0 && (end < 0 || i+len(mark) < end) {
-			end = i + len(mark)
+	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		i := bytes.Index(data, separator)
+		if i >= 0 && (end < 0 || i+len(separator) < end) {
+			end = i + len(separator)
 		}
 	}
 	return end
--- a/core/btevents/btevents_test.go
+++ b/core/btevents/btevents_test.go
@@ -18,7 +18,7 @@
 	return b.String()
 }
 
-func TestPiecesOfAnySizeGiveWholeEvents(t *testing.T) {
+func TestSplitterReturnsWholeEventsForAnyPieceSize(t *testing.T) {
 	whole := stream(0, 9)
 	for size := 1; size <= len(whole); size++ {
 		s := btevents.New()
@@ -36,9 +36,9 @@
 	}
 }
 
-// A target that continues a stream may begin with events that the caller has,
-// and a broken one may end in the middle of an event.
-func TestContinuedStreamsLoseAndDoubleNothing(t *testing.T) {
+// A target that resumes a stream may begin with events that the caller has already, and
+// the broken stream may end in the middle of an event.
+func TestResumedStreamsNeitherLoseNorRepeatEvents(t *testing.T) {
 	whole := stream(1, 8)
 	for cut := range len(whole) {
 		first := btevents.New()
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestEventsWithoutNumbersPass(t *testing.T) {
+func TestEventsWithoutNumericIDsAreKept(t *testing.T) {
 	s := btevents.New()
 	out, err := s.Add([]byte(": hello\n\ndata: x\r\n\r\nid: abc\ndata: y\n\n"))
 	assert.NilError(t, err)
@@ -62,7 +62,7 @@
 	assert.Equal(t, s.Last(), "abc")
 }
 
-func TestAnEndlessEventIsAnError(t *testing.T) {
+func TestAnOverlongEventIsAnError(t *testing.T) {
 	s := btevents.New()
 	_, err := s.Add(make([]byte, btevents.MaxEventBytes+1))
 	assert.ErrorIs(t, err, btevents.ErrTooLong)
