--- a/core/btanswer/assembler.go
+++ b/core/btanswer/assembler.go
@@ -33,9 +33,9 @@
 	ReasonAnswerCorrupt btrequest.Reason = "answer_corrupt"
 )
 
-// ErrCut means that the answer is not whole: a gap, a target that broke off, or
+// ErrIncomplete means that the answer is not whole: a gap, a target that broke off, or
 // a total or checksum that does not agree.
-var ErrCut = errors.New("answer is not whole")
+var ErrIncomplete = errors.New("answer is not whole")
 
 // Piece is what one frame adds to the answer.
 type Piece struct {
@@ -43,8 +43,8 @@
 	Data []byte
 	// Dropped names why the frame, or a part of it, was not used.
 	Dropped btrequest.Reason
-	// Whole tells that the answer is complete and checked.
-	Whole bool
+	// Complete tells that the answer is complete and checked.
+	Complete bool
 }
 
 // Assembler puts one answer together from frames that may belong to another
@@ -77,7 +77,7 @@
 	}
 	if f.Offset > a.next {
 		a.ended = true
-		return Piece{Dropped: ReasonAnswerCut}, fmt.Errorf("%w: frame at %d, expected %d", ErrCut, f.Offset, a.next)
+		return Piece{Dropped: ReasonAnswerCut}, fmt.Errorf("%w: frame at %d, expected %d", ErrIncomplete, f.Offset, a.next)
 	}
 	piece := a.take(f)
 	if f.End == nil {
@@ -101,14 +101,14 @@
 
 func (a *Assembler) finish(piece Piece, end End) (Piece, error) {
 	a.ended = true
-	if end.Cut {
+	if end.Truncated {
 		piece.Dropped = ReasonAnswerCut
-		return piece, fmt.Errorf("%w: the target broke off after %d bytes", ErrCut, end.Total)
+		return piece, fmt.Errorf("%w: the target broke off after %d bytes", ErrIncomplete, end.Total)
 	}
 	if end.Total != a.next || end.Checksum != a.sum.Sum64() {
 		piece.Dropped = ReasonAnswerCorrupt
-		return piece, fmt.Errorf("%w: have %d bytes of %d, or a checksum that does not agree", ErrCut, a.next, end.Total)
+		return piece, fmt.Errorf("%w: have %d bytes of %d, or a checksum that does not agree", ErrIncomplete, a.next, end.Total)
 	}
-	piece.Whole = a.assert.That(a.next == end.Total, InvariantWhole, "%s: %d of %d bytes", a.id, a.next, end.Total)
+	piece.Complete = a.assert.That(a.next == end.Total, InvariantWhole, "%s: %d of %d bytes", a.id, a.next, end.Total)
 	return piece, nil
 }
--- a/core/btanswer/btanswer_test.go
+++ b/core/btanswer/btanswer_test.go
@@ -27,7 +27,7 @@
 
 // answer returns random bytes and the frames that carry them.
 func answer(r *rand.Rand, id btid.Request) ([]byte, []btanswer.Frame) {
-	cutter := btanswer.NewCutter(id)
+	cutter := btanswer.NewFramer(id)
 	var whole []byte
 	var frames []btanswer.Frame
 	for range 1 + r.IntN(maxPieces) {
@@ -74,7 +74,7 @@
 	for _, f := range frames {
 		piece, err := a.Add(f)
 		got = append(got, piece.Data...)
-		if err != nil || piece.Whole {
+		if err != nil || piece.Complete {
 			return got, err == nil
 		}
 	}
@@ -96,7 +96,7 @@
 type naive struct{}
 
 func (naive) Add(f btanswer.Frame) (btanswer.Piece, error) {
-	return btanswer.Piece{Data: f.Data, Whole: f.End != nil}, nil
+	return btanswer.Piece{Data: f.Data, Complete: f.End != nil}, nil
 }
 
 func TestDisturbedAnswers(t *testing.T) {
@@ -128,31 +128,31 @@
 		name string
 		end  btanswer.End
 	}{
-		{"cut by the target", btanswer.End{Total: 2, Cut: true}},
+		{"cut by the target", btanswer.End{Total: 2, Truncated: true}},
 		{"total too high", btanswer.End{Total: 3}},
 		{"checksum of other bytes", btanswer.End{Total: 2, Checksum: 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := btanswer.NewAssembler(id, btassert.New(btassert.Panic()))
-			_, err := a.Add(btanswer.NewCutter(id).Next([]byte("ab")))
+			_, err := a.Add(btanswer.NewFramer(id).Next([]byte("ab")))
 			assert.NilError(t, err)
 			piece, err := a.Add(btanswer.Frame{ID: id, Offset: 2, End: &c.end})
-			assert.ErrorIs(t, err, btanswer.ErrCut)
-			assert.Assert(t, !piece.Whole)
+			assert.ErrorIs(t, err, btanswer.ErrIncomplete)
+			assert.Assert(t, !piece.Complete)
 		})
 	}
 }
 
 func ExampleAssembler() {
 	id := btid.Request{Entry: "e1", Incarnation: 7, Number: 1}
-	cutter := btanswer.NewCutter(id)
+	cutter := btanswer.NewFramer(id)
 	first := cutter.Next([]byte("two seats "))
 	second := cutter.Next([]byte("confirmed"))
 	a := btanswer.NewAssembler(id, btassert.New(btassert.Panic()))
 	for _, f := range []btanswer.Frame{first, first, second, cutter.Last(false)} {
 		piece, err := a.Add(f)
-		fmt.Printf("%q whole=%t cut=%t\n", piece.Data, piece.Whole, errors.Is(err, btanswer.ErrCut))
+		fmt.Printf("%q whole=%t cut=%t\n", piece.Data, piece.Complete, errors.Is(err, btanswer.ErrIncomplete))
 	}
 	// Output:
 	// "two seats " whole=false cut=false
--- a/core/btanswer/frame.go
+++ b/core/btanswer/frame.go
@@ -39,9 +39,9 @@
 	Total uint64 `cbor:"total"`
 	// Checksum is the xxHash64 of the whole answer.
 	Checksum uint64 `cbor:"checksum"`
-	// Cut tells that the target's answer broke off after Total bytes, so that
+	// Truncated tells that the target's answer broke off after Total bytes, so that
 	// the answer must never be passed off as whole.
-	Cut bool `cbor:"cut,omitempty"`
+	Truncated bool `cbor:"cut,omitempty"`
 }
 
 // Validate reports a frame that no agent sends.
@@ -61,21 +61,21 @@
 	return nil
 }
 
-// Cutter cuts one answer into frames.
-type Cutter struct {
+// Framer cuts one answer into frames.
+type Framer struct {
 	id     btid.Request
 	offset uint64
 	sum    *xxhash.Digest
 }
 
-// NewCutter returns a cutter for the answer to the request.
-func NewCutter(id btid.Request) *Cutter {
-	return &Cutter{id: id, sum: xxhash.New()}
+// NewFramer returns a cutter for the answer to the request.
+func NewFramer(id btid.Request) *Framer {
+	return &Framer{id: id, sum: xxhash.New()}
 }
 
 // Next returns the frame that carries data, which must hold 1 to MaxFrameBytes
 // bytes and is not copied.
-func (c *Cutter) Next(data []byte) Frame {
+func (c *Framer) Next(data []byte) Frame {
 	f := Frame{ID: c.id, Offset: c.offset, Data: data}
 	c.offset += uint64(len(data))
 	_, _ = c.sum.Write(data)
@@ -84,7 +84,7 @@
 
 // Last returns the frame that ends the answer; cut tells that the target's
 // answer broke off.
-func (c *Cutter) Last(cut bool) Frame {
-	end := End{Total: c.offset, Checksum: c.sum.Sum64(), Cut: cut}
+func (c *Framer) Last(cut bool) Frame {
+	end := End{Total: c.offset, Checksum: c.sum.Sum64(), Truncated: cut}
 	return Frame{ID: c.id, Offset: c.offset, End: &end}
 }
--- a/core/btanswer/fuzz_test.go
+++ b/core/btanswer/fuzz_test.go
@@ -14,13 +14,13 @@
 // they add nothing but the bytes that follow, and never make a whole answer of
 // one that its end doesn't agree with.
 func FuzzFrame(f *testing.F) {
-	cutter := btanswer.NewCutter(request(1))
+	cutter := btanswer.NewFramer(request(1))
 	head := cutter.Next([]byte("seats "))
 	rest, last := cutter.Next([]byte("two")), cutter.Last(false)
 	for _, frames := range [][2]btanswer.Frame{
 		{rest, last}, {last, rest}, {head, last},
 		{rest, {ID: request(2), Offset: 9, End: &btanswer.End{Total: 9}}},
-		{{ID: request(1), Offset: ^uint64(0), Data: []byte("x")}, {ID: request(1), Offset: 6, End: &btanswer.End{Total: 6, Cut: true}}},
+		{{ID: request(1), Offset: ^uint64(0), Data: []byte("x")}, {ID: request(1), Offset: 6, End: &btanswer.End{Total: 6, Truncated: true}}},
 	} {
 		one, err := cbor.Marshal(frames[0])
 		assert.NilError(f, err)
@@ -42,9 +42,9 @@
 			piece, err := a.Add(frame)
 			assert.Equal(t, a.Offset(), before+uint64(len(piece.Data)))
 			if frame.ID != request(1) {
-				assert.Assert(t, len(piece.Data) == 0 && !piece.Whole && err == nil)
+				assert.Assert(t, len(piece.Data) == 0 && !piece.Complete && err == nil)
 			}
-			assert.Assert(t, !piece.Whole || err == nil && frame.End != nil && frame.End.Total == a.Offset())
+			assert.Assert(t, !piece.Complete || err == nil && frame.End != nil && frame.End.Total == a.Offset())
 		}
 	})
 }
--- a/core/btrate/shares.go
+++ b/core/btrate/shares.go
@@ -106,7 +106,7 @@
 func (s *Shares) Share(target string, perSecond float64) float64 {
 	perSecond = EffectiveRate(perSecond)
 	users := min(s.entryCount(), minUsers+int(math.Ceil(perSecond)))
-	if users < len(s.otherNames)+1 && btrendezvous.Place(target, s.self, s.otherNames) >= users {
+	if users < len(s.otherNames)+1 && btrendezvous.IndexOf(target, s.self, s.otherNames) >= users {
 		return 0
 	}
 	return perSecond / float64(users)
--- a/core/btrendezvous/btrendezvous.go
+++ b/core/btrendezvous/btrendezvous.go
@@ -58,9 +58,9 @@
 	return d.Sum64()
 }
 
-// Place returns how many of the others are better than the member for the key: its
+// IndexOf returns how many of the others are better than the member for the key: its
 // index in Order's list of them all, without the sort.
-func Place[M ~string](key string, member M, others []M) int {
+func IndexOf[M ~string](key string, member M, others []M) int {
 	own := weight(key, string(member))
 	place := 0
 	for _, o := range others {
--- a/core/btserve/btserve.go
+++ b/core/btserve/btserve.go
@@ -46,8 +46,8 @@
 // canonical form. Values travel as bytes, since HTTP doesn't hold them to UTF-8.
 type Header map[string][]cbor.ByteString
 
-// HeaderOf returns the fields as they travel.
-func HeaderOf(h http.Header) Header {
+// HeaderFromHTTP returns the fields as they travel.
+func HeaderFromHTTP(h http.Header) Header {
 	out := make(Header, len(h))
 	for name, values := range h {
 		list := make([]cbor.ByteString, len(values))
--- a/core/btserve/example_test.go
+++ b/core/btserve/example_test.go
@@ -29,8 +29,8 @@
 }
 
 // Header values travel as bytes and come back as they were.
-func ExampleHeaderOf() {
-	header := btserve.HeaderOf(http.Header{"Accept": {"text/event-stream"}})
+func ExampleHeaderFromHTTP() {
+	header := btserve.HeaderFromHTTP(http.Header{"Accept": {"text/event-stream"}})
 	fmt.Println(header.HTTP().Get("Accept"))
 	// Output: text/event-stream
 }
--- a/core/btserve/fuzz_test.go
+++ b/core/btserve/fuzz_test.go
@@ -19,7 +19,7 @@
 	id     = btid.Request{Entry: "e1", Incarnation: 1, Number: 2}
 	header = http.Header{"X-Name": {"caf\xe9", ""}, "Accept": nil}
 
-	request = btserve.Request{ID: id, First: id, Service: "pages", Account: "families", Weight: 1, Remaining: time.Second, Method: "GET", Path: "/", Header: btserve.HeaderOf(header), Body: []byte{0xff}}
+	request = btserve.Request{ID: id, First: id, Service: "pages", Account: "families", Weight: 1, Remaining: time.Second, Method: "GET", Path: "/", Header: btserve.HeaderFromHTTP(header), Body: []byte{0xff}}
 	refused = btserve.Head{ID: id, Executor: btid.Executor{Target: "p1", Incarnation: 1}, Verdict: btserve.Refused, Outcome: btrequest.NotRun, Reason: "draining", RetryAfter: time.Second}
 )
 
--- a/io/btagent/relay.go
+++ b/io/btagent/relay.go
@@ -51,9 +51,9 @@
 func (v *attempt) relay(ctx context.Context, response *bttarget.Response, recorder *answerRecorder) error {
 	head := v.head(btserve.Accepted)
 	head.Status = response.Status
-	head.Header = btserve.HeaderOf(response.Header)
+	head.Header = btserve.HeaderFromHTTP(response.Header)
 	sendErr := btpeer.Send(v.stream, head)
-	cutter := btanswer.NewCutter(v.request.ID)
+	cutter := btanswer.NewFramer(v.request.ID)
 	pooled := relayBuffers.Get().(*[relayChunkBytes]byte)
 	defer relayBuffers.Put(pooled)
 	buffer := pooled[:]
@@ -94,7 +94,7 @@
 // finish sends the end of the answer, marked as complete only if the target's answer
 // was. It stores the answer and releases the slot first: a caller that has received its
 // complete answer may use the slot, or repeat its key, at once.
-func (v *attempt) finish(cutter *btanswer.Cutter, complete bool, recorder *answerRecorder, sendErr error) error {
+func (v *attempt) finish(cutter *btanswer.Framer, complete bool, recorder *answerRecorder, sendErr error) error {
 	recorder.finish(complete)
 	v.release()
 	if sendErr != nil {
@@ -112,7 +112,7 @@
 	if err := btpeer.Send(v.stream, head); err != nil {
 		return err
 	}
-	cutter := btanswer.NewCutter(v.request.ID)
+	cutter := btanswer.NewFramer(v.request.ID)
 	for rest := answer.body; len(rest) > 0; {
 		size := min(len(rest), relayChunkBytes)
 		if err := btpeer.Send(v.stream, cutter.Next(rest[:size])); err != nil {
--- a/io/btagent/serve.go
+++ b/io/btagent/serve.go
@@ -94,7 +94,7 @@
 	if grant.Claim.Service != v.request.Service || grant.Claim.Account != v.request.Account {
 		return fmt.Errorf("grant of %s for a request of %s", grant.Claim.Account, v.request.Account)
 	}
-	if grant.Content != v.request.Content() {
+	if grant.Content != v.request.ContentDigest() {
 		return fmt.Errorf("grant is for other content")
 	}
 	v.grant = &grant
@@ -196,7 +196,7 @@
 		}
 		v.deps.ledger.storeAnswer(v.grant.Claim, keptAnswer{
 			status: response.Status,
-			header: btserve.HeaderOf(response.Header),
+			header: btserve.HeaderFromHTTP(response.Header),
 			body:   body,
 		})
 	}})
--- a/io/btentry/attempt.go
+++ b/io/btentry/attempt.go
@@ -103,7 +103,7 @@
 		Remaining: remaining(s.entry.left(x.deadline)),
 		Method:    x.call.Method,
 		Path:      x.call.Path,
-		Header:    btserve.HeaderOf(x.call.Header),
+		Header:    btserve.HeaderFromHTTP(x.call.Header),
 		Body:      x.call.Body,
 		Stream:    x.call.Stream,
 		Resume:    o.resume,
@@ -240,7 +240,7 @@
 		s.cut(x, result)
 		return true
 	}
-	if !piece.Whole {
+	if !piece.Complete {
 		return false
 	}
 	if unfinished(x, result.status) {
--- a/io/btentry/claim.go
+++ b/io/btentry/claim.go
@@ -26,7 +26,7 @@
 	flow.client = btclaim.NewClient(btclaim.ClientSettings{
 		Request:     x.id,
 		Claim:       btclaim.Claim{Service: x.service.Name, Account: x.account.Name, Key: x.call.Key},
-		Content:     btserve.ContentOf(x.call.Method, x.call.Path, x.call.Body),
+		Content:     btserve.ContentDigest(x.call.Method, x.call.Path, x.call.Body),
 		Epoch:       x.service.CurrentEpoch(),
 		MaxAttempts: x.bundle.Bundle.Retry.MaxAttempts,
 		MaxAsks:     homeAsks,
