--- a/core/btanswer/btanswer_test.go
+++ b/core/btanswer/btanswer_test.go
@@ -25,24 +25,24 @@
 	return btid.Request{Entry: "e1", Incarnation: 1, Number: number}
 }
 
-// answer returns random bytes and the frames that carry them.
-func answer(r *rand.Rand, id btid.Request) ([]byte, []btanswer.Frame) {
-	cutter := btanswer.NewFramer(id)
-	var whole []byte
+// randomAnswer returns random bytes and the frames that carry them.
+func randomAnswer(r *rand.Rand, id btid.Request) ([]byte, []btanswer.Frame) {
+	framer := btanswer.NewFramer(id)
+	var data []byte
 	var frames []btanswer.Frame
 	for range 1 + r.IntN(maxPieces) {
 		piece := make([]byte, 1+r.IntN(maxPieceBytes))
 		for i := range piece {
 			piece[i] = byte(r.Uint32())
 		}
-		whole = append(whole, piece...)
-		frames = append(frames, cutter.Next(piece))
+		data = append(data, piece...)
+		frames = append(frames, framer.Next(piece))
 	}
-	return whole, append(frames, cutter.Last(false))
+	return data, append(frames, framer.Last(false))
 }
 
-// disturb mixes in foreign frames and repeats, and may drop or swap frames.
-func disturb(r *rand.Rand, own, foreign []btanswer.Frame) []btanswer.Frame {
+// injectFaults adds foreign and repeated frames, and may drop or swap frames.
+func injectFaults(r *rand.Rand, own, foreign []btanswer.Frame) []btanswer.Frame {
 	var out []btanswer.Frame
 	for i, f := range own {
 		if r.Float64() < faultShare {
@@ -67,9 +67,9 @@
 	Add(f btanswer.Frame) (btanswer.Piece, error)
 }
 
-// run returns what a caller received, and whether it was told that the answer
-// is whole.
-func run(a assembler, frames []btanswer.Frame) ([]byte, bool) {
+// assemble returns the bytes that a caller receives, and whether the answer is reported
+// as complete.
+func assemble(a assembler, frames []btanswer.Frame) ([]byte, bool) {
 	var got []byte
 	for _, f := range frames {
 		piece, err := a.Add(f)
@@ -81,54 +81,58 @@
 	return got, false
 }
 
-// violation tells how an answer breaks the promise, or is empty.
-func violation(got, want []byte, whole bool) string {
-	if whole && !bytes.Equal(got, want) {
-		return "called whole and is not"
+// violation describes how an answer differs from what the assembler guarantees; empty if
+// it doesn't.
+func violation(got, want []byte, complete bool) string {
+	if complete && !bytes.Equal(got, want) {
+		return "reported as complete and is not"
 	}
 	if !bytes.HasPrefix(want, got) {
-		return "bytes that are not the answer's"
+		return "has bytes that are not the answer's"
 	}
 	return ""
 }
 
-// naive passes on whatever arrives until a frame with an end.
-type naive struct{}
+// unchecked forwards all frames until one with an end, for comparison.
+type unchecked struct{}
 
-func (naive) Add(f btanswer.Frame) (btanswer.Piece, error) {
+func (unchecked) Add(f btanswer.Frame) (btanswer.Piece, error) {
 	return btanswer.Piece{Data: f.Data, Complete: f.End != nil}, nil
 }
 
-func TestDisturbedAnswers(t *testing.T) {
-	var wholes, naiveViolations int
+// Frames are lost, repeated, swapped and mixed with another request's. The assembler must
+// forward only a prefix of the right answer and report it as complete only if it is, which a
+// relay without checks doesn't.
+func TestAssemblerDetectsFaults(t *testing.T) {
+	var completed, uncheckedViolations int
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		want, own := answer(r, request(1))
-		_, foreign := answer(r, request(2))
-		frames := disturb(r, own, foreign)
+		want, own := randomAnswer(r, request(1))
+		_, foreign := randomAnswer(r, request(2))
+		frames := injectFaults(r, own, foreign)
 		a := btanswer.NewAssembler(request(1), btassert.New(btassert.Panic()))
-		got, whole := run(a, frames)
-		assert.Equal(t, violation(got, want, whole), "", "seed %d", seed)
-		if whole {
-			wholes++
+		got, complete := assemble(a, frames)
+		assert.Equal(t, violation(got, want, complete), "", "seed %d", seed)
+		if complete {
+			completed++
 		}
-		got, whole = run(naive{}, frames)
-		if violation(got, want, whole) != "" {
-			naiveViolations++
+		got, complete = assemble(unchecked{}, frames)
+		if violation(got, want, complete) != "" {
+			uncheckedViolations++
 		}
 	}
-	t.Logf("%d seeds: %d whole answers; a relay without checks broke the promise %d times", seeds, wholes, naiveViolations)
-	assert.Assert(t, wholes > seeds/4, "too few whole answers: %d", wholes)
-	assert.Assert(t, naiveViolations > seeds/4, "the run does not disturb enough: %d", naiveViolations)
+	t.Logf("%d seeds: %d complete answers; a relay without checks was wrong %d times", seeds, completed, uncheckedViolations)
+	assert.Assert(t, completed > seeds/4, "too few complete answers: %d", completed)
+	assert.Assert(t, uncheckedViolations > seeds/4, "too few faults injected: a relay without checks was wrong %d times", uncheckedViolations)
 }
 
-func TestEnds(t *testing.T) {
+func TestInvalidEndIsReported(t *testing.T) {
 	id := request(1)
 	cases := []struct {
 		name string
 		end  btanswer.End
 	}{
-		{"cut by the target", btanswer.End{Total: 2, Truncated: true}},
+		{"truncated by the target", btanswer.End{Total: 2, Truncated: true}},
 		{"total too high", btanswer.End{Total: 3}},
 		{"checksum of other bytes", btanswer.End{Total: 2, Checksum: 1}},
 	}
@@ -146,11 +150,11 @@
 
 func ExampleAssembler() {
 	id := btid.Request{Entry: "e1", Incarnation: 7, Number: 1}
-	cutter := btanswer.NewFramer(id)
-	first := cutter.Next([]byte("two seats "))
-	second := cutter.Next([]byte("confirmed"))
+	framer := btanswer.NewFramer(id)
+	first := framer.Next([]byte("two seats "))
+	second := framer.Next([]byte("confirmed"))
 	a := btanswer.NewAssembler(id, btassert.New(btassert.Panic()))
-	for _, f := range []btanswer.Frame{first, first, second, cutter.Last(false)} {
+	for _, f := range []btanswer.Frame{first, first, second, framer.Last(false)} {
 		piece, err := a.Add(f)
 		fmt.Printf("%q whole=%t cut=%t\n", piece.Data, piece.Complete, errors.Is(err, btanswer.ErrIncomplete))
 	}
--- a/core/btanswer/frame.go
+++ b/core/btanswer/frame.go
@@ -1,11 +1,11 @@
-// Package btanswer makes sure that a caller receives the whole answer to its
-// own request and nothing else.
+// Package btanswer frames answers so that a caller receives the complete answer to
+// its own request and nothing else.
 //
-// The agent cuts an answer into frames. Every frame carries the request's
-// identity and the offset of its bytes; the last one carries the total length
-// and a checksum over all bytes. The entry's Assembler passes on only bytes
-// that belong to its request and stand at the next offset, and calls an answer
-// whole only when total and checksum agree.
+// The agent splits an answer into frames. Every frame carries the request's ID
+// and the offset of its bytes; the last one carries the total length and a
+// checksum over all bytes. The entry's Assembler forwards only bytes that belong
+// to its request and follow those before, and reports an answer as complete only
+// if total and checksum match.
 package btanswer
 
 import (
@@ -33,18 +33,19 @@
 	End *End `cbor:"end,omitempty"`
 }
 
-// End closes an answer.
+// End carries the length and checksum of an answer in its last frame.
 type End struct {
-	// Total is the length of the whole answer in bytes.
+	// Total is the length of the answer in bytes.
 	Total uint64 `cbor:"total"`
-	// Checksum is the xxHash64 of the whole answer.
+	// Checksum is the xxHash64 of the answer.
 	Checksum uint64 `cbor:"checksum"`
-	// Truncated tells that the target's answer broke off after Total bytes, so that
-	// the answer must never be passed off as whole.
+	// Truncated tells that the target's answer ended early, after Total bytes, so that
+	// the answer must not be reported as complete.
 	Truncated bool `cbor:"cut,omitempty"`
 }
 
-// Validate reports a frame that no agent sends.
+// Validate returns an error if the frame has no request ID, is empty or too large, or if
+// its end doesn't fit its offset. It wraps ErrFrame.
 func (f Frame) Validate() error {
 	if err := f.ID.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrFrame, err)
@@ -61,30 +62,30 @@
 	return nil
 }
 
-// Framer cuts one answer into frames.
+// Framer splits one answer into frames.
 type Framer struct {
 	id     btid.Request
 	offset uint64
-	sum    *xxhash.Digest
+	hash   *xxhash.Digest
 }
 
-// NewFramer returns a cutter for the answer to the request.
+// NewFramer returns a framer for the answer to the request.
 func NewFramer(id btid.Request) *Framer {
-	return &Framer{id: id, sum: xxhash.New()}
+	return &Framer{id: id, hash: xxhash.New()}
 }
 
 // Next returns the frame that carries data, which must hold 1 to MaxFrameBytes
 // bytes and is not copied.
-func (c *Framer) Next(data []byte) Frame {
-	f := Frame{ID: c.id, Offset: c.offset, Data: data}
-	c.offset += uint64(len(data))
-	_, _ = c.sum.Write(data)
-	return f
+func (f *Framer) Next(data []byte) Frame {
+	frame := Frame{ID: f.id, Offset: f.offset, Data: data}
+	f.offset += uint64(len(data))
+	_, _ = f.hash.Write(data)
+	return frame
 }
 
-// Last returns the frame that ends the answer; cut tells that the target's
-// answer broke off.
-func (c *Framer) Last(cut bool) Frame {
-	end := End{Total: c.offset, Checksum: c.sum.Sum64(), Truncated: cut}
-	return Frame{ID: c.id, Offset: c.offset, End: &end}
+// Last returns the frame that ends the answer; truncated tells that the target's
+// answer ended early.
+func (f *Framer) Last(truncated bool) Frame {
+	end := End{Total: f.offset, Checksum: f.hash.Sum64(), Truncated: truncated}
+	return Frame{ID: f.id, Offset: f.offset, End: &end}
 }
--- a/core/btanswer/fuzz_test.go
+++ b/core/btanswer/fuzz_test.go
@@ -10,13 +10,13 @@
 	"bilberrytide/core/btassert"
 )
 
-// FuzzFrame feeds two frames of any bytes to an assembler after a known piece:
-// they add nothing but the bytes that follow, and never make a whole answer of
-// one that its end doesn't agree with.
+// FuzzFrame decodes two frames from arbitrary bytes and adds them after a valid one. They
+// may only add bytes at the next offset, and the answer may only be complete if its total
+// matches.
 func FuzzFrame(f *testing.F) {
-	cutter := btanswer.NewFramer(request(1))
-	head := cutter.Next([]byte("seats "))
-	rest, last := cutter.Next([]byte("two")), cutter.Last(false)
+	framer := btanswer.NewFramer(request(1))
+	head := framer.Next([]byte("seats "))
+	rest, last := framer.Next([]byte("two")), framer.Last(false)
 	for _, frames := range [][2]btanswer.Frame{
 		{rest, last}, {last, rest}, {head, last},
 		{rest, {ID: request(2), Offset: 9, End: &btanswer.End{Total: 9}}},
--- a/core/btserve/btserve.go
+++ b/core/btserve/btserve.go
@@ -1,9 +1,9 @@
-// Package btserve holds the messages by which an entry has a request served by
-// the agent beside a target, and by which the agent answers.
+// Package btserve defines the messages with which an entry sends a request to the
+// agent of a target and the agent answers.
 //
-// The entry opens one stream a request, sends one Request, and reads one Head.
-// An accepted request's Head is followed by frames of package btanswer; a
-// refused one's Head is the whole answer.
+// The entry opens one stream per request, sends one Request and reads one Head.
+// The Head of an accepted or replayed request is followed by the answer in frames of
+// package btanswer; a refused request's Head is the whole answer.
 package btserve
 
 import (
@@ -22,7 +22,7 @@
 // ErrMessage is wrapped by the error of every malformed message.
 var ErrMessage = errors.New("malformed serve message")
 
-// Limits of a request, which the entry holds callers to.
+// Limits of a request, which the entry enforces on callers' requests.
 const (
 	// MaxMethodBytes is the longest method.
 	MaxMethodBytes = 16
@@ -32,21 +32,22 @@
 	MaxHeaders = 128
 )
 
-// Reasons that agents give and by which entries tell whose fault it was.
+// Reasons in an agent's Head from which the entry decides whether the target is at
+// fault.
 const (
-	// ReasonTargetUnreachable: the target saw nothing of the request.
+	// ReasonTargetUnreachable: no part of the request reached the target.
 	ReasonTargetUnreachable btrequest.Reason = "target_unreachable"
-	// ReasonTargetLost: contact with the target was lost before its answer.
+	// ReasonTargetLost: the connection to the target was lost before its answer.
 	ReasonTargetLost btrequest.Reason = "target_lost"
-	// ReasonDeadline: the deadline passed while the target worked.
+	// ReasonDeadline: the deadline passed while the target ran the request.
 	ReasonDeadline btrequest.Reason = "deadline_passed_running"
 )
 
-// Header is the part of an HTTP header that is passed through, keys in
-// canonical form. Values travel as bytes, since HTTP doesn't hold them to UTF-8.
+// Header holds the forwarded HTTP header fields, keys in canonical form. Values are
+// encoded as bytes, since HTTP doesn't require them to be UTF-8.
 type Header map[string][]cbor.ByteString
 
-// HeaderFromHTTP returns the fields as they travel.
+// HeaderFromHTTP converts fields from net/http.
 func HeaderFromHTTP(h http.Header) Header {
 	out := make(Header, len(h))
 	for name, values := range h {
@@ -59,7 +60,7 @@
 	return out
 }
 
-// HTTP returns the fields as net/http has them.
+// HTTP converts the fields to net/http.
 func (h Header) HTTP() http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
@@ -74,39 +75,39 @@
 
 // Request asks an agent to have its target serve one request.
 type Request struct {
-	// ID is this attempt's own identity, so that no frame of an earlier attempt
-	// can pass for one of this.
+	// ID identifies this attempt, so that frames of an earlier attempt are recognised
+	// and dropped.
 	ID btid.Request `cbor:"id"`
-	// First is the identity of the first attempt: the one that the caller is
-	// told and by which an engine knows a stream that it is asked to resume.
+	// First is the ID of the first attempt. The caller is given it, and an engine
+	// identifies by it the stream that it is asked to resume.
 	First   btid.Request `cbor:"first"`
 	Service btid.Service `cbor:"service"`
 	Account btid.Account `cbor:"account"`
-	// Weight is the account's share when capacity is short.
+	// Weight is the account's relative share of a target that lacks capacity.
 	Weight   float64            `cbor:"weight"`
 	Priority btrequest.Priority `cbor:"priority"`
-	// Remaining is the time left until the deadline when the message was sent;
-	// clocks of entry and agent need not agree.
+	// Remaining is the time from sending the message to the deadline. It is relative,
+	// as the clocks of entry and agent need not agree.
 	Remaining time.Duration `cbor:"remaining"`
 	Method    string        `cbor:"method"`
-	// Path is the escaped path and query as the target is to see it.
+	// Path is the escaped path and query that the target receives.
 	Path   string `cbor:"path"`
 	Header Header `cbor:"header"`
 	Body   []byte `cbor:"body"`
-	// Reserved tells that the entry kept room for the request when it was
+	// Reserved tells that the entry reserved capacity for the request when it was
 	// refused before.
 	Reserved bool `cbor:"reserved,omitempty"`
 	// Stream tells that the caller wants server-sent events.
 	Stream bool `cbor:"stream"`
-	// Resume asks the engine for the rest of a stream of which the caller has
-	// this many events; zero for a new request.
+	// Resume is the number of events of the stream that the caller has already, after
+	// which the engine is to continue; zero for a new request.
 	Resume uint64 `cbor:"resume,omitempty"`
 	// Grant is the at-most-once grant, encoded, for a request with an
 	// idempotency key; empty otherwise.
 	Grant cbor.RawMessage `cbor:"grant,omitempty"`
 }
 
-// Validate reports a request that no entry sends.
+// Validate returns an error if a field is missing or out of range. It wraps ErrMessage.
 func (r Request) Validate() error {
 	if err := r.ID.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMessage, err)
@@ -138,15 +139,15 @@
 	return nil
 }
 
-// Verdict is whether an agent accepts a request.
+// Verdict is an agent's decision on a request.
 type Verdict string
 
 const (
 	// Accepted means that the target has the request and its answer follows.
 	Accepted Verdict = "accepted"
-	// Refused means that this is the whole answer.
+	// Refused means that no answer of a target follows.
 	Refused Verdict = "refused"
-	// Replayed means that the saved answer of an earlier run follows.
+	// Replayed means that the stored answer of an earlier run follows.
 	Replayed Verdict = "replayed"
 )
 
@@ -157,22 +158,23 @@
 	Verdict  Verdict           `cbor:"verdict"`
 	Outcome  btrequest.Outcome `cbor:"outcome,omitempty"`
 	Reason   btrequest.Reason  `cbor:"reason,omitempty"`
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is how long a refused caller without a reservation should wait before
+	// it retries.
 	RetryAfter time.Duration `cbor:"retry_after,omitempty"`
-	// Drained is when a refusing agent expects that all which waits with it has
-	// started. An entry that keeps room for the caller counts from there;
-	// RetryAfter is for callers who come back without.
+	// Drained is the time in which a refusing agent expects to have started all requests
+	// of its queue. An entry that reserves capacity for the caller counts from its end.
 	Drained time.Duration `cbor:"drained,omitempty"`
-	// Status and Header are the target's, for an accepted request.
+	// Status and Header are those of the target's answer; unset for a refused request.
 	Status int    `cbor:"status,omitempty"`
 	Header Header `cbor:"header,omitempty"`
 	// Load is the agent's load report, encoded.
 	Load cbor.RawMessage `cbor:"load,omitempty"`
-	// Sealed is the proof, encoded, that a granted request never will run here.
+	// Sealed is the proof, encoded, that a granted request will never run here.
 	Sealed cbor.RawMessage `cbor:"sealed,omitempty"`
 }
 
-// Validate reports a head that no agent sends.
+// Validate returns an error if a field is missing, out of range or doesn't fit the
+// verdict. It wraps ErrMessage.
 func (h Head) Validate() error {
 	if err := h.ID.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMessage, err)
--- a/core/btserve/content.go
+++ b/core/btserve/content.go
@@ -2,8 +2,8 @@
 
 import "bilberrytide/core/btbundle"
 
-// ContentDigest returns the digest by which a repeat under one idempotency key is
-// told from another request: of the method, the path and the body.
+// ContentDigest returns the digest of a request's method, path and body. It distinguishes
+// a repeat under an idempotency key from another request under the same key.
 func ContentDigest(method, path string, body []byte) btbundle.Digest {
 	content := append([]byte(method+" "+path+"\n"), body...)
 	return btbundle.DigestOf(content)
--- a/core/btserve/example_test.go
+++ b/core/btserve/example_test.go
@@ -10,7 +10,7 @@
 	"bilberrytide/core/btserve"
 )
 
-// A refusal has to say what became of the request, and why.
+// A refusal must carry the request's outcome and a reason.
 func ExampleHead_Validate() {
 	head := btserve.Head{
 		ID:         btid.Request{Entry: "entry-1", Incarnation: 1, Number: 2},
@@ -28,7 +28,7 @@
 	// <nil>
 }
 
-// Header values travel as bytes and come back as they were.
+// Header values are encoded as bytes and decoded unchanged.
 func ExampleHeaderFromHTTP() {
 	header := btserve.HeaderFromHTTP(http.Header{"Accept": {"text/event-stream"}})
 	fmt.Println(header.HTTP().Get("Accept"))
--- a/core/btserve/fuzz_test.go
+++ b/core/btserve/fuzz_test.go
@@ -25,8 +25,8 @@
 
 type message interface{ Validate() error }
 
-// fuzz decodes any bytes: they give an error, or a message that stays the same
-// when it is sent on.
+// fuzz decodes arbitrary bytes: they must give an error or a message that is still valid
+// when it is encoded and decoded again.
 func fuzz[M message](f *testing.F, seeds ...M) {
 	for _, seed := range seeds {
 		data, err := cbor.Marshal(seed)
@@ -59,8 +59,8 @@
 	assert.DeepEqual(t, got.Header.HTTP()["X-Name"], header["X-Name"])
 }
 
-// TestValidate breaks one field at a time.
-func TestValidate(t *testing.T) {
+// Each case makes one field invalid, which Validate must report.
+func TestValidateChecksEachField(t *testing.T) {
 	assert.NilError(t, request.Validate())
 	assert.NilError(t, refused.Validate())
 	long := make([]byte, btserve.MaxPathBytes)
@@ -68,7 +68,7 @@
 	for i := range btserve.MaxHeaders + 1 {
 		many[string(rune('a'+i))] = nil
 	}
-	for i, spoil := range []func(*btserve.Request){
+	for i, invalidate := range []func(*btserve.Request){
 		func(r *btserve.Request) { r.ID.Number = 0 },
 		func(r *btserve.Request) { r.First.Entry = "" },
 		func(r *btserve.Request) { r.Service = "A" },
@@ -81,11 +81,11 @@
 		func(r *btserve.Request) { r.Weight = 0 },
 		func(r *btserve.Request) { r.Weight = math.Inf(1) },
 	} {
-		spoilt := request
-		spoil(&spoilt)
-		assert.Assert(t, errors.Is(spoilt.Validate(), btserve.ErrMessage), "case %d", i)
+		invalid := request
+		invalidate(&invalid)
+		assert.Assert(t, errors.Is(invalid.Validate(), btserve.ErrMessage), "case %d", i)
 	}
-	for i, spoil := range []func(*btserve.Head){
+	for i, invalidate := range []func(*btserve.Head){
 		func(h *btserve.Head) { h.ID.Entry = "" },
 		func(h *btserve.Head) { h.Executor.Incarnation = 0 },
 		func(h *btserve.Head) { h.Verdict = "maybe" },
@@ -94,8 +94,8 @@
 		func(h *btserve.Head) { h.Reason = "" },
 		func(h *btserve.Head) { h.RetryAfter = -1 },
 	} {
-		spoilt := refused
-		spoil(&spoilt)
-		assert.Assert(t, errors.Is(spoilt.Validate(), btserve.ErrMessage), "case %d", i)
+		invalid := refused
+		invalidate(&invalid)
+		assert.Assert(t, errors.Is(invalid.Validate(), btserve.ErrMessage), "case %d", i)
 	}
 }
