--- a/core/btrequest/refusal.go
+++ b/core/btrequest/refusal.go
@@ -28,7 +28,7 @@
 	return &Refusal{Outcome: NotRun, Reason: reason, RetryAfter: after, Message: fmt.Sprintf(format, args...)}
 }
 
-// Lose returns a refusal of a request that may have run.
-func Lose(reason Reason, after time.Duration, format string, args ...any) *Refusal {
+// RefuseUnknown returns a refusal of a request that may have run.
+func RefuseUnknown(reason Reason, after time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{Outcome: Unknown, Reason: reason, RetryAfter: after, Message: fmt.Sprintf(format, args...)}
 }
--- a/io/btentry/claim.go
+++ b/io/btentry/claim.go
@@ -55,7 +55,7 @@
 		event := c.carryOut(ctx, effects[0])
 		effects = c.client.Step(clock(), event)
 	}
-	return btrequest.Lose(btclaim.HomeUnreachable, lostWait, "the request's key home gave no answer")
+	return btrequest.RefuseUnknown(btclaim.HomeUnreachable, lostWait, "the request's key home gave no answer")
 }
 
 // carryOut does one thing and returns what came of it.
@@ -144,7 +144,7 @@
 		e.Reason = c.silent
 	}
 	if _, timed := c.x.call.Key.Time(); e.Reason == btclaim.HistoryLost && !timed {
-		return btrequest.Lose(e.Reason, e.RetryAfter, "the key holds no time, so that its home, which started lately, can't tell whether it was used before; a UUID of version 7 can be told")
+		return btrequest.RefuseUnknown(e.Reason, e.RetryAfter, "the key holds no time, so that its home, which started lately, can't tell whether it was used before; a UUID of version 7 can be told")
 	}
-	return btrequest.Lose(e.Reason, e.RetryAfter, "the request may have run; sending it again with the same %s is safe", "Idempotency-Key")
+	return btrequest.RefuseUnknown(e.Reason, e.RetryAfter, "the request may have run; sending it again with the same %s is safe", "Idempotency-Key")
 }
--- a/io/btentry/dispatch.go
+++ b/io/btentry/dispatch.go
@@ -75,7 +75,7 @@
 		after = lostWait
 	}
 	if ran || last.outcome == btrequest.Unknown {
-		return btrequest.Lose(last.reason, after, "the request was sent and may have run; its answer did not arrive whole")
+		return btrequest.RefuseUnknown(last.reason, after, "the request was sent and may have run; its answer did not arrive whole")
 	}
 	return btrequest.Refuse(last.reason, after, "the request was not run")
 }
--- a/io/btentry/http.go
+++ b/io/btentry/http.go
@@ -146,7 +146,7 @@
 	x.answer.Begin(http.StatusOK, http.Header{"Content-Type": {"application/json"}})
 	_ = x.answer.Add(append(data, '\n'))
 	if err := x.answer.Whole(); err != nil {
-		return btrequest.Lose(ReasonCallerGone, 0, "%v", err)
+		return btrequest.RefuseUnknown(ReasonCallerGone, 0, "%v", err)
 	}
 	return nil
 }
--- a/io/btentry/identify.go
+++ b/io/btentry/identify.go
@@ -63,7 +63,7 @@
 		return nil
 	}
 	if x.keyed() {
-		return btrequest.Lose(ReasonUnlisted, unlistedWait, "bundle %d does not list this entry, which can't tell whether the key was used before", x.bundle.Bundle.Version)
+		return btrequest.RefuseUnknown(ReasonUnlisted, unlistedWait, "bundle %d does not list this entry, which can't tell whether the key was used before", x.bundle.Bundle.Version)
 	}
 	return btrequest.Refuse(ReasonUnlisted, unlistedWait, "bundle %d does not list this entry", x.bundle.Bundle.Version)
 }
--- a/io/btentry/quarantine.go
+++ b/io/btentry/quarantine.go
@@ -31,7 +31,7 @@
 	}
 	const text = "targets have ended under this request"
 	if x.keyed() {
-		return btrequest.Lose(ReasonQuarantined, left, text)
+		return btrequest.RefuseUnknown(ReasonQuarantined, left, text)
 	}
 	return btrequest.Refuse(ReasonQuarantined, left, text)
 }
