--- a/core/btassert/example_test.go
+++ b/core/btassert/example_test.go
@@ -6,7 +6,7 @@
 	"bilberrytide/core/btassert"
 )
 
-// A production process reports the violation and refuses to act on it.
+// A production process reports the violation and doesn't act on the invalid state.
 func Example() {
 	report := btassert.SinkFunc(func(v btassert.Violation) { fmt.Println(v.Error()) })
 	a := btassert.New(report)
--- a/core/btid/btid.go
+++ b/core/btid/btid.go
@@ -1,7 +1,7 @@
-// Package btid holds the identifiers that travel between processes.
+// Package btid defines the identifiers that processes exchange.
 //
-// Every identifier is a distinct type that checks itself when it is decoded
-// from text, so that a malformed name is refused where it enters.
+// Every name is a distinct type that is validated when it is decoded from text, so
+// that a malformed name is rejected at the boundary of the process.
 package btid
 
 import (
@@ -13,12 +13,12 @@
 // ErrName is wrapped by the error of every malformed name.
 var ErrName = errors.New("malformed name")
 
-// MaxNameBytes is the longest name that any identifier may have.
+// MaxNameBytes is the maximum length of a name.
 const MaxNameBytes = 63
 
-// CheckName reports whether text is a usable name: one to 63 bytes of lower
-// case letters, digits, '-', '_' and '.', starting with a letter or digit. The
-// error wraps ErrName.
+// CheckName returns an error unless text is a valid name: one to 63 bytes of lower
+// case letters, digits, '-', '_' and '.', starting with a letter or digit. The error
+// wraps ErrName.
 func CheckName(text string) error {
 	if text == "" {
 		return fmt.Errorf("%w: empty", ErrName)
@@ -41,25 +41,25 @@
 	return !first && (b == '-' || b == '_' || b == '.')
 }
 
-// Host names where processes and targets run; any may be replaced at any time.
+// Host names a host on which processes and targets run; it may be replaced at any time.
 type Host string
 
 // DataCentre names a failure domain inside a region.
 type DataCentre string
 
-// Service names what callers ask for: a model or a plain service.
+// Service names a model or a plain service that callers request.
 type Service string
 
 // Target names one engine or application instance, and the agent beside it.
 type Target string
 
-// Entry names one entry process's place in the fleet.
+// Entry names one entry process of the fleet. The name outlives a restart of the process.
 type Entry string
 
 // Account names a client account.
 type Account string
 
-// Group names a set of ranks that step together.
+// Group names a lock-step group: a set of ranks that step together.
 type Group string
 
 // UnmarshalText checks and sets the name.
@@ -91,32 +91,31 @@
 	return nil
 }
 
-// Incarnation tells one start of a process from the next under the same name.
-// It is the process's start in nanoseconds since 1970, so a later start has a
-// higher number as long as the host's clock is within its stated error. Zero
-// stands for no incarnation.
+// Incarnation distinguishes the starts of a process under one name. It is the start
+// time in nanoseconds since 1970, so a later start has a higher number as long as the
+// host's clock is within its stated error. Zero means that there is none.
 type Incarnation uint64
 
-// String writes the incarnation in hexadecimal.
+// String returns the incarnation in hexadecimal.
 func (i Incarnation) String() string { return strconv.FormatUint(uint64(i), 16) }
 
 // BundleVersion orders bundles; a higher version replaces a lower one.
 type BundleVersion uint64
 
-// Request identifies one request: the entry's incarnation that took it and a
-// number that this incarnation never uses again.
+// Request identifies one request by the incarnation of the entry that received it and
+// a number that is unique within that incarnation.
 type Request struct {
 	Entry       Entry       `cbor:"entry" json:"entry"`
 	Incarnation Incarnation `cbor:"incarnation" json:"incarnation"`
 	Number      uint64      `cbor:"number" json:"number"`
 }
 
-// String writes the request identity as it stands in headers and logs.
+// String returns the request's ID as used in headers and logs.
 func (r Request) String() string {
 	return string(r.Entry) + "-" + r.Incarnation.String() + "-" + strconv.FormatUint(r.Number, 10)
 }
 
-// Validate reports a request identity that no entry could have issued.
+// Validate returns an error if the entry's name is malformed or a number is zero.
 func (r Request) Validate() error {
 	if err := CheckName(string(r.Entry)); err != nil {
 		return fmt.Errorf("request entry: %w", err)
@@ -127,17 +126,17 @@
 	return nil
 }
 
-// Executor is one incarnation of the agent beside a target: the only process
-// that may give that target work.
+// Executor is one incarnation of a target's agent, the only process that may send
+// requests to that target.
 type Executor struct {
 	Target      Target      `cbor:"target" json:"target"`
 	Incarnation Incarnation `cbor:"incarnation" json:"incarnation"`
 }
 
-// String writes the executor as it stands in logs.
+// String returns the executor as used in logs.
 func (e Executor) String() string { return string(e.Target) + "@" + e.Incarnation.String() }
 
-// Validate reports an executor that can't exist.
+// Validate returns an error if the target's name is malformed or the incarnation is zero.
 func (e Executor) Validate() error {
 	if err := CheckName(string(e.Target)); err != nil {
 		return fmt.Errorf("executor target: %w", err)
--- a/core/btid/example_test.go
+++ b/core/btid/example_test.go
@@ -8,7 +8,7 @@
 	"bilberrytide/core/btid"
 )
 
-// A malformed name is refused where it is decoded.
+// A malformed name is rejected when it is decoded.
 func ExampleTarget() {
 	var target btid.Target
 	err := json.Unmarshal([]byte(`"pages-1"`), &target)
