--- a/core/btrequest/btrequest.go
+++ b/core/btrequest/btrequest.go
@@ -1,6 +1,6 @@
-// Package btrequest holds what every part of the request path shares: the
-// outcome told to the caller, the reason for it, the deadline and the
-// idempotency key.
+// Package btrequest defines the types that all parts of the request path share: the
+// outcome of a request, the reason for it, its priority and its idempotency key, and
+// the refusal that a caller is answered with.
 package btrequest
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/google/uuid"
 )
 
-// Outcome is what a caller is told about one request. Each request ends in
+// Outcome is the result of a request as reported to the caller. Each request ends in
 // exactly one of the three.
 type Outcome string
 
 const (
-	// Done means that the target ran the request and this is its whole answer.
+	// Done means that the target ran the request and its complete answer is returned.
 	Done Outcome = "done"
-	// NotRun means that there is evidence that no target ran the request and
-	// that none ever will.
+	// NotRun means that there is evidence that no target ran the request and that
+	// none will.
 	NotRun Outcome = "not_run"
-	// Unknown means that the request may have run: contact was lost after it
+	// Unknown means that the request may have run: the connection was lost after it
 	// was sent, or the evidence that it didn't run is gone.
 	Unknown Outcome = "unknown"
 )
@@ -29,23 +29,22 @@
 // Valid tells whether the outcome is one of the three.
 func (o Outcome) Valid() bool { return o == Done || o == NotRun || o == Unknown }
 
-// Reason names why a request was refused, retried or given up on. It is a
-// snake case word that is at once a counter's name, a field in logs and a
-// field in error bodies.
+// Reason identifies why a request was refused, retried or abandoned. It is in snake
+// case, as it is also used as a counter's name and as a field of logs and error bodies.
 type Reason string
 
-// MaxKeyBytes is the longest idempotency key accepted.
+// MaxKeyBytes is the maximum length of an idempotency key.
 const MaxKeyBytes = 255
 
 // ErrKey is wrapped by the error of every malformed idempotency key.
 var ErrKey = errors.New("malformed idempotency key")
 
-// Key is a caller's idempotency key: a request that carries one runs at most
-// once. The zero Key stands for none.
+// Key is a caller's idempotency key: a request with a key runs at most once. The zero
+// Key means that there is none.
 type Key string
 
-// Validate reports a key that is too long or holds unprintable bytes. The error
-// wraps ErrKey.
+// Validate returns an error if the key is too long or contains a space or a byte that
+// isn't printable ASCII. The error wraps ErrKey.
 func (k Key) Validate() error {
 	if len(k) > MaxKeyBytes {
 		return fmt.Errorf("%w: %d bytes, at most %d", ErrKey, len(k), MaxKeyBytes)
@@ -58,8 +57,8 @@
 	return nil
 }
 
-// Time returns the time at which the key was made, to the millisecond, where
-// the key is a UUID of version 7; false for any other key.
+// Time returns the creation time of a key that is a UUID of version 7, to the
+// millisecond; false for any other key.
 func (k Key) Time() (time.Time, bool) {
 	id, err := uuid.Parse(string(k))
 	if err != nil || id.Version() != 7 {
@@ -76,11 +75,11 @@
 type Priority int8
 
 const (
-	// Low is for work that may wait, such as summaries made overnight.
+	// Low is for batch work that may wait, such as summaries made overnight.
 	Low Priority = -1
 	// Normal is the priority of a request that names none.
 	Normal Priority = 0
-	// High is for a person who waits, such as a deadline check.
+	// High is for requests that a person waits for, such as a deadline check.
 	High Priority = 1
 )
 
--- a/core/btrequest/example_test.go
+++ b/core/btrequest/example_test.go
@@ -8,7 +8,7 @@
 	"bilberrytide/core/btrequest"
 )
 
-// A refusal travels as an error and holds all that the caller is told.
+// A refusal is an error that holds all that the caller is answered with.
 func ExampleRefuse() {
 	var err error = btrequest.Refuse("queue_full", 2*time.Second, "%d requests wait", 40)
 	fmt.Println(err)
@@ -21,7 +21,7 @@
 	// not_run 2s
 }
 
-// A key that is a UUID of version 7 tells when it was made; others don't.
+// Only a key that is a UUID of version 7 contains its creation time.
 func ExampleKey_Time() {
 	made, known := btrequest.Key("0190163d-8694-739b-aea5-966c26f8ad91").Time()
 	fmt.Println(made.UTC().Format(time.RFC3339Nano), known)
