--- a/core/btrendezvous/btrendezvous.go
+++ b/core/btrendezvous/btrendezvous.go
@@ -1,6 +1,6 @@
-// Package btrendezvous orders members by highest random weight, so that every
-// process that knows the same members computes the same order with no message,
-// and a change of one member moves only that member's share of the keys.
+// Package btrendezvous implements rendezvous hashing (highest random weight). Every
+// process that knows the same members computes the same order without exchanging
+// messages, and adding or removing a member moves only that member's keys.
 package btrendezvous
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order returns the members, best first, for the key. Members must be distinct.
-// It does not change its argument.
+// Order returns the members in descending order of weight for the key. Members must be
+// distinct. The argument isn't changed.
 func Order[M ~string](key string, members []M) []M {
 	type weighted struct {
 		member M
@@ -34,8 +34,8 @@
 	return order
 }
 
-// First returns the best member for the key, or false where there is none. It
-// is Order's first without the sort.
+// First returns the member with the highest weight for the key, the first of Order,
+// without sorting; false if there are no members.
 func First[M ~string](key string, members []M) (M, bool) {
 	var best M
 	var bestWeight uint64
@@ -58,16 +58,16 @@
 	return d.Sum64()
 }
 
-// IndexOf returns how many of the others are better than the member for the key: its
-// index in Order's list of them all, without the sort.
+// IndexOf returns the index that the member has for the key in the Order of itself and
+// the others, without sorting.
 func IndexOf[M ~string](key string, member M, others []M) int {
 	own := weight(key, string(member))
-	place := 0
+	index := 0
 	for _, o := range others {
 		w := weight(key, string(o))
 		if w > own || w == own && o < member {
-			place++
+			index++
 		}
 	}
-	return place
+	return index
 }
--- a/core/btrendezvous/example_test.go
+++ b/core/btrendezvous/example_test.go
@@ -7,8 +7,8 @@
 	"bilberrytide/core/btrendezvous"
 )
 
-// When a member leaves, the keys that it had go to their next best member; all
-// others stay where they are.
+// If a member is removed, its keys move to the next member in their order; all other keys
+// stay where they are.
 func ExampleOrder() {
 	members := []string{"agent-1", "agent-2", "agent-3", "agent-4"}
 	order := btrendezvous.Order("himal/receipt-7", members)
