--- a/core/btwire/btwire.go
+++ b/core/btwire/btwire.go
@@ -1,6 +1,6 @@
-// Package btwire holds the one encoding that all processes share: CBOR, with
-// times to the nanosecond. Encode and Decode are for messages that travel inside
-// others; the transport between processes takes its modes from here.
+// Package btwire defines the encoding that all processes share: CBOR, with times to
+// the nanosecond. Encode and Decode are for messages embedded in others; the transport
+// between processes uses the same modes.
 package btwire
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed is wrapped by the error of bytes that are no valid message.
+// ErrMalformed is wrapped by every error of Encode and Decode.
 var ErrMalformed = errors.New("malformed embedded message")
 
-// maxNesting is how deep the arrays and maps of a message may nest.
+// maxNesting is the maximum nesting depth of a message's arrays and maps.
 const maxNesting = 16
 
-// maxItems bounds one array or map of an embedded message.
+// maxItems is the maximum number of elements in one array or map of an embedded message.
 const maxItems = 1 << 16
 
 var (
@@ -24,11 +24,11 @@
 	decoding = DecodeMode(maxItems)
 )
 
-// EncodeMode returns the encoding that all processes share.
+// EncodeMode returns the CBOR options for encoding that all processes share.
 func EncodeMode() cbor.UserBufferEncMode { return encoding }
 
-// DecodeMode returns what a process accepts from a peer: no key twice in a map,
-// no item of indefinite length, and at most items elements in one array or map.
+// DecodeMode returns the CBOR options for decoding a peer's messages: no duplicate keys
+// in a map, no items of indefinite length, and at most items elements in one array or map.
 func DecodeMode(items int) cbor.DecMode {
 	return mustMode(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -39,8 +39,7 @@
 	}.DecMode())
 }
 
-// mustMode panics on options that the library refuses, which is a fault in the
-// program.
+// mustMode panics if the library rejects the options, which is a programming error.
 func mustMode[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
@@ -48,13 +47,13 @@
 	return mode
 }
 
-// Validator is a message that checks itself after it was decoded.
+// Validator is a message with a check that Decode runs.
 type Validator interface {
 	Validate() error
 }
 
-// ValidateList checks a list of messages that one message holds: that there are at most so
-// many, and each of them. The error of too many wraps the given one.
+// ValidateList validates a list of embedded messages: there may be at most so many, and
+// each must be valid. The error for too many wraps malformed.
 func ValidateList[M Validator](list []M, most int, malformed error) error {
 	if len(list) > most {
 		return fmt.Errorf("%w: %d of them, at most %d", malformed, len(list), most)
@@ -67,7 +66,7 @@
 	return nil
 }
 
-// Encode returns the message in CBOR.
+// Encode returns the message in CBOR. The error wraps ErrMalformed.
 func Encode(message Validator) (cbor.RawMessage, error) {
 	data, err := encoding.Marshal(message)
 	if err != nil {
@@ -76,7 +75,7 @@
 	return data, nil
 }
 
-// Decode reads and checks a message. The error wraps ErrMalformed.
+// Decode decodes and validates a message. The error wraps ErrMalformed.
 func Decode[T Validator](data cbor.RawMessage) (T, error) {
 	var message T
 	if err := decoding.Unmarshal(data, &message); err != nil {
--- a/core/btwire/btwire_test.go
+++ b/core/btwire/btwire_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// A grant's times decide whether it may still start; seconds would not do.
+// A grant's times decide whether its request may still start. Encoding them in whole
+// seconds would move that decision.
 func TestTimesKeepTheirNanoseconds(t *testing.T) {
 	data, err := btwire.Encode(grant())
 	assert.NilError(t, err)
@@ -32,10 +33,11 @@
 	assert.Assert(t, got.NotAfter.Equal(grant().NotAfter))
 }
 
-// A peer's message may be read in two ways where a key stands twice.
-func TestKeysTwiceAndIndefiniteLengthsAreRefused(t *testing.T) {
+// Decoders differ in which value of a duplicate key they use, so a peer's message with one
+// must be rejected. Items of indefinite length are rejected, too.
+func TestDuplicateKeysAndIndefiniteLengthsAreRejected(t *testing.T) {
 	cases := map[string][]byte{
-		"key twice":         []byte("\xa2\x66target\x61a\x66target\x61b"),
+		"duplicate key":     []byte("\xa2\x66target\x61a\x66target\x61b"),
 		"indefinite length": []byte("\xbf\x66target\x61a\xff"),
 	}
 	for name, data := range cases {
