--- a/core/btbench/baseline.go
+++ b/core/btbench/baseline.go
@@ -6,17 +6,17 @@
 	"bilberrytide/core/btroute"
 )
 
-// candidate is what a router's policy chooses from.
+// candidate is an element of the list from which a router's policy chooses.
 type candidate = *btroute.Candidate
 
-// roundRobin is a baseline: each candidate in turn.
+// roundRobin is a baseline policy that chooses candidates in turn.
 type roundRobin struct{ next int }
 
-// random is a baseline: any candidate.
+// random is a baseline policy that chooses a uniformly random candidate.
 type random struct{ source *rand.Rand }
 
-// leastReported is a baseline: the least load by the last report, the first of
-// equals after a random start.
+// leastReported is a baseline policy that chooses the candidate with the least load in
+// its last report. Ties go to the first one after a random start.
 type leastReported struct{ source *rand.Rand }
 
 var (
@@ -25,7 +25,7 @@
 	_ btroute.Policy[candidate] = (*leastReported)(nil)
 )
 
-// newRoundRobin starts each entry at another turn.
+// newRoundRobin returns a round robin that starts at a different candidate per entry.
 func newRoundRobin(entry int, _ rand.Source) btroute.Policy[candidate] {
 	return &roundRobin{next: entry}
 }
@@ -44,12 +44,12 @@
 	return r.next % len(candidates)
 }
 
-// Choose returns any candidate.
+// Choose returns a random candidate.
 func (r *random) Choose(_ *btroute.Query, candidates []candidate) int {
 	return r.source.IntN(len(candidates))
 }
 
-// Choose returns the candidate of the least reported load.
+// Choose returns the candidate with the least reported load.
 func (l *leastReported) Choose(_ *btroute.Query, candidates []candidate) int {
 	start := l.source.IntN(len(candidates))
 	best := start
@@ -62,7 +62,7 @@
 	return best
 }
 
-// reported is how many requests the candidate's last report counts.
+// reported returns the running and waiting requests of the candidate's last report.
 func reported(c candidate) int {
 	report, _ := c.Load().Report()
 	return report.Running + report.Waiting
--- a/core/btbench/btbench.go
+++ b/core/btbench/btbench.go
@@ -1,10 +1,10 @@
-// Package btbench replays seeded request traces against modelled targets, to
+// Package btbench replays seeded request traces against simulated targets, to
 // compare routing policies with each other.
 //
-// It is a bench for policies and no cluster simulator: entries run the real
-// routers, load trackers and retry rules, while targets, delays and faults are
-// a queueing model. Every policy sees the same trace, and one trace with one
-// seed always gives the same figures. Run it by
+// It is a benchmark of policies and not a cluster simulator: entries run the real
+// routers, load trackers and retry rules, while targets, delays and faults are a
+// queueing model. Every policy gets the same trace, and the results are
+// deterministic for a trace and a seed. Run it with
 //
 //	go test -run '^$' -bench Policies -benchtime 1x ./core/btbench
 package btbench
@@ -18,36 +18,36 @@
 	"bilberrytide/core/btroute"
 )
 
-// FirstTokenGoal is the time to the first token that counts as good.
-const FirstTokenGoal = 1300 * time.Millisecond
+// FirstTokenObjective is the longest time to the first token that counts as good.
+const FirstTokenObjective = 1300 * time.Millisecond
 
-// Fleet is the modelled size and speed.
+// Fleet is the size and speed of the simulated fleet.
 type Fleet struct {
 	Targets     int
 	DataCentres int
-	// Slots and Queue are each target's.
+	// Slots and Queue are the concurrent and the queued requests of each target.
 	Slots, Queue int
-	// AdmitNew and AdmitReserved are the shares of the time left to the first
-	// token's goal that an agent's estimate may fill, for a new request and for
-	// one with a reservation. Below 1 they leave room for estimates that fail.
+	// AdmitNew and AdmitReserved are the shares of the time left until the first-token
+	// objective that an agent's estimated time to the first token may take, for a new
+	// request and for one with a reservation. Below 1 they allow for wrong estimates.
 	AdmitNew, AdmitReserved float64
-	// Prefill is the time per prompt token; prompts are processed in turn.
+	// Prefill is the time per prompt token; a target processes one prompt at a time.
 	Prefill time.Duration
-	// Step is the time per generated token at a full batch; an empty batch
-	// takes StepFloor of it.
+	// Step is the time per generated token at a full batch, StepFloor the share of it
+	// that an empty batch takes.
 	Step      time.Duration
 	StepFloor float64
-	// Lockstep makes the targets ranks of one group: each step takes as long as
-	// the slowest rank's, whose expert work differs.
+	// Lockstep makes the targets ranks of one group, whose expert work differs: each
+	// step takes as long as that of the slowest rank.
 	Lockstep bool
 	// CacheChunks is how many prefix chunks a target's cache holds.
 	CacheChunks int
-	// Hop and FarHop are one-way delays inside and between data centres.
-	Hop, FarHop time.Duration
+	// LocalDelay and RemoteDelay are one-way delays inside and between data centres.
+	LocalDelay, RemoteDelay time.Duration
 }
 
-// DefaultFleet is one service of the size of today: 16 engines in three data
-// centres, an entry in each.
+// DefaultFleet returns one service of today's size: 16 engines in three data centres, and
+// one entry in each data centre.
 func DefaultFleet() Fleet {
 	return Fleet{
 		Targets:       16,
@@ -60,69 +60,69 @@
 		Step:          10 * time.Millisecond,
 		StepFloor:     0.5,
 		CacheChunks:   800,
-		Hop:           500 * time.Microsecond,
-		FarHop:        1500 * time.Microsecond,
+		LocalDelay:    500 * time.Microsecond,
+		RemoteDelay:   1500 * time.Microsecond,
 	}
 }
 
-// Faults are what goes wrong in one case, and when.
+// Faults are the faults injected in one case.
 type Faults struct {
 	// From is when faults start.
 	From time.Duration
-	// SlowTarget makes the last target this many times slower; zero is none.
+	// SlowTarget is the factor by which the last target is slowed down; zero for none.
 	SlowTarget float64
-	// DeadDataCentre loses the second data centre with its entry.
+	// DeadDataCentre stops the second data centre with its entry.
 	DeadDataCentre bool
-	// ReportLag is how old a load sample is when it is sent.
+	// ReportLag is the age of a load sample when it is sent.
 	ReportLag time.Duration
-	// EventDelay is how late cache events arrive; EventLoss the share of
-	// batches that never do.
+	// EventDelay is the delay of cache events, EventLoss the share of batches that are
+	// lost.
 	EventDelay time.Duration
 	EventLoss  float64
 }
 
-// Case is one row group of the table.
+// Case is a workload with faults and retries: one group of rows in the table.
 type Case struct {
 	Name   string
 	Load   Workload
 	Faults Faults
-	// Return makes refused callers come back once, when they were told to.
-	Return Return
-	// AnyEntry makes them come back to any entry, and not to the one that
-	// refused them.
-	AnyEntry bool
+	// RetryTiming makes refused callers retry once, at the time that they were told.
+	RetryTiming RetryTiming
+	// RetryAnyEntry makes them retry at a random entry instead of the one that refused
+	// them.
+	RetryAnyEntry bool
 }
 
-// Return is how a refused caller's time to come back is worked out.
-type Return int
+// RetryTiming selects how the time at which a refused caller should retry is computed.
+type RetryTiming int
 
 const (
-	// NoReturn: refused callers stay away.
-	NoReturn Return = iota
+	// NoRetry: refused callers don't retry.
+	NoRetry RetryTiming = iota
 	// ByQueue: when the refusing agent's queue will have room.
 	ByQueue
 	// ByReservation: at a time reserved by the entry.
 	ByReservation
 )
 
-// Contender is one policy with the configuration it runs under.
-type Contender struct {
+// PolicyConfig is a routing policy with the router's configuration.
+type PolicyConfig struct {
 	Name string
 	Load btload.Config
-	// SkewWeight is the router's.
+	// SkewWeight is the router's setting of that name.
 	SkewWeight float64
-	// Policy makes the policy of one entry; nil keeps the router's own.
+	// Policy returns the policy of one entry; nil keeps the router's own.
 	Policy func(entry int, source rand.Source) btroute.Policy[candidate]
 }
 
-// Contenders returns the policy in use, the same without the correction by own
-// sends, and the baselines.
-func Contenders() []Contender {
-	inUse := Contender{Name: "sampled", Load: btload.Defaults(), SkewWeight: btroute.Defaults().SkewWeight}
+// Policies returns the policy in use, the same without correcting reports by the
+// entry's own sends, and the baselines.
+func Policies() []PolicyConfig {
+	inUse := PolicyConfig{Name: "sampled", Load: btload.Defaults(), SkewWeight: btroute.Defaults().SkewWeight}
 	uncorrected := inUse
 	uncorrected.Name = "sampled_uncorrected"
 	uncorrected.Load.Uncorrected = true
-	return []Contender{
+	return []PolicyConfig{
 		inUse,
 		uncorrected,
 		{Name: "round_robin", Load: btload.Defaults(), Policy: newRoundRobin},
@@ -131,16 +131,16 @@
 	}
 }
 
-// SkewContenders returns the policy in use under several weights for the part
-// that a rank has in its group's step, and the baselines.
-func SkewContenders() []Contender {
-	var contenders []Contender
-	all := Contenders()
+// SkewPolicies returns the policy in use with several values of SkewWeight, the weight of
+// a rank's share in its group's step time, and the baselines.
+func SkewPolicies() []PolicyConfig {
+	var policies []PolicyConfig
+	all := Policies()
 	for _, weight := range []float64{0, 1, 5, 20, 80} {
 		c := all[0]
 		c.Name = fmt.Sprintf("sampled, skew weight %v", weight)
 		c.SkewWeight = weight
-		contenders = append(contenders, c)
+		policies = append(policies, c)
 	}
-	return append(contenders, all[2:]...)
+	return append(policies, all[2:]...)
 }
--- a/core/btbench/cases.go
+++ b/core/btbench/cases.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Loads as shares of the measured capacity.
+// Offered loads as multiples of the measured capacity.
 const (
 	normalLoad    = 0.7
 	faultedLoad   = 0.6
 	overload      = 2.0
 	afterOverload = 0.5
 	lockstepLoad  = 0.55
-	// saturation is far above any capacity.
+	// saturation is a request rate far above any capacity.
 	saturation = 1000
 )
 
-// Capacity measures how many requests a second the healthy fleet answers under
-// the policy, with far more offered than it can take.
-func Capacity(f Fleet, p Contender, seed uint64) float64 {
+// Capacity returns the requests a second that the healthy fleet answers under the policy
+// when the offered load is far above that.
+func Capacity(f Fleet, p PolicyConfig, seed uint64) float64 {
 	w := DefaultWorkload(seed, saturation)
 	w.Length = 20 * time.Second
 	return Replay(f, Case{Name: "capacity", Load: w}, p, Trace(w)).Throughput
@@ -36,15 +36,15 @@
 		{Name: "dead_data_centre", Load: faulted, Faults: Faults{From: from, DeadDataCentre: true}},
 		{Name: "reports_lag_2s", Load: faulted, Faults: Faults{From: 0, ReportLag: 2 * time.Second}},
 		{Name: "cache_events_late", Load: faulted, Faults: Faults{From: 0, EventDelay: 5 * time.Second, EventLoss: 0.2}},
-		{Name: "peak_by_queue", Load: peak, Return: ByQueue},
-		{Name: "peak_reserved", Load: peak, Return: ByReservation},
-		{Name: "peak_reserved_any_entry", Load: peak, Return: ByReservation, AnyEntry: true},
-		{Name: "steady_by_queue", Load: steady, Return: ByQueue},
-		{Name: "steady_reserved", Load: steady, Return: ByReservation},
+		{Name: "peak_by_queue", Load: peak, RetryTiming: ByQueue},
+		{Name: "peak_reserved", Load: peak, RetryTiming: ByReservation},
+		{Name: "peak_reserved_any_entry", Load: peak, RetryTiming: ByReservation, RetryAnyEntry: true},
+		{Name: "steady_by_queue", Load: steady, RetryTiming: ByQueue},
+		{Name: "steady_reserved", Load: steady, RetryTiming: ByReservation},
 	}
 }
 
-// LockstepCase is a healthy case for a group of ranks.
+// LockstepCase returns a fleet that is one lock-step group and a case without faults.
 func LockstepCase(seed uint64, capacity float64) (Fleet, Case) {
 	f := DefaultFleet()
 	f.Lockstep = true
--- a/core/btbench/entry.go
+++ b/core/btbench/entry.go
@@ -11,9 +11,9 @@
 	"bilberrytide/core/btroute"
 )
 
-// entry is one entry host with its own view of the targets.
+// entry is one entry with its own view of the targets.
 type entry struct {
-	world      *world
+	sim        *simulation
 	dataCentre int
 	dead       bool
 	router     *btroute.Router
@@ -23,28 +23,28 @@
 	numbers    uint64
 }
 
-// call is one submission by a caller.
+// call is one request by a caller, either its first or its retry.
 type call struct {
 	arrival  *Arrival
 	entry    *entry
 	at       time.Time
-	goal     time.Time
-	returned bool
-	// reserved tells that the entry knew the caller again.
+	deadline time.Time
+	retried  bool
+	// reserved tells that the entry recognised the retry by its reservation.
 	reserved bool
 	tried    []btid.Target
-	// after is the shortest wait that a refusing agent named.
-	after time.Duration
+	// retryAfter is the shortest wait that a refusing agent returned.
+	retryAfter time.Duration
 }
 
-// attempt is one sending of a call to a target.
+// attempt is one attempt to serve a call at a target.
 type attempt struct {
-	call    *call
-	arrival *Arrival
-	engine  *engine
-	number  uint64
-	hits    int
-	over    bool
+	call     *call
+	arrival  *Arrival
+	engine   *engine
+	number   uint64
+	hits     int
+	finished bool
 }
 
 func (t *entry) step(now time.Time, event btroute.Event) {
@@ -53,30 +53,30 @@
 	}
 	for _, f := range t.router.Step(now, event) {
 		if _, ok := f.(btroute.Ejected); ok {
-			t.world.result.Ejections++
+			t.sim.result.Ejections++
 		}
 	}
 }
 
-// submit is a caller's request at the entry that the balancer chose, or at the
-// next one that is alive.
-func (w *world) submit(now time.Time, a *Arrival, chosen int, returned bool) {
-	i := chosen % len(w.entries)
-	for w.entries[i].dead {
-		i = (i + 1) % len(w.entries)
+// submit handles a caller's request at the entry that the balancer chose, or at the next
+// one that is alive.
+func (s *simulation) submit(now time.Time, a *Arrival, chosen int, returned bool) {
+	i := chosen % len(s.entries)
+	for s.entries[i].dead {
+		i = (i + 1) % len(s.entries)
 	}
-	c := &call{arrival: a, entry: w.entries[i], at: now, goal: now.Add(FirstTokenGoal), returned: returned}
+	c := &call{arrival: a, entry: s.entries[i], at: now, deadline: now.Add(FirstTokenObjective), retried: returned}
 	c.reserved = returned && c.entry.reserved.Claim(now, a.fingerprint())
 	c.entry.budget.CountRequest()
-	w.result.submitted(c)
-	w.send(now, c)
+	s.result.addSubmission(c)
+	s.send(now, c)
 }
 
-// send picks a target and sends the call to it.
-func (w *world) send(now time.Time, c *call) {
+// send selects a target and sends the call to it.
+func (s *simulation) send(now time.Time, c *call) {
 	t := c.entry
 	if t.dead {
-		w.result.failed(c)
+		s.result.addFailure(c)
 		return
 	}
 	choice, err := t.router.Pick(now, btroute.Request{
@@ -88,11 +88,11 @@
 	})
 	var none *btroute.NoTargetError
 	if errors.As(err, &none) {
-		w.refuse(now, c)
+		s.refuse(now, c)
 		return
 	}
 	t.numbers++
-	a := &attempt{call: c, arrival: c.arrival, engine: w.engine(choice.Target), number: t.numbers}
+	a := &attempt{call: c, arrival: c.arrival, engine: s.engine(choice.Target), number: t.numbers}
 	c.tried = append(c.tried, choice.Target)
 	t.step(now, btroute.LoadEvent{Event: btload.Sent{
 		Target:   choice.Target,
@@ -100,11 +100,11 @@
 		Tokens:   c.arrival.Tokens(),
 		Prefixes: c.arrival.Prefixes,
 	}})
-	w.at(now.Add(w.hop(a.engine, t)), func(now time.Time) { w.arrive(now, a) })
+	s.schedule(now.Add(s.delay(a.engine, t)), func(now time.Time) { s.arrive(now, a) })
 }
 
-func (w *world) engine(name btid.Target) *engine {
-	for _, e := range w.engines {
+func (s *simulation) engine(name btid.Target) *engine {
+	for _, e := range s.engines {
 		if e.name == name {
 			return e
 		}
@@ -112,114 +112,115 @@
 	panic("unknown target " + string(name))
 }
 
-// arrive is the attempt at its agent. A dead one answers nothing; those it was
-// working on when it died are lost likewise.
-func (w *world) arrive(now time.Time, a *attempt) {
+// arrive handles an attempt at its agent. A dead agent doesn't answer, neither this
+// attempt nor those that it was running when it died.
+func (s *simulation) arrive(now time.Time, a *attempt) {
 	if a.engine.dead {
-		w.at(now.Add(contactTimeout), func(now time.Time) { w.lost(now, a) })
+		s.schedule(now.Add(contactTimeout), func(now time.Time) { s.loseContact(now, a) })
 		return
 	}
-	refused, after := a.engine.accept(now, a)
+	refused, after := a.engine.admit(now, a)
 	if !refused {
 		return
 	}
-	w.tell(now, a.engine, a.call.entry)
-	w.at(now.Add(w.hop(a.engine, a.call.entry)), func(now time.Time) {
+	s.sendReport(now, a.engine, a.call.entry)
+	s.schedule(now.Add(s.delay(a.engine, a.call.entry)), func(now time.Time) {
 		c := a.call
-		if c.after == 0 || after < c.after {
-			c.after = after
+		if c.retryAfter == 0 || after < c.retryAfter {
+			c.retryAfter = after
 		}
-		w.close(now, a, btload.Finished{Target: a.engine.name, Number: a.number, Refused: true})
-		w.again(now, a, btrequest.NotRun)
+		s.finishAttempt(now, a, btload.Finished{Target: a.engine.name, Number: a.number, Refused: true})
+		s.retry(now, a, btrequest.NotRun)
 	})
 }
 
-// lost tells the caller that contact with the agent is gone.
-func (w *world) lost(now time.Time, a *attempt) {
-	if a.over {
+// loseContact ends an attempt after the entry lost contact with its agent.
+func (s *simulation) loseContact(now time.Time, a *attempt) {
+	if a.finished {
 		return
 	}
-	w.close(now, a, btload.Finished{Target: a.engine.name, Number: a.number})
+	s.finishAttempt(now, a, btload.Finished{Target: a.engine.name, Number: a.number})
 	a.call.entry.step(now, btroute.Failed{Target: a.engine.name, Reason: btretry.RetryUnknown})
-	w.again(now, a, btrequest.Unknown)
+	s.retry(now, a, btrequest.Unknown)
 }
 
-func (w *world) close(now time.Time, a *attempt, event btload.Finished) {
-	a.over = true
+func (s *simulation) finishAttempt(now time.Time, a *attempt, event btload.Finished) {
+	a.finished = true
 	a.call.entry.step(now, btroute.LoadEvent{Event: event})
 }
 
-// again asks the retry rules what becomes of a call whose attempt failed.
-func (w *world) again(now time.Time, a *attempt, outcome btrequest.Outcome) {
+// retry sends a call whose attempt failed again if the retry rules allow it, and ends it
+// otherwise.
+func (s *simulation) retry(now time.Time, a *attempt, outcome btrequest.Outcome) {
 	c := a.call
 	decision := c.entry.decider.Decide(now, btretry.Attempt{
 		Outcome:  outcome,
 		Keyed:    c.arrival.Keyed,
 		Number:   len(c.tried),
-		Deadline: c.goal,
+		Deadline: c.deadline,
 	})
 	if decision.Retry {
-		w.result.Retries++
-		w.at(decision.At, func(now time.Time) { w.send(now, c) })
+		s.result.Retries++
+		s.schedule(decision.At, func(now time.Time) { s.send(now, c) })
 		return
 	}
 	if outcome == btrequest.NotRun {
-		w.refuse(now, c)
+		s.refuse(now, c)
 		return
 	}
-	w.result.failed(c)
+	s.result.addFailure(c)
 }
 
-// refuse gives the final answer at once, with the time to come back in whole
-// seconds, as the header has it.
-func (w *world) refuse(now time.Time, c *call) {
-	w.result.refused(c)
-	if w.returns == NoReturn || c.returned {
+// refuse ends the call at once. The caller is told to retry after a time in whole seconds,
+// as in the Retry-After header.
+func (s *simulation) refuse(now time.Time, c *call) {
+	s.result.addRefusal(c)
+	if s.retryTiming == NoRetry || c.retried {
 		return
 	}
-	wait := (c.after + time.Second - 1).Truncate(time.Second)
-	if w.returns == ByReservation {
+	wait := (c.retryAfter + time.Second - 1).Truncate(time.Second)
+	if s.retryTiming == ByReservation {
 		var reason btrequest.Reason
-		wait, reason = c.entry.reserved.Reserve(now, c.arrival.fingerprint(), c.after)
+		wait, reason = c.entry.reserved.Reserve(now, c.arrival.fingerprint(), c.retryAfter)
 		if reason == btretry.Unreserved {
-			w.result.Unreserved++
+			s.result.Unreserved++
 		}
 	}
-	w.result.waits(wait)
+	s.result.addWait(wait)
 	chosen := int(c.arrival.Entry)
-	if w.anyEntry {
-		chosen = w.random.IntN(len(w.entries))
+	if s.retryAnyEntry {
+		chosen = s.random.IntN(len(s.entries))
 	}
-	w.at(now.Add(wait), func(now time.Time) { w.submit(now, c.arrival, chosen, true) })
+	s.schedule(now.Add(wait), func(now time.Time) { s.submit(now, c.arrival, chosen, true) })
 }
 
-// started is the first token leaving the target.
-func (w *world) started(now time.Time, a *attempt) {
+// firstToken handles the first token at the target.
+func (s *simulation) firstToken(now time.Time, a *attempt) {
 	if a.engine.dead {
-		w.at(now.Add(contactTimeout), func(now time.Time) { w.lost(now, a) })
+		s.schedule(now.Add(contactTimeout), func(now time.Time) { s.loseContact(now, a) })
 		return
 	}
 	t := a.call.entry
-	w.tell(now, a.engine, t)
-	w.at(now.Add(w.hop(a.engine, t)), func(now time.Time) {
+	s.sendReport(now, a.engine, t)
+	s.schedule(now.Add(s.delay(a.engine, t)), func(now time.Time) {
 		t.step(now, btroute.LoadEvent{Event: btload.Started{Target: a.engine.name, Number: a.number}})
 		t.reserved.CountAnswer(now)
-		w.result.first(now, a)
+		s.result.addFirstToken(now, a)
 	})
 }
 
-// finished is the end of the answer.
-func (w *world) finished(now time.Time, a *attempt) {
+// finishAnswer handles the end of the answer at the target.
+func (s *simulation) finishAnswer(now time.Time, a *attempt) {
 	if a.engine.dead {
-		w.result.Cut++
-		w.at(now.Add(contactTimeout), func(now time.Time) {
-			w.close(now, a, btload.Finished{Target: a.engine.name, Number: a.number})
+		s.result.Truncated++
+		s.schedule(now.Add(contactTimeout), func(now time.Time) {
+			s.finishAttempt(now, a, btload.Finished{Target: a.engine.name, Number: a.number})
 		})
 		return
 	}
 	t := a.call.entry
-	w.tell(now, a.engine, t)
-	w.at(now.Add(w.hop(a.engine, t)), func(now time.Time) {
-		w.close(now, a, btload.Finished{Target: a.engine.name, Number: a.number, OutputTokens: a.arrival.Output})
+	s.sendReport(now, a.engine, t)
+	s.schedule(now.Add(s.delay(a.engine, t)), func(now time.Time) {
+		s.finishAttempt(now, a, btload.Finished{Target: a.engine.name, Number: a.number, OutputTokens: a.arrival.Output})
 	})
 }
--- a/core/btbench/trace.go
+++ b/core/btbench/trace.go
@@ -8,17 +8,16 @@
 	"bilberrytide/core/btload"
 )
 
-// Workload describes a trace.
+// Workload holds the parameters of a trace.
 type Workload struct {
 	Seed uint64
-	// Rate is requests a second, PeakRate between PeakFrom and PeakUntil.
+	// Rate is the requests a second, PeakRate those between PeakFrom and PeakUntil.
 	Rate, PeakRate      float64
 	PeakFrom, PeakUntil time.Duration
 	Length              time.Duration
-	// Systems is how many system prompts there are; their popularity falls as
-	// Zipf's law.
+	// Systems is the number of system prompts; their popularity follows Zipf's law.
 	Systems int
-	// Accounts is how many client accounts there are, the first the largest.
+	// Accounts is the number of client accounts; their sizes follow Zipf's law.
 	Accounts int
 	// FollowUps is the share of requests that continue a conversation.
 	FollowUps float64
@@ -26,7 +25,7 @@
 	Keyed float64
 }
 
-// DefaultWorkload is a minute of conversations at the given rate.
+// DefaultWorkload returns a minute of conversations at the rate in requests a second.
 func DefaultWorkload(seed uint64, rate float64) Workload {
 	return Workload{
 		Seed:      seed,
@@ -49,11 +48,11 @@
 	Keyed    bool
 }
 
-// Tokens returns the prompt's length.
+// Tokens returns the length of the prompt in tokens.
 func (a Arrival) Tokens() int { return len(a.Prefixes) * btload.ChunkTokens }
 
-// fingerprint stands for the hash of the caller's account and body. The last
-// prefix of a trace's prompt is its own.
+// fingerprint stands for the hash of the caller's account and body: the hash of the last
+// chunk, which is unique to the request.
 func (a Arrival) fingerprint() uint64 { return a.Prefixes[len(a.Prefixes)-1] }
 
 // Sizes of prompts in chunks and of answers in tokens.
@@ -67,8 +66,8 @@
 	conversations    = 200
 )
 
-// generator holds the state of a trace in the making.
-type generator struct {
+// traceGenerator generates a trace.
+type traceGenerator struct {
 	workload Workload
 	random   *rand.Rand
 	systems  [][]uint64
@@ -82,10 +81,10 @@
 	chain   []uint64
 }
 
-// Trace returns the workload's arrivals in order.
+// Trace returns the workload's arrivals in order of time.
 func Trace(w Workload) []Arrival {
 	random := rand.New(rand.NewPCG(w.Seed, 7))
-	g := &generator{
+	g := &traceGenerator{
 		workload: w,
 		random:   random,
 		popular:  rand.NewZipf(random, 1.2, 1, uint64(w.Systems-1)),
@@ -101,7 +100,7 @@
 	return trace
 }
 
-func (g *generator) gap(at time.Duration) time.Duration {
+func (g *traceGenerator) gap(at time.Duration) time.Duration {
 	rate := g.workload.Rate
 	if at >= g.workload.PeakFrom && at < g.workload.PeakUntil {
 		rate = g.workload.PeakRate
@@ -109,7 +108,7 @@
 	return time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (g *generator) arrival(at time.Duration) Arrival {
+func (g *traceGenerator) arrival(at time.Duration) Arrival {
 	c := g.conversation()
 	c.chain = g.extend(c.chain, turnChunksMin+g.random.IntN(turnChunksSpan))
 	if len(c.chain) < btload.MaxChunks/2 {
@@ -126,8 +125,8 @@
 	}
 }
 
-// conversation continues an open one or starts one on a system prompt.
-func (g *generator) conversation() conversation {
+// conversation removes and returns an open conversation, or starts one with a system prompt.
+func (g *traceGenerator) conversation() conversation {
 	if len(g.open) > 0 && g.random.Float64() < g.workload.FollowUps {
 		i := g.random.IntN(len(g.open))
 		c := g.open[i]
@@ -138,7 +137,7 @@
 	return conversation{account: int(g.accounts.Uint64()), chain: g.systems[g.popular.Uint64()]}
 }
 
-func (g *generator) remember(c conversation) {
+func (g *traceGenerator) remember(c conversation) {
 	if len(g.open) < conversations {
 		g.open = append(g.open, c)
 		return
@@ -146,9 +145,9 @@
 	g.open[g.random.IntN(len(g.open))] = c
 }
 
-// extend returns the chain with so many chunks more. It shares no memory that a
-// later turn could change.
-func (g *generator) extend(chain []uint64, chunks int) []uint64 {
+// extend returns a copy of the chain with the given number of new chunks, at most
+// btload.MaxChunks in all. A later turn can't change it.
+func (g *traceGenerator) extend(chain []uint64, chunks int) []uint64 {
 	longer := append([]uint64(nil), chain...)
 	for range chunks {
 		longer = append(longer, g.random.Uint64())
