--- a/core/btanswer/btanswer_test.go
+++ b/core/btanswer/btanswer_test.go
@@ -132,7 +132,7 @@
 		name string
 		end  btanswer.End
 	}{
-		{"truncated by the target", btanswer.End{Total: 2, Truncated: true}},
+		{"cut by the target", btanswer.End{Total: 2, Truncated: true}},
 		{"total too high", btanswer.End{Total: 3}},
 		{"checksum of other bytes", btanswer.End{Total: 2, Checksum: 1}},
 	}
--- a/core/btcatalog/btcatalog_test.go
+++ b/core/btcatalog/btcatalog_test.go
@@ -71,13 +71,13 @@
 
 func TestInvalidCatalogsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*btcatalog.Catalog){
-		"no version":        func(c *btcatalog.Catalog) { c.Version = 0 },
-		"duplicate service": func(c *btcatalog.Catalog) { c.Services = append(c.Services, c.Services[0]) },
-		"prefix":            func(c *btcatalog.Catalog) { c.Routes[0].Prefix = "/x" },
-		"kind":              func(c *btcatalog.Catalog) { c.Routes[0].Kind = "" },
-		"unknown service":   func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Service = "t" },
-		"no weight":         func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Weight = 0 },
-		"timeout":           func(c *btcatalog.Catalog) { c.Routes[0].Timeout = 0 },
+		"no version":      func(c *btcatalog.Catalog) { c.Version = 0 },
+		"service twice":   func(c *btcatalog.Catalog) { c.Services = append(c.Services, c.Services[0]) },
+		"prefix":          func(c *btcatalog.Catalog) { c.Routes[0].Prefix = "/x" },
+		"kind":            func(c *btcatalog.Catalog) { c.Routes[0].Kind = "" },
+		"unknown service": func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Service = "t" },
+		"no weight":       func(c *btcatalog.Catalog) { c.Routes[0].Shares[0].Weight = 0 },
+		"timeout":         func(c *btcatalog.Catalog) { c.Routes[0].Timeout = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := catalog(route("a", "/"))
--- a/core/btinventory/restored_test.go
+++ b/core/btinventory/restored_test.go
@@ -17,7 +17,7 @@
 )
 
 var (
-	eraSeeds = flag.Uint64("era.seeds", 60, "runs of the model of stores that are restored from snapshots")
+	eraSeeds = flag.Uint64("era.seeds", 60, "runs of the model of stores that come back from copies")
 	eraFirst = flag.Uint64("era.first", 0, "the first seed of these runs")
 )
 
