--- a/core/btbench/engine.go
+++ b/core/btbench/engine.go
@@ -62,8 +62,8 @@
 	c := &e.cache
 	for i := len(chain) - 1; i >= 0; i-- {
 		prefix := chain[i]
-		if place, ok := c.elements[prefix]; ok {
-			c.order.MoveToFront(place)
+		if element, ok := c.elements[prefix]; ok {
+			c.order.MoveToFront(element)
 			continue
 		}
 		c.elements[prefix] = c.order.PushFront(prefix)
--- a/core/btbench/entry.go
+++ b/core/btbench/entry.go
@@ -60,13 +60,13 @@
 
 // submit handles a caller's request at the entry that the balancer chose, or at the next
 // one that is alive.
-func (s *simulation) submit(now time.Time, a *Arrival, chosen int, returned bool) {
+func (s *simulation) submit(now time.Time, a *Arrival, chosen int, retried bool) {
 	i := chosen % len(s.entries)
 	for s.entries[i].dead {
 		i = (i + 1) % len(s.entries)
 	}
-	c := &call{arrival: a, entry: s.entries[i], at: now, deadline: now.Add(FirstTokenObjective), retried: returned}
-	c.reserved = returned && c.entry.reserved.Claim(now, a.fingerprint())
+	c := &call{arrival: a, entry: s.entries[i], at: now, deadline: now.Add(FirstTokenObjective), retried: retried}
+	c.reserved = retried && c.entry.reserved.Claim(now, a.fingerprint())
 	c.entry.budget.CountRequest()
 	s.result.addSubmission(c)
 	s.send(now, c)
--- a/core/btinventory/restored.go
+++ b/core/btinventory/restored.go
@@ -35,7 +35,7 @@
 	if !r.recentlyRestored(now) {
 		return false
 	}
-	if known, left := r.dropped[t.ID]; left && t.Start <= known.Start {
+	if known, found := r.dropped[t.ID]; found && t.Start <= known.Start {
 		return true
 	}
 	if rec, found := r.records[t.ID]; found {
@@ -52,7 +52,7 @@
 }
 
 // keepAsMissing starts the grace period of a ready target that a restored list lacks, as it
-// may write its record again. It reports false where the target is to be dropped instead.
+// may write its record again. It returns false if the target is to be dropped instead.
 func (r *Registry) keepAsMissing(now time.Time, id ID) bool {
 	if r.records[id].target.State != Ready || !r.recentlyRestored(now) || !now.Before(r.restoredAt.Add(r.grace)) {
 		return false
