--- a/core/btgate/retry.go
+++ b/core/btgate/retry.go
@@ -12,8 +12,9 @@
 
 // RetryAfter returns the delay after which a refused caller is likely to get a slot:
 // after the requests that are queued now and after the callers that were refused
-// earlier. Each caller gets a different delay, so that they don't all retry at once.
-// Longest bounds the delay.
+// earlier. Each caller is sent to a later time than the one before, so that they don't
+// all retry at once. Longest bounds the delay; once the booked time is that far ahead,
+// all further callers get the same delay.
 func (g *Gate[V]) RetryAfter(now time.Time, longest time.Duration) time.Duration {
 	interval := g.departureInterval()
 	if interval == 0 {
--- a/core/btquarantine/register.go
+++ b/core/btquarantine/register.go
@@ -10,7 +10,9 @@
 )
 
 const (
-	// TTL is how long a crash counts against a request.
+	// TTL is how long a crash counts against a request. Callers' own retries come
+	// within seconds, and people and batch jobs come back within minutes. A request
+	// that is quarantined wrongly is refused for TTL at most.
 	TTL = 10 * time.Minute
 	// MaxCrashReports limits the crash reports of a request: as many crashes as any
 	// policy needs and one more, each reported by two processes.
@@ -44,12 +46,15 @@
 }
 
 // DefaultPolicy returns the policy of a register that has lost no state. A single
-// crash may be due to any request in flight at the target, so it makes only those
-// suspects that the target had just begun to answer.
+// crash may be due to any of up to some dozen requests in flight at the target, most of
+// which are served when they are retried. So it makes only those suspects that the
+// target had just begun to answer; these aren't retried at once, because a second crash
+// costs all callers of the group seconds.
 func DefaultPolicy() Policy { return Policy{BegunCrashes: 2, AllCrashes: 3, SuspectTime: SuspectFor} }
 
 // ConservativePolicy returns the policy of a register that may have lost state: it
-// quarantines a request after its first crash.
+// quarantines a request after the first crash that it sees, which may be the fourth
+// in fact.
 func ConservativePolicy() Policy { return Policy{BegunCrashes: 1, AllCrashes: 1} }
 
 // Register remembers which requests were running when targets recently crashed. It
--- a/core/btround/lead.go
+++ b/core/btround/lead.go
@@ -174,8 +174,9 @@
 	refused bool
 	askedAt time.Time
 	// confirmed is the state in the rank's latest answer to an order to arm or disarm
-	// or to a state read. It was read after the command, unlike a report, which a
-	// frozen host may send late.
+	// or to a state read. It was read after the command, unlike a report: one that was
+	// read before an order, on a host that was frozen meanwhile, made a lead release
+	// the group with one rank armed.
 	confirmed *State
 }
 
