--- a/io/btrank/agent.go
+++ b/io/btrank/agent.go
@@ -22,10 +22,11 @@
 	"bilberrytide/io/btmetric"
 )
 
-// Options are an agent's dependencies.
+// Options are an agent's settings and dependencies.
 type Options struct {
 	Settings btdirect.Settings
-	// Engine is the engine on this host; Remote returns a client of another.
+	// Engine is the engine on this host. Remote returns a client for an engine on another
+	// host.
 	Engine  Engine
 	Remote  func(netip.AddrPort) Engine
 	Meter   *btmetric.Meter
@@ -33,24 +34,25 @@
 	Clock   btloop.Clock
 	Assert  *btassert.Asserter
 	Address netip.AddrPort
-	// Listen listens at an address of this host.
+	// Listen opens a listener at an address of this host.
 	Listen func(netip.AddrPort) (net.Listener, error)
 }
 
 const (
-	// expectEvery is the pace at which the state is read once a rank is armed, and
-	// expectTime for how long: a few steps.
-	expectEvery = 30 * time.Millisecond
-	expectTime  = 300 * time.Millisecond
-	// formingEvery is the pace at which the state is read while the group is broken.
-	// It costs nothing on the engine's own host, and callers wait for the group.
-	formingEvery = 40 * time.Millisecond
-	// answerTime bounds the answer to a report or a bundle; a relay or lead that
-	// takes longer has missed it.
-	answerTime = 300 * time.Millisecond
+	// switchReadInterval is the interval between reads of the state after the rank was
+	// armed, and switchReadDuration is how long it applies: a few steps.
+	switchReadInterval = 30 * time.Millisecond
+	switchReadDuration = 300 * time.Millisecond
+	// closedReadInterval is the interval between reads of the state while the group
+	// isn't open. It is short because callers wait for the group, and reads cost nothing
+	// on the engine's own host.
+	closedReadInterval = 40 * time.Millisecond
+	// answerTimeout bounds the wait for the answer to a report, bundle or load notice. A
+	// relay or lead that takes longer counts as not having answered.
+	answerTimeout = 300 * time.Millisecond
 )
 
-// Agent is the process beside an engine.
+// Agent is the process beside an engine. It is safe for concurrent use.
 type Agent struct {
 	options   Options
 	log       *slog.Logger
@@ -58,53 +60,55 @@
 	directory *directory
 	lead      *lead
 	relay     *relay
-	// reader tells this process's readings of the engine's state from those of
-	// others, readings counts them.
-	reader   uint64
-	readings atomic.Uint64
-	// kick has the state read at once.
-	kick chan struct{}
+	// reader identifies this process in the states that it reads from the engine, and
+	// readCount numbers these reads.
+	reader    uint64
+	readCount atomic.Uint64
+	// readNow has the state read at once.
+	readNow chan struct{}
 
 	mu    sync.Mutex
 	state btround.State
-	// readAt is when the state was read; zero while the engine is away.
+	// readAt is when the state was last read; zero while the engine doesn't answer.
 	readAt time.Time
-	// acceptor is the agent's part in agreeing who leads.
+	// acceptor is the agent's part in the agreement on which lead is obeyed.
 	acceptor btround.Acceptor
 	counts   counter
-	// expected is the version that the rank was armed for.
-	expected      btround.Version
-	expectedUntil time.Time
-	// toldAt is when the state was told, toldOpen whether the group was open then.
-	toldAt   time.Time
-	toldOpen bool
-	// countedAt is when the counts were told.
-	countedAt time.Time
-	// maps are the maps that instructions may refer to, by version.
+	// awaited is the version that the rank was last armed for. Until awaitedUntil the
+	// state is read every switchReadInterval.
+	awaited      btround.Version
+	awaitedUntil time.Time
+	// reportedAt is when the state was last reported, reportedOpen whether the group was
+	// open then.
+	reportedAt   time.Time
+	reportedOpen bool
+	// countsSentAt is when the counts were last reported.
+	countsSentAt time.Time
+	// maps caches the maps that instructions may refer to.
 	maps *btround.MapCache
-	// wantHeld is the lead's wish for the experts that the rank holds.
+	// wantHeld is set while the lead asks for the experts that the rank holds.
 	wantHeld bool
 	// tree chooses the relay and the lead.
 	tree *btrelay.Tree
-	// reportsTo is the lead that the tree named last.
-	reportsTo netip.AddrPort
-	// follows is who answered the last report, handsOnTo who answered the last
-	// bundle.
-	follows, handsOnTo netip.AddrPort
+	// chosenLead is the lead that the tree chose last.
+	chosenLead netip.AddrPort
+	// followedRelay is the relay or lead that answered the last report, followedLead
+	// the lead that answered the last bundle.
+	followedRelay, followedLead netip.AddrPort
 }
 
-// New returns an agent.
+// New returns an agent; Run starts it.
 func New(o Options) *Agent {
 	calls := btcall.NewClient()
-	observer, remote := newObserver(o), o.Remote
-	o.Engine = observedEngine{Engine: o.Engine, observer: observer}
-	o.Remote = func(at netip.AddrPort) Engine { return observedEngine{Engine: remote(at), observer: observer} }
+	refusals, remote := newRefusalLogger(o), o.Remote
+	o.Engine = loggedEngine{Engine: o.Engine, refusals: refusals}
+	o.Remote = func(at netip.AddrPort) Engine { return loggedEngine{Engine: remote(at), refusals: refusals} }
 	a := &Agent{
 		options: o,
 		log:     o.Log,
 		calls:   calls,
 		reader:  rand.Uint64(),
-		kick:    make(chan struct{}, 1),
+		readNow: make(chan struct{}, 1),
 		maps:    btround.NewMapCache(),
 		tree:    btrelay.New(o.Address),
 	}
@@ -114,117 +118,119 @@
 	return a
 }
 
-// Reload puts changed settings in force: the seeds.
-func (a *Agent) Reload(s btdirect.Settings) { a.directory.reseed(s.Seeds) }
+// Reload applies changed settings. Only the seeds can change while the agent runs.
+func (a *Agent) Reload(s btdirect.Settings) { a.directory.setSeeds(s.Seeds) }
 
-// Run works until the context ends.
+// Run serves and reports until the context ends. It returns an error if the agent can't
+// listen or serve.
 func (a *Agent) Run(ctx context.Context) error {
 	listener, err := a.options.Listen(a.options.Address)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle("POST "+pathReport, btcall.Handle(a.relay.hear))
-	mux.Handle("POST "+pathBundle, btcall.Handle(a.lead.hear))
-	mux.Handle("POST "+pathCommand, btcall.Handle(a.instruct))
-	mux.Handle("POST "+pathBatch, btcall.Handle(a.relay.carry))
-	mux.Handle("POST "+pathTell, btcall.Handle(a.relay.tell))
+	mux.Handle("POST "+pathReport, btcall.Handle(a.relay.handleReport))
+	mux.Handle("POST "+pathBundle, btcall.Handle(a.lead.handleBundle))
+	mux.Handle("POST "+pathCommand, btcall.Handle(a.handleInstruction))
+	mux.Handle("POST "+pathBatch, btcall.Handle(a.relay.handleBatch))
+	mux.Handle("POST "+pathLoadNotice, btcall.Handle(a.relay.handleLoadNotice))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return btcall.Serve(ctx, listener, mux) })
 	group.Go(func() error { a.directory.run(ctx); return nil })
-	group.Go(func() error { a.reports(ctx); return nil })
+	group.Go(func() error { a.runReports(ctx); return nil })
 	group.Go(func() error { a.relay.run(ctx); return nil })
 	group.Go(func() error { a.lead.run(ctx); return nil })
 	return group.Wait()
 }
 
-// reports reads and reports the engine's state until the context ends. Agents
-// begin at different moments, so that the lead's work is spread.
-func (a *Agent) reports(ctx context.Context) {
-	pause(ctx, time.Duration(rand.Int64N(int64(btrelay.ReportInterval(1)))))
+// runReports reads and reports the engine's state until the context ends. Agents start
+// after a random delay, so that the lead's work is spread over time.
+func (a *Agent) runReports(ctx context.Context) {
+	sleep(ctx, time.Duration(rand.Int64N(int64(btrelay.ReportInterval(1)))))
 	for ctx.Err() == nil {
 		began := a.options.Clock()
-		if a.read(ctx) && a.worthTelling() {
-			a.report(ctx)
+		if a.updateState(ctx) && a.reportDue() {
+			a.sendReport(ctx)
 		}
-		a.wait(ctx, a.interval()-a.options.Clock().Sub(began))
+		a.wait(ctx, a.readInterval()-a.options.Clock().Sub(began))
 	}
 }
 
-// expect has the engine's state read at a fast pace until the version is in
-// force, so that the lead learns of it at once.
-func (a *Agent) expect(v btround.Version) {
+// awaitSwitch shortens the read interval until the version is active, so that the lead
+// learns of the switch at once.
+func (a *Agent) awaitSwitch(v btround.Version) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.expected = v
-	a.expectedUntil = a.options.Clock().Add(expectTime)
+	a.awaited = v
+	a.awaitedUntil = a.options.Clock().Add(switchReadDuration)
 	select {
-	case a.kick <- struct{}{}:
+	case a.readNow <- struct{}{}:
 	default:
 	}
 }
 
-// expecting tells whether a version is expected to come into force. The lock is
-// held.
-func (a *Agent) expecting(now time.Time) bool {
-	return a.expected != 0 && a.state.Map != a.expected && now.Before(a.expectedUntil)
+// awaitingSwitch reports whether the rank is armed for a version that isn't active yet.
+// The lock must be held.
+func (a *Agent) awaitingSwitch(now time.Time) bool {
+	return a.awaited != 0 && a.state.Map != a.awaited && now.Before(a.awaitedUntil)
 }
 
-// interval returns the time between two reports.
-func (a *Agent) interval() time.Duration {
+// readInterval returns the time until the state is read again.
+func (a *Agent) readInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.expecting(a.options.Clock()) {
-		return expectEvery
+	if a.awaitingSwitch(a.options.Clock()) {
+		return switchReadInterval
 	}
 	if !a.state.Open {
-		return formingEvery
+		return closedReadInterval
 	}
 	return btrelay.ReportInterval(a.tree.BlockSize())
 }
 
-// worthTelling tells whether the lead should hear the state now: while a version
-// is expected, it hears once it is in force; while the group is broken, at the usual
-// pace and once it is open.
-func (a *Agent) worthTelling() bool {
+// reportDue reports whether to report the state now, and records that it is. While a
+// switch is awaited nothing is reported until the version is active. While the group
+// isn't open, reports keep their usual interval, though reads are more frequent; a change
+// of open is reported at once.
+func (a *Agent) reportDue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Clock()
-	if a.expecting(now) {
+	if a.awaitingSwitch(now) {
 		return false
 	}
-	if a.state.Open == a.toldOpen && now.Sub(a.toldAt) < btrelay.ReportInterval(a.tree.BlockSize())-formingEvery {
+	if a.state.Open == a.reportedOpen && now.Sub(a.reportedAt) < btrelay.ReportInterval(a.tree.BlockSize())-closedReadInterval {
 		return false
 	}
-	a.toldAt = now
-	a.toldOpen = a.state.Open
+	a.reportedAt = now
+	a.reportedOpen = a.state.Open
 	return true
 }
 
-// wait waits until the next report is due.
+// wait waits for the duration, or until a read is requested or the context ends.
 func (a *Agent) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-a.kick:
+	case <-a.readNow:
 	case <-t.C:
 	}
 }
 
-// countsDue tells whether the counts are to be told. The lock is held.
+// countsDue reports whether to report the counts. The lock must be held.
 func (a *Agent) countsDue(now time.Time) bool {
-	return now.Sub(a.countedAt) >= btrelay.CountsInterval(a.tree.BlockSize(), len(a.counts.latest))
+	return now.Sub(a.countsSentAt) >= btrelay.CountsInterval(a.tree.BlockSize(), len(a.counts.latest))
 }
 
-// read reads the own engine's state and counts.
-func (a *Agent) read(ctx context.Context) bool {
-	reading := a.readings.Add(1)
-	s, err := report(ctx, a.options.Engine)
+// updateState reads the own engine's state, and reports whether the engine answered.
+func (a *Agent) updateState(ctx context.Context) bool {
+	reading := a.readCount.Add(1)
+	s, err := readState(ctx, a.options.Engine)
 	s.Reader = a.reader
 	s.ReadCount = reading
 	if err != nil {
-		a.lost(err)
+		a.engineLost(err)
 		return false
 	}
 	a.mu.Lock()
@@ -242,10 +248,10 @@
 	return true
 }
 
-// count reads the own engine's counts, and returns what is to be told of them
-// where that is due.
-func (a *Agent) count(ctx context.Context) *Sample {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+// readCounts reads the own engine's counts, and returns those to report; nil if none are
+// due.
+func (a *Agent) readCounts(ctx context.Context) *ScaledCounts {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	counts, err := a.options.Engine.Counts(ctx)
 	if err != nil {
@@ -254,17 +260,17 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.counts.take(counts)
+	a.counts.update(counts)
 	now := a.options.Clock()
 	if !a.countsDue(now) {
 		return nil
 	}
-	a.countedAt = now
-	return a.counts.sample()
+	a.countsSentAt = now
+	return a.counts.difference()
 }
 
-// lost notes that the engine doesn't answer.
-func (a *Agent) lost(err error) {
+// engineLost records that the engine doesn't answer.
+func (a *Agent) engineLost(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.readAt.IsZero() {
@@ -273,32 +279,32 @@
 	}
 }
 
-// report tells the relay.
-func (a *Agent) report(ctx context.Context) {
-	way := a.way()
-	if !way.known {
+// sendReport sends a report to the relay.
+func (a *Agent) sendReport(ctx context.Context) {
+	rt := a.route()
+	if !rt.known {
 		return
 	}
-	counts := a.count(ctx)
-	r, wanted := a.message()
+	counts := a.readCounts(ctx)
+	r, wanted := a.newReport()
 	r.Counts = counts
 	if wanted {
-		r.Held = a.held(ctx)
+		r.Held = a.readHeld(ctx)
 	}
-	var reply Reply
+	var reply ReportReply
 	var err error
-	if way.relay == a.options.Address {
-		reply, err = a.relay.hear(ctx, r)
+	if rt.relay == a.options.Address {
+		reply, err = a.relay.handleReport(ctx, r)
 	} else {
-		bounded, cancel := context.WithTimeout(ctx, answerTime)
+		bounded, cancel := context.WithTimeout(ctx, answerTimeout)
 		defer cancel()
-		reply, err = btcall.Call[Reply](bounded, a.calls, way.relay, pathReport, r)
+		reply, err = btcall.Call[ReportReply](bounded, a.calls, rt.relay, pathReport, r)
 	}
-	a.answered(way, reply, err)
+	a.handleReply(rt, reply, err)
 }
 
-// message returns the report and whether the held experts belong into it.
-func (a *Agent) message() (Report, bool) {
+// newReport returns a report without counts, and whether it should list the held experts.
+func (a *Agent) newReport() (Report, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := Report{
@@ -309,9 +315,9 @@
 	return r, a.wantHeld
 }
 
-// held reads the experts that the rank holds; nil where it can't.
-func (a *Agent) held(ctx context.Context) *Held {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+// readHeld reads the experts that the rank holds; nil after an error.
+func (a *Agent) readHeld(ctx context.Context) *Held {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	h, err := a.options.Engine.Held(ctx)
 	if err != nil {
@@ -321,61 +327,61 @@
 	return &h
 }
 
-// way is how the agent reaches the lead of its group.
-type way struct {
+// route is how the agent reaches the lead of its group.
+type route struct {
 	relay, lead netip.AddrPort
-	// members is how many agents the group has, blocks how many relays.
+	// members is the number of the group's agents, blocks that of its blocks.
 	members, blocks int
-	// known tells that an entry has told of the group.
+	// known is set once an entry has listed the group's members.
 	known bool
 }
 
-// way returns how the agent reaches the lead now.
-func (a *Agent) way() way {
-	agents := a.directory.agents(a.own().Group)
+// route returns the current route to the lead.
+func (a *Agent) route() route {
+	agents := a.directory.agents(a.ownState().Group)
 	now := a.options.Clock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tree.SetMembers(agents)
-	var w way
-	w.lead, w.known = a.tree.Lead(now)
-	a.reportsTo = w.lead
-	w.relay, _ = a.tree.Relay(now)
-	w.members = len(agents)
-	w.blocks = a.tree.Blocks()
-	return w
+	var rt route
+	rt.lead, rt.known = a.tree.Lead(now)
+	a.chosenLead = rt.lead
+	rt.relay, _ = a.tree.Relay(now)
+	rt.members = len(agents)
+	rt.blocks = a.tree.Blocks()
+	return rt
 }
 
-// answered notes whether the relay has answered.
-func (a *Agent) answered(w way, reply Reply, err error) {
+// handleReply processes the relay's reply to a report, or the lack of one.
+func (a *Agent) handleReply(rt route, reply ReportReply, err error) {
 	if err != nil {
-		a.missed(w, w.relay, err)
+		a.noteMiss(rt, rt.relay, err)
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.wantHeld = reply.WantHeld
-	a.tree.NoteAnswer(w.relay)
-	if a.follows == w.relay {
+	a.tree.NoteAnswer(rt.relay)
+	if a.followedRelay == rt.relay {
 		return
 	}
-	if w.relay == w.lead {
-		a.log.Info("lead followed", "to", w.relay, "before", a.follows)
+	if rt.relay == rt.lead {
+		a.log.Info("lead followed", "to", rt.relay, "before", a.followedRelay)
 	} else {
-		a.log.Info("relay followed", "to", w.relay, "before", a.follows)
+		a.log.Info("relay followed", "to", rt.relay, "before", a.followedRelay)
 	}
-	a.follows = w.relay
+	a.followedRelay = rt.relay
 }
 
-// missed notes that the relay or the lead has not answered.
-func (a *Agent) missed(w way, to netip.AddrPort, err error) {
+// noteMiss records that the relay or the lead hasn't answered.
+func (a *Agent) noteMiss(rt route, to netip.AddrPort, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.tree.NoteMiss(a.options.Clock(), to) {
 		return
 	}
 	dependency := "relay"
-	if to == w.lead {
+	if to == rt.lead {
 		dependency = "lead"
 	}
 	a.log.Warn("dependency lost", "dependency", dependency, "to", to, "error", err)
--- a/io/btrank/batch.go
+++ b/io/btrank/batch.go
@@ -10,55 +10,56 @@
 	"bilberrytide/io/btcall"
 )
 
-// form is how much of a map goes with a command.
-type form int
+// mapForm is how much of a map a command carries.
+type mapForm int
 
 const (
-	// noMap is for commands that need none.
-	noMap form = iota
-	// knownMap names a map that the rank has been sent.
-	knownMap
-	// changedMap is a map as the changes to one that the rank has.
-	changedMap
-	// wholeMap is a map in full.
+	// noMap is for commands other than Prepare.
+	noMap mapForm = iota
+	// cachedMap refers to a map that the rank has cached.
+	cachedMap
+	// changesOnly describes a map by its changes to one that the rank has.
+	changesOnly
+	// wholeMap carries the whole map.
 	wholeMap
 )
 
-// parcel is what the commands of one batch have in common.
-type parcel struct {
+// batchKey is what the commands of one batch have in common.
+type batchKey struct {
 	relay netip.AddrPort
-	form  form
+	form  mapForm
 }
 
-// dispatch has the commands of one step given: those to several ranks of a relay's
-// block in one message, the others one by one, straight to their ranks. All commands
-// of a step differ by their rank alone. The lock is held.
+// dispatch sends the commands of one poll, which differ only by rank: those for several
+// ranks of a relay's block in one message to the relay, the others directly to each rank.
+// The lock must be held.
 func (l *lead) dispatch(ctx context.Context, commands []btround.Command) {
-	parcels := make(map[parcel][]btround.Command)
+	batches := make(map[batchKey][]btround.Command)
 	for _, c := range commands {
-		if l.underWay(c) {
+		if l.alreadySending(c) {
 			continue
 		}
 		relay, relayed := l.relayOf(c)
 		if !relayed {
-			go l.give(ctx, c, l.engines[c.Rank])
+			go l.sendCommand(ctx, c, l.engines[c.Rank])
 			continue
 		}
-		p := parcel{relay: relay, form: l.form(c)}
-		parcels[p] = append(parcels[p], c)
+		k := batchKey{relay: relay, form: l.formOf(c)}
+		batches[k] = append(batches[k], c)
 	}
-	for p, list := range parcels {
+	for k, list := range batches {
 		if len(list) == 1 {
-			go l.give(ctx, list[0], l.engines[list[0].Rank])
+			go l.sendCommand(ctx, list[0], l.engines[list[0].Rank])
 			continue
 		}
-		go l.giveAll(ctx, p, list)
+		go l.sendBatch(ctx, k, list)
 	}
 }
 
-// underWay tells whether a map is still on its way to a rank, so that it is not sent
-// again, and notes that one is from now on. The lock is held.
-func (l *lead) underWay(c btround.Command) bool {
+// alreadySending reports whether a Prepare for this version is still being sent to the
+// rank, so that the map isn't sent twice. Otherwise it records that one is being sent from
+// now on. The lock must be held.
+func (l *lead) alreadySending(c btround.Command) bool {
 	if c.Kind != btround.Prepare {
 		return false
 	}
@@ -69,76 +70,76 @@
 	return false
 }
 
-// sent notes that a map is no longer on its way to a rank. The lock is held.
-func (l *lead) sent(c btround.Command) {
+// clearSending records that a Prepare is no longer being sent. The lock must be held.
+func (l *lead) clearSending(c btround.Command) {
 	if c.Kind == btround.Prepare && l.sending[c.Rank] == c.Version {
 		delete(l.sending, c.Rank)
 	}
 }
 
-// refused notes that a rank lacks the map that the changes of a command refer to. It
-// is sent the whole at once, by its relay like any other: 192 whole maps are 2.9 MB,
-// four seconds of the lead's link, by 14 relays a quarter of a second. The lock is
-// held.
-func (l *lead) refused(c btround.Command) {
-	l.whole[c.Rank] = true
-	delete(l.prepares, c.Rank)
+// noteMissingBase records that a rank lacks the map that a command refers to, and has the
+// whole map sent to it at once. The map goes through the relay like any other: 192 whole
+// maps are 2.9 MB, which take the lead's link four seconds, but a quarter of a second
+// through 14 relays. The lock must be held.
+func (l *lead) noteMissingBase(c btround.Command) {
+	l.wholeNeeded[c.Rank] = true
+	delete(l.cachedVersions, c.Rank)
 	l.machine.RetryNow(c.Round, c.Rank)
 }
 
-// relayOf returns the relay that a command goes by; false where it goes straight to
-// its rank. The lock is held.
+// relayOf returns the relay that forwards a command; false if the command is sent directly
+// to its rank. The lock must be held.
 func (l *lead) relayOf(c btround.Command) (netip.AddrPort, bool) {
-	via, found := l.via[c.Rank]
-	straight := !found || c.Direct || via == l.options.Address
-	if straight || l.options.Clock().Sub(l.at[c.Rank]) > leadFor {
+	via, found := l.relays[c.Rank]
+	direct := !found || c.Direct || via == l.options.Address
+	if direct || l.options.Clock().Sub(l.reportedAt[c.Rank]) > silenceTimeout {
 		return netip.AddrPort{}, false
 	}
 	return via, true
 }
 
-// form returns how much of a map goes with a command. The lock is held.
-func (l *lead) form(c btround.Command) form {
+// formOf returns how much of a map a command must carry. The lock must be held.
+func (l *lead) formOf(c btround.Command) mapForm {
 	switch {
 	case c.Kind != btround.Prepare:
 		return noMap
-	case l.whole[c.Rank]:
+	case l.wholeNeeded[c.Rank]:
 		return wholeMap
-	case l.prepares[c.Rank] == c.Version:
-		return knownMap
+	case l.cachedVersions[c.Rank] == c.Version:
+		return cachedMap
 	}
-	return changedMap
+	return changesOnly
 }
 
-// giveAll gives commands to the ranks of a relay's block. Where the relay doesn't
-// answer, or can't reach a rank, the command goes straight to the rank: relays are
-// not needed, they only save the lead's link.
-func (l *lead) giveAll(ctx context.Context, p parcel, commands []btround.Command) {
-	bounded, cancel := context.WithTimeout(ctx, batchTime(p.form))
+// sendBatch sends commands to ranks of a block through its relay. If the relay doesn't
+// answer or can't reach a rank, the command is sent directly to the rank: relays aren't
+// needed for correctness, they only reduce the load on the lead's link.
+func (l *lead) sendBatch(ctx context.Context, k batchKey, commands []btround.Command) {
+	bounded, cancel := context.WithTimeout(ctx, batchTimeout(k.form))
 	defer cancel()
-	batch, byRank := l.batch(p, commands)
-	answer, err := btcall.Call[BatchAnswer](bounded, l.calls, p.relay, pathBatch, batch)
+	batch, byRank := l.newBatch(k, commands)
+	answer, err := btcall.Call[BatchAnswer](bounded, l.calls, k.relay, pathBatch, batch)
 	if err != nil {
-		l.log.Info("batch unanswered", "relay", p.relay, "kind", batch.Instruction.Command.Kind, "ranks", len(commands), "error", err)
+		l.log.Info("batch unanswered", "relay", k.relay, "kind", batch.Instruction.Command.Kind, "ranks", len(commands), "error", err)
 		for _, c := range commands {
-			go l.give(ctx, c, l.engineOf(c.Rank))
+			go l.sendCommand(ctx, c, l.engineOf(c.Rank))
 		}
 		return
 	}
-	for _, c := range l.takeAnswer(p, answer, byRank) {
-		go l.give(ctx, c, l.engineOf(c.Rank))
+	for _, c := range l.handleBatchAnswer(k, answer, byRank) {
+		go l.sendCommand(ctx, c, l.engineOf(c.Rank))
 	}
 	l.wake()
 }
 
-// takeAnswer takes a relay's answer in, and returns the commands that it could not
-// carry to their ranks.
-func (l *lead) takeAnswer(p parcel, answer BatchAnswer, byRank map[btexpert.Rank]btround.Command) []btround.Command {
+// handleBatchAnswer processes a relay's answer, and returns the commands whose ranks the
+// relay couldn't reach.
+func (l *lead) handleBatchAnswer(k batchKey, answer BatchAnswer, byRank map[btexpert.Rank]btround.Command) []btround.Command {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range answer.Results {
 		if c, asked := byRank[r.State.Rank]; asked && r.State.Validate() == nil {
-			l.answered(c, r)
+			l.handleResult(c, r)
 		}
 	}
 	var unreached []btround.Command
@@ -148,30 +149,30 @@
 		case !asked:
 		case u.NotReached:
 			unreached = append(unreached, c)
-		case u.Refused && p.form != noMap && p.form != wholeMap:
-			l.sent(c)
-			l.refused(c)
+		case u.Refused && k.form != noMap && k.form != wholeMap:
+			l.clearSending(c)
+			l.noteMissingBase(c)
 		default:
-			l.sent(c)
+			l.clearSending(c)
 		}
 	}
 	return unreached
 }
 
-// batchTime bounds a relay's answer: beyond the time that it takes to carry the
-// batch, whole maps, some 15 KB a rank, need time on two links of 750 KB/s.
-func batchTime(f form) time.Duration {
+// batchTimeout returns how long to wait for a relay's answer. Whole maps, some 15 KB a
+// rank, take additional time on two links of 750 KB/s, the lead's and the relay's.
+func batchTimeout(f mapForm) time.Duration {
 	if f == wholeMap {
-		return commandTime + 2*mapTime
+		return commandTimeout + 2*wholeMapsTime
 	}
-	return commandTime
+	return commandTimeout
 }
 
-// batch returns the message of a parcel, and its commands by rank.
-func (l *lead) batch(p parcel, commands []btround.Command) (Batch, map[btexpert.Rank]btround.Command) {
+// newBatch returns the message for the commands of a batch, and the commands by rank.
+func (l *lead) newBatch(k batchKey, commands []btround.Command) (Batch, map[btexpert.Rank]btround.Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	batch := Batch{Instruction: l.planner.instruction(commands[0], p.form)}
+	batch := Batch{Instruction: l.planner.instruction(commands[0], k.form)}
 	byRank := make(map[btexpert.Rank]btround.Command, len(commands))
 	for _, c := range commands {
 		batch.Ranks = append(batch.Ranks, Addressee{Rank: c.Rank, Engine: l.engines[c.Rank]})
@@ -180,12 +181,12 @@
 	return batch, byRank
 }
 
-// answered takes the result of a command in. The lock is held.
-func (l *lead) answered(c btround.Command, r btround.Result) {
+// handleResult processes the result of a command. The lock must be held.
+func (l *lead) handleResult(c btround.Command, r btround.Result) {
 	if c.Kind == btround.Prepare {
-		l.sent(c)
-		l.prepares[c.Rank] = c.Version
-		delete(l.whole, c.Rank)
+		l.clearSending(c)
+		l.cachedVersions[c.Rank] = c.Version
+		delete(l.wholeNeeded, c.Rank)
 	}
 	l.machine.HandleResult(l.options.Clock(), r)
 }
@@ -197,10 +198,10 @@
 	return l.engines[r]
 }
 
-// wake has the lead take its next step at once.
+// wake has the lead poll its state machine at once.
 func (l *lead) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.pollNow <- struct{}{}:
 	default:
 	}
 }
--- a/io/btrank/budget.go
+++ b/io/btrank/budget.go
@@ -1,16 +1,16 @@
 package btrank
 
-// Budgets of what a host sends and receives for its group, in bytes a second each
-// way, by its role. The slowest link known carries 750 KB/s, and what is left is for
-// the start of streams, the roster and whatever comes in bursts. They hold for
-// groups of up to 192 ranks with 3,840 experts in all layers and for 35 entries.
+// Traffic budgets of a host for its group, by its agent's role, in bytes per second in
+// each direction. The slowest known link carries 750 KB/s; the rest is left for the start
+// of streams, the roster and bursts. The budgets hold for groups of up to 192 ranks with
+// 3,840 experts in all layers and for 35 entries.
 const (
-	// LeadBudget is for the lead: reports and counts through relays, maps every two
-	// seconds, words on the load. It took 677 KB/s of reports, counts and words alone
-	// when it talked to 192 agents and 35 entries itself.
+	// LeadBudget is the budget of the lead: reports and counts from relays, a map every
+	// two seconds, and the load sent to entries. A lead that communicated with 192
+	// agents and 35 entries directly used 677 KB/s for reports, counts and load alone.
 	LeadBudget = 450_000
-	// RelayBudget is for the relay of a block.
+	// RelayBudget is the budget of a block's relay.
 	RelayBudget = 320_000
-	// MemberBudget is for the agent of any other rank.
+	// MemberBudget is the budget of any other agent.
 	MemberBudget = 40_000
 )
--- a/io/btrank/command.go
+++ b/io/btrank/command.go
@@ -6,39 +6,40 @@
 	"bilberrytide/core/btround"
 )
 
-// instruct carries a lead's instruction out.
-func (a *Agent) instruct(ctx context.Context, i Instruction) (btround.Result, error) {
+// handleInstruction carries out a lead's instruction. It returns errBaseUnknown if the
+// agent lacks the map that the instruction refers to.
+func (a *Agent) handleInstruction(ctx context.Context, i Instruction) (btround.Result, error) {
 	c := i.Command
 	if c.Kind == btround.Prepare && len(c.Layers) == 0 {
-		layers, found := a.changed(i)
+		layers, found := a.applyChanges(i)
 		if !found {
-			return btround.Result{}, errBase
+			return btround.Result{}, errBaseUnknown
 		}
 		c.Layers = layers
 	}
 	if c.Kind == btround.Prepare {
-		a.remember(c.Version, c.Layers)
+		a.cacheMap(c.Version, c.Layers)
 	}
-	return a.command(ctx, c)
+	return a.runCommand(ctx, c)
 }
 
-// command carries a lead's command out at the own engine.
-func (a *Agent) command(ctx context.Context, c btround.Command) (btround.Result, error) {
+// runCommand carries out a lead's command at the own engine, or updates the agent's record.
+func (a *Agent) runCommand(ctx context.Context, c btround.Command) (btround.Result, error) {
 	if heard, accepted := a.accept(c); !accepted {
-		return btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Outranked, Ballot: heard, State: a.own()}, nil
+		return btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Outranked, Ballot: heard, State: a.ownState()}, nil
 	}
 	if c.Kind == btround.StoreRecord || c.Kind == btround.Commit {
-		return a.note(ctx, c), nil
+		return a.updateRecord(ctx, c), nil
 	}
 	result := carryOut(ctx, a.options.Engine, c)
 	result.State.Reader = a.reader
-	result.State.ReadCount = a.readings.Add(1)
+	result.State.ReadCount = a.readCount.Add(1)
 	a.mu.Lock()
 	a.acceptor.RaisePromise(result.Ballot)
 	result.Record = a.acceptor.Record()
 	a.mu.Unlock()
 	if c.Kind == btround.Arm && result.Verdict == btround.Reached {
-		a.expect(c.Version)
+		a.awaitSwitch(c.Version)
 	}
 	if result.Verdict != btround.Reached {
 		a.log.Info("command not carried out", "kind", c.Kind, "verdict", result.Verdict, "version", c.Version, "step", c.Step, "ballot", c.Ballot)
@@ -46,8 +47,7 @@
 	return result, nil
 }
 
-// accept tells whether a command's lead is not outranked, and the highest ballot
-// heard.
+// accept reports whether a command may be carried out, and returns the promised ballot.
 func (a *Agent) accept(c btround.Command) (btround.Ballot, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,12 +55,12 @@
 	return a.acceptor.Promised(), accepted
 }
 
-// note keeps or commits the record of a round, and answers with the engine's
-// state of now, by whose step the lead chooses the one to hold.
-func (a *Agent) note(ctx context.Context, c btround.Command) btround.Result {
-	result := btround.Result{Round: c.Round, Kind: c.Kind, Ballot: c.Ballot, State: a.own()}
-	if c.Kind == btround.StoreRecord && a.read(ctx) {
-		result.State = a.own()
+// updateRecord stores or commits the record of a round. The answer to StoreRecord has a
+// state that was just read, since the lead chooses the step to hold by it.
+func (a *Agent) updateRecord(ctx context.Context, c btround.Command) btround.Result {
+	result := btround.Result{Round: c.Round, Kind: c.Kind, Ballot: c.Ballot, State: a.ownState()}
+	if c.Kind == btround.StoreRecord && a.updateState(ctx) {
+		result.State = a.ownState()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/io/btrank/counter.go
+++ b/io/btrank/counter.go
@@ -2,35 +2,36 @@
 
 import "bilberrytide/core/btid"
 
-// counter turns an engine's running counts into what was chosen of late.
+// counter computes recent expert activations from an engine's cumulative counts.
 type counter struct {
 	epoch uint64
 	start btid.Incarnation
-	// earlier and latest are the last two readings.
-	earlier, latest []int64
+	// previous and latest are the last two cumulative counts.
+	previous, latest []int64
 }
 
-// take takes running counts in.
-func (c *counter) take(counts Counts) {
+// update adds cumulative counts. It discards the earlier ones if the group has formed again,
+// the engine has restarted or the number of counts has changed.
+func (c *counter) update(counts Counts) {
 	if counts.Epoch != c.epoch || counts.Start != c.start || len(counts.Values) != len(c.latest) {
 		c.epoch = counts.Epoch
 		c.start = counts.Start
 		c.latest = nil
 	}
-	c.earlier = c.latest
+	c.previous = c.latest
 	c.latest = counts.Values
 }
 
-// sample returns the choices between the last two readings; nil where there are
-// none. What was chosen before is left out, also where the lead wasn't told of
-// it: after a change of the experts in demand it would tell of the wrong ones.
-func (c *counter) sample() *Sample {
-	if len(c.latest) == 0 || len(c.earlier) != len(c.latest) {
+// difference returns the activations between the last two updates; nil if there are none.
+// Earlier activations that were never reported are left out: after a change of demand they
+// would describe the wrong experts.
+func (c *counter) difference() *ScaledCounts {
+	if len(c.latest) == 0 || len(c.previous) != len(c.latest) {
 		return nil
 	}
 	d := make([]int64, len(c.latest))
 	for i := range d {
-		d[i] = c.latest[i] - c.earlier[i]
+		d[i] = c.latest[i] - c.previous[i]
 	}
-	return newSample(d)
+	return scaleCounts(d)
 }
--- a/io/btrank/directory.go
+++ b/io/btrank/directory.go
@@ -15,64 +15,68 @@
 )
 
 const (
-	// rosterEvery is how often an entry is asked for the targets. A target that
-	// is replaced is a whole group formed anew, which takes longer.
-	rosterEvery = time.Second
-	// rosterTime bounds an entry's answer.
-	rosterTime = 400 * time.Millisecond
+	// rosterInterval is the interval at which an entry is asked for the targets. When a
+	// target is replaced its whole group forms again, which takes longer than this.
+	rosterInterval = time.Second
+	// rosterTimeout bounds the wait for an entry's answer.
+	rosterTimeout = 400 * time.Millisecond
 )
 
-// directory knows the engines of the agent's service and their agents.
+// directory lists the engines of the agent's service and their agents, as the entries
+// report them. It is safe for concurrent use.
 type directory struct {
 	options Options
 	calls   *btcall.Client
 
 	mu     sync.Mutex
 	roster btinventory.Roster
-	// entries may be asked; listed are those that an entry knows to be there.
-	entries []netip.AddrPort
-	listed  []netip.AddrPort
-	// seeds are those of the settings in force.
+	// entries are those that may be asked: the seeds and rosterEntries, which the last
+	// roster listed.
+	entries       []netip.AddrPort
+	rosterEntries []netip.AddrPort
+	// seeds are the entries of the current settings.
 	seeds []netip.AddrPort
-	// turn is the entry that is asked next. It begins by chance, so that agents that
-	// start together don't all ask the same one.
-	turn int
+	// nextEntry is the index, modulo the number of entries, of the one to ask. It starts
+	// at random, so that agents that start together don't all ask the same entry.
+	nextEntry int
+	// lost is set while the entries asked don't answer.
 	lost bool
 }
 
 func newDirectory(o Options, calls *btcall.Client) *directory {
-	return &directory{options: o, calls: calls, entries: o.Settings.Seeds, seeds: o.Settings.Seeds, turn: rand.Int()}
+	return &directory{options: o, calls: calls, entries: o.Settings.Seeds, seeds: o.Settings.Seeds, nextEntry: rand.Int()}
 }
 
-// run keeps the roster up to date until the context ends.
+// run refreshes the roster until the context ends, sooner after a failure.
 func (d *directory) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := rosterEvery
-		if !d.ask(ctx) {
-			wait = rosterEvery / 4
+		wait := rosterInterval
+		if !d.refresh(ctx) {
+			wait = rosterInterval / 4
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 }
 
-// ask asks one entry, and the next one after a failure.
-func (d *directory) ask(ctx context.Context) bool {
+// refresh asks one entry for the roster, and reports whether it answered. After a failure
+// the next entry is asked.
+func (d *directory) refresh(ctx context.Context) bool {
 	d.mu.Lock()
 	if len(d.entries) == 0 {
 		d.mu.Unlock()
 		return false
 	}
-	entry := d.entries[d.turn%len(d.entries)]
+	entry := d.entries[d.nextEntry%len(d.entries)]
 	known := d.roster.Digest
 	d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, rosterTime)
+	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
 	defer cancel()
 	question := btdirect.RosterRequest{Service: d.options.Settings.Service, Known: known}
 	roster, err := btcall.Call[btinventory.Roster](ctx, d.calls, entry, btdirect.PathRoster, question)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.turn++
+		d.nextEntry++
 		if !d.lost {
 			d.lost = true
 			d.options.Log.Warn("dependency lost", "dependency", "entry", "entry", entry, "error", err)
@@ -83,27 +87,27 @@
 		d.lost = false
 		d.options.Log.Info("dependency regained", "dependency", "entry", "entry", entry)
 	}
-	d.take(roster)
+	d.apply(roster)
 	return true
 }
 
-// take puts a roster in force. One without targets only says that nothing has
-// changed.
-func (d *directory) take(r btinventory.Roster) {
+// apply applies a roster. One without targets means that the targets haven't changed. The
+// lock must be held.
+func (d *directory) apply(r btinventory.Roster) {
 	d.entries = slices.Clone(d.seeds)
 	for _, e := range r.Entries {
 		if !slices.Contains(d.entries, e) {
 			d.entries = append(d.entries, e)
 		}
 	}
-	d.listed = r.Entries
+	d.rosterEntries = r.Entries
 	if len(r.Targets) > 0 {
 		d.roster = r
 	}
 }
 
-// engines lists the addresses of a group's engines, in order. A service may have
-// several groups.
+// engines returns the sorted addresses of a group's engines. A service may have several
+// groups.
 func (d *directory) engines(group string) []netip.AddrPort {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,8 +121,8 @@
 	return slices.Compact(list)
 }
 
-// reseed puts other seeds in force.
-func (d *directory) reseed(seeds []netip.AddrPort) {
+// setSeeds replaces the seeds. Earlier seeds may be asked until the next roster.
+func (d *directory) setSeeds(seeds []netip.AddrPort) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seeds = seeds
@@ -129,21 +133,21 @@
 	}
 }
 
-// shape returns the shape of the service's expert maps.
+// shape returns the description of the service's groups; false if it isn't known yet.
 func (d *directory) shape() (*btcatalog.Group, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.roster.Group, d.roster.Group != nil
 }
 
-// listeners lists the entries that hear of the group's load.
-func (d *directory) listeners() []netip.AddrPort {
+// loadReceivers returns the entries that the group's load is sent to.
+func (d *directory) loadReceivers() []netip.AddrPort {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed
+	return d.rosterEntries
 }
 
-// agents lists the addresses of the agents of a group's engines, in order.
+// agents returns the sorted addresses of the agents of a group's engines.
 func (d *directory) agents(group string) []netip.AddrPort {
 	engines := d.engines(group)
 	agents := make([]netip.AddrPort, 0, len(engines))
@@ -153,7 +157,7 @@
 	return agents
 }
 
-// agentOf returns the address of an engine's agent: it is on the same host.
+// agentOf returns the address of an engine's agent, which runs on the same host.
 func agentOf(engine netip.AddrPort, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(engine.Addr(), port)
 }
--- a/io/btrank/engine.go
+++ b/io/btrank/engine.go
@@ -1,15 +1,15 @@
-// Package btrank runs the agent beside a model engine that is a rank of a
-// lock-step group and takes orders by itself.
+// Package btrank runs the agent beside a model engine that is a rank of a lock-step
+// group. The engine itself takes orders, one at a time.
 //
-// Each agent reads its engine's state and expert counts, which costs nothing
-// from its host, and reports them to the group's lead: the first agent in the
-// order of addresses that answers. In a large group reports and commands go by the
-// relays of package btrelay. The lead plans expert maps and drives the rounds of
-// package btround, whose commands the agents carry out at their engines. An agent
-// that is away is stood in for by the lead.
+// Each agent reads its engine's state and expert counts, which costs nothing on the
+// engine's own host, and reports them to the group's lead: the first agent by address
+// that answers. In a large group, reports and commands pass through the relays of package
+// btrelay. The lead plans expert maps and drives the rounds of package btround, whose
+// commands the agents carry out at their engines. Where an agent doesn't respond, the
+// lead reads the engine's state and sends it orders directly.
 //
-// An agent learns of the others from the entries, which read the platform's
-// list. It keeps nothing.
+// Agents get the list of the others from the entries, which read the platform's list.
+// An agent stores nothing on disk.
 package btrank
 
 import (
@@ -22,73 +22,73 @@
 	"bilberrytide/core/btround"
 )
 
-// Counts are how often a rank's requests chose each expert since it started.
+// Counts are how often a rank's requests activated each expert since its engine started.
 type Counts struct {
 	Epoch uint64
-	// Start is that of the engine, zero where the platform doesn't tell it.
+	// Start identifies the engine's start; zero if the platform doesn't report it.
 	Start btid.Incarnation
 	Step  int64
 	// Values is flat, layer by layer.
 	Values []int64
 }
 
-// Held is what a rank holds by the map in force.
+// Held lists the experts that a rank holds under the active map, by layer.
 type Held struct {
 	Epoch   uint64              `cbor:"epoch"`
 	Version btround.Version     `cbor:"version"`
 	Layers  [][]btexpert.Expert `cbor:"layers"`
 }
 
-// OrderAnswer is what an engine says to an order.
+// OrderAnswer is an engine's answer to an order. Its values appear in logs and metrics.
 type OrderAnswer string
 
 const (
-	// OrderBegun: the order is accepted and takes a while.
+	// OrderBegun: the order is accepted, and is being carried out.
 	OrderBegun OrderAnswer = "begun"
-	// OrderDone: the order is carried out, or the state was as ordered before.
+	// OrderDone: the order is carried out, or the engine was already in that state.
 	OrderDone OrderAnswer = "done"
-	// OrderRefused: the order does not fit the engine's state.
+	// OrderRefused: the order doesn't fit the engine's state.
 	OrderRefused OrderAnswer = "refused"
-	// OrderFenced: the engine has heard a higher ballot.
+	// OrderFenced: the engine has seen a higher ballot.
 	OrderFenced OrderAnswer = "fenced"
 )
 
-// Engine is one engine's own interface.
+// Engine is a client of one engine. It must be safe for concurrent use.
 type Engine interface {
 	Report(ctx context.Context) (btround.State, error)
 	Counts(ctx context.Context) (Counts, error)
 	Held(ctx context.Context) (Held, error)
-	// Order gives the command's order. With OrderRefused the error says why; any
-	// other error means that the order may be carried out at any later time.
+	// Order sends the command's order. With OrderRefused the error gives the reason; any
+	// other error means that the order may still be carried out at any later time.
 	Order(ctx context.Context, c btround.Command) (OrderAnswer, error)
 	Close()
 }
 
 const (
-	// workTime is how long an agent works on one command before it answers that
-	// the end isn't known.
-	workTime = 400 * time.Millisecond
-	// orderTime bounds an order's answer, which takes about a millisecond; an
-	// engine that loses an order never answers it.
-	orderTime = 40 * time.Millisecond
-	// reportTime bounds the reading of an engine's state.
-	reportTime = 150 * time.Millisecond
-	// preparePoll is how often the loading of experts is looked at.
-	preparePoll = 40 * time.Millisecond
+	// workTimeout bounds an agent's work on one command. After it the agent answers with
+	// the verdict Pending.
+	workTimeout = 400 * time.Millisecond
+	// orderTimeout bounds the wait for an order's answer, which takes about a
+	// millisecond; an engine that loses an order never answers it.
+	orderTimeout = 40 * time.Millisecond
+	// readTimeout bounds a read of an engine's state, counts or held experts.
+	readTimeout = 150 * time.Millisecond
+	// preparePollInterval is the interval at which the loading of experts is checked.
+	preparePollInterval = 40 * time.Millisecond
 )
 
-// carryOut brings an engine into the state that a command asks for, as far as
-// it gets within the work time. An order without an answer is given again: each
-// kind has the same effect however often it is carried out.
+// carryOut brings an engine into the state that a command asks for. The result is Pending
+// if that takes longer than workTimeout. An order without an answer is sent again, since
+// all kinds are idempotent.
 func carryOut(ctx context.Context, e Engine, c btround.Command) btround.Result {
 	result := btround.Result{Round: c.Round, Kind: c.Kind, Verdict: btround.Pending, Ballot: c.Ballot}
-	ctx, cancel := context.WithTimeout(ctx, workTime)
+	ctx, cancel := context.WithTimeout(ctx, workTimeout)
 	defer cancel()
-	w := &work{engine: e, command: c}
+	x := &execution{engine: e, command: c}
 	for ctx.Err() == nil {
-		s, err := report(ctx, e)
+		s, err := readState(ctx, e)
 		if err != nil {
-			pause(ctx, preparePoll)
+			sleep(ctx, preparePollInterval)
 			continue
 		}
 		result.State = s
@@ -96,50 +96,51 @@
 			result.Verdict = btround.Refused
 			return result
 		}
-		if w.step(ctx, s, &result) {
+		if x.step(ctx, s, &result) {
 			return result
 		}
 	}
 	return result
 }
 
-// work is one command on its way.
-type work struct {
+// execution is a command that is being carried out.
+type execution struct {
 	engine  Engine
 	command btround.Command
-	// given tells that the engine has accepted the command's order.
-	given bool
+	// ordered is set once the engine has accepted the command's order.
+	ordered bool
 }
 
-// step goes on from a state just read, and tells whether the result stands.
-func (w *work) step(ctx context.Context, s btround.State, result *btround.Result) bool {
-	c := w.command
-	if c.Satisfied(s) && (w.given || !c.Force) {
+// step continues from a state that was just read, and reports whether the result is final.
+func (x *execution) step(ctx context.Context, s btround.State, result *btround.Result) bool {
+	c := x.command
+	if c.Satisfied(s) && (x.ordered || !c.Force) {
 		result.Verdict = btround.Reached
 		return true
 	}
-	if c.Kind == btround.Prepare && w.given {
-		pause(ctx, preparePoll)
+	if c.Kind == btround.Prepare && x.ordered {
+		sleep(ctx, preparePollInterval)
 		return false
 	}
-	switch order(ctx, w.engine, c) {
+	switch sendOrder(ctx, x.engine, c) {
 	case OrderBegun, OrderDone:
-		return w.accepted(s, result)
+		return x.handleAccepted(s, result)
 	case OrderFenced:
 		result.Verdict = btround.Outranked
 		result.Ballot = c.Ballot.Next(0, 0)
 		return true
 	case OrderRefused:
-		return final(ctx, w.engine, c, result)
+		return handleRefusal(ctx, x.engine, c, result)
 	}
 	return false
 }
 
-// accepted goes on after an accepted order. Where its effect is immediate the
-// state isn't read again, so that the group isn't held for that.
-func (w *work) accepted(s btround.State, result *btround.Result) bool {
-	c := w.command
-	w.given = true
+// handleAccepted continues after an accepted order, and reports whether the result is
+// final. If the order takes effect at once, the state isn't read again, because the group
+// would be held for longer.
+func (x *execution) handleAccepted(s btround.State, result *btround.Result) bool {
+	c := x.command
+	x.ordered = true
 	switch c.Kind {
 	case btround.Arm:
 		s.Armed = c.Version
@@ -150,7 +151,7 @@
 	case btround.Release:
 		s.Held = s.Held && s.HeldStep != c.Step
 	case btround.Disarm:
-		// Engines accept this for any version and disarm the named one only.
+		// Engines accept this order for any version, but disarm only the one named.
 		if s.Armed == c.Version {
 			s.Armed = 0
 		}
@@ -162,10 +163,10 @@
 	return true
 }
 
-// final tells whether a refusal stands: the engine's state is not what the
-// command asks for.
-func final(ctx context.Context, e Engine, c btround.Command, result *btround.Result) bool {
-	s, err := report(ctx, e)
+// handleRefusal reads the state after a refused order, and reports whether the result is
+// final. The verdict is Reached if the engine is already in the state that was asked for.
+func handleRefusal(ctx context.Context, e Engine, c btround.Command, result *btround.Result) bool {
+	s, err := readState(ctx, e)
 	if err != nil {
 		return false
 	}
@@ -177,25 +178,27 @@
 	return true
 }
 
-func report(ctx context.Context, e Engine) (btround.State, error) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+// readState reads an engine's state.
+func readState(ctx context.Context, e Engine) (btround.State, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return e.Report(ctx)
 }
 
-// order gives an order and returns "" where its end isn't known.
-func order(ctx context.Context, e Engine, c btround.Command) OrderAnswer {
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+// sendOrder sends a command's order, and returns "" if it isn't known whether the engine
+// carries it out.
+func sendOrder(ctx context.Context, e Engine, c btround.Command) OrderAnswer {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	answer, err := e.Order(ctx, c)
 	if answer == "" && !errors.Is(err, context.DeadlineExceeded) {
-		pause(ctx, orderTime)
+		sleep(ctx, orderTimeout)
 	}
 	return answer
 }
 
-// pause waits, unless the context ends before.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for the duration, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/io/btrank/lead.go
+++ b/io/btrank/lead.go
@@ -16,121 +16,123 @@
 )
 
 const (
-	// idleTick and roundTick are how often the lead looks at the clock, without
-	// and within a round.
-	idleTick  = 100 * time.Millisecond
-	roundTick = 20 * time.Millisecond
-	// commandTime bounds a command's answer, beyond the time that an agent works
-	// on it.
-	commandTime = workTime + 200*time.Millisecond
-	// leadFor is how long an agent leads after the last report of another: the
-	// others report a few times a second.
-	leadFor = time.Second
-	// holderFresh is how old an agent's last report may be for it to be asked to
-	// keep a record: agents report a few times a second.
-	holderFresh = 500 * time.Millisecond
+	// idleInterval and roundInterval are the intervals at which the lead polls its state
+	// machine, outside and within a round.
+	idleInterval  = 100 * time.Millisecond
+	roundInterval = 20 * time.Millisecond
+	// commandTimeout bounds the wait for a command's answer, including the time that an
+	// agent works on it.
+	commandTimeout = workTimeout + 200*time.Millisecond
+	// silenceTimeout is the time without reports after which an agent counts as silent,
+	// and a lead that receives none stops leading. Agents report a few times a second.
+	silenceTimeout = time.Second
+	// recentReportAge is the maximum age of an agent's last report for the agent to be
+	// asked to store a record or to send the load. Agents report a few times a second.
+	recentReportAge = 500 * time.Millisecond
 )
 
-// lead drives the group's rounds at the agent that the others report to.
+// lead drives the group's rounds if the other agents report to this one. It is safe for
+// concurrent use.
 type lead struct {
 	options Options
 	agent   *Agent
 	calls   *btcall.Client
 	log     *slog.Logger
-	kick    chan struct{}
+	pollNow chan struct{}
 
 	mu      sync.Mutex
 	machine *btround.Lead
 	planner *planner
-	// engines is the engine's address by rank, at is when its agent last
-	// reported.
-	engines map[btexpert.Rank]netip.AddrPort
-	at      map[btexpert.Rank]time.Time
-	heardAt time.Time
-	looker  *btrelay.DirectReader
-	// via is the relay that a rank's last report came from; none where it came
-	// from the agent itself.
-	via map[btexpert.Rank]netip.AddrPort
-	// whole tells which ranks lack the map that changes refer to, prepares the
-	// version that a rank has answered last.
-	whole    map[btexpert.Rank]bool
-	prepares map[btexpert.Rank]btround.Version
-	// sending is the version that is on its way to a rank.
-	sending map[btexpert.Rank]btround.Version
-	remotes map[netip.AddrPort]Engine
-	leading bool
-	// open tells whether the group was whole at the last step. Entries are told of a
-	// change at once.
-	open    bool
-	planned time.Time
-	told    time.Time
-	// tellersAway is until when a rank's agent is not asked to tell entries.
-	tellersAway map[btexpert.Rank]time.Time
-	// strains is what each entry, or each agent for its entries, said last of the
-	// service's answers.
-	strains map[netip.AddrPort]heardStrain
-	// unrecorded is until when rounds are held at the own rank, as another's agent
-	// did not answer.
-	unrecorded time.Time
-	// pause follows whether the group is paused; paused tells that this was logged.
-	pause  btround.PauseWatch
-	paused bool
-	// waitLogged is when a line was written on a round that waits.
-	waitLogged time.Time
+	// engines holds each rank's engine address, reportedAt when its agent last reported,
+	// and lastReportAt when any did.
+	engines      map[btexpert.Rank]netip.AddrPort
+	reportedAt   map[btexpert.Rank]time.Time
+	lastReportAt time.Time
+	directReader *btrelay.DirectReader
+	// relays holds the sender of each rank's last report: its relay, or this agent if the
+	// rank reported to it directly.
+	relays map[btexpert.Rank]netip.AddrPort
+	// wholeNeeded holds the ranks that lack the map that changes refer to, cachedVersions
+	// the map of the last Prepare that each rank answered.
+	wholeNeeded    map[btexpert.Rank]bool
+	cachedVersions map[btexpert.Rank]btround.Version
+	// sending holds the version whose Prepare is being sent to a rank.
+	sending       map[btexpert.Rank]btround.Version
+	remoteEngines map[netip.AddrPort]Engine
+	leading       bool
+	// open is whether all ranks were open at the last step. The load is sent to the
+	// entries at once when it changes.
+	open         bool
+	planLoggedAt time.Time
+	loadSentAt   time.Time
+	// skippedUntil is the time until which a rank's agent isn't asked to send the load.
+	skippedUntil map[btexpert.Rank]time.Time
+	// strains holds the last strain reported by each entry, or by each agent for the
+	// entries that it sends the load to.
+	strains map[netip.AddrPort]receivedStrain
+	// holdSelfUntil is the time until which the group is held at the own rank, because
+	// another rank's agent didn't store the record.
+	holdSelfUntil time.Time
+	// pauseWatch tracks pauses of the group; pauseLogged is set while a logged one lasts.
+	pauseWatch  btround.PauseWatch
+	pauseLogged bool
+	// waitLoggedAt is when a long round was last logged.
+	waitLoggedAt time.Time
 }
 
 func newLead(o Options, a *Agent, calls *btcall.Client) *lead {
 	return &lead{
-		options:     o,
-		agent:       a,
-		calls:       calls,
-		log:         o.Log,
-		kick:        make(chan struct{}, 1),
-		planner:     newPlanner(),
-		engines:     make(map[btexpert.Rank]netip.AddrPort),
-		at:          make(map[btexpert.Rank]time.Time),
-		via:         make(map[btexpert.Rank]netip.AddrPort),
-		whole:       make(map[btexpert.Rank]bool),
-		prepares:    make(map[btexpert.Rank]btround.Version),
-		sending:     make(map[btexpert.Rank]btround.Version),
-		tellersAway: make(map[btexpert.Rank]time.Time),
-		looker:      btrelay.NewDirectReader(),
-		remotes:     make(map[netip.AddrPort]Engine),
-		strains:     make(map[netip.AddrPort]heardStrain),
+		options:        o,
+		agent:          a,
+		calls:          calls,
+		log:            o.Log,
+		pollNow:        make(chan struct{}, 1),
+		planner:        newPlanner(),
+		engines:        make(map[btexpert.Rank]netip.AddrPort),
+		reportedAt:     make(map[btexpert.Rank]time.Time),
+		relays:         make(map[btexpert.Rank]netip.AddrPort),
+		wholeNeeded:    make(map[btexpert.Rank]bool),
+		cachedVersions: make(map[btexpert.Rank]btround.Version),
+		sending:        make(map[btexpert.Rank]btround.Version),
+		skippedUntil:   make(map[btexpert.Rank]time.Time),
+		directReader:   btrelay.NewDirectReader(),
+		remoteEngines:  make(map[netip.AddrPort]Engine),
+		strains:        make(map[netip.AddrPort]receivedStrain),
 	}
 }
 
-// errNotKnown means that the agent doesn't know its own engine's state yet.
-var errNotKnown = errors.New("own engine isn't known yet")
+// errOwnStateUnknown means that the agent hasn't read its own engine's state yet.
+var errOwnStateUnknown = errors.New("own engine isn't known yet")
 
-// hear takes a relay's bundle in.
-func (l *lead) hear(_ context.Context, b Bundle) (BundleReply, error) {
+// handleBundle processes a relay's bundle. It returns errOwnStateUnknown until the own
+// engine's state has been read.
+func (l *lead) handleBundle(_ context.Context, b Bundle) (BundleReply, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Clock()
-	own := l.agent.own()
+	own := l.agent.ownState()
 	if own.Size == 0 {
-		return BundleReply{}, errNotKnown
+		return BundleReply{}, errOwnStateUnknown
 	}
 	if l.machine == nil || l.machine.Self() != own.Rank || l.machine.Group() != own.Group {
 		l.machine = btround.NewLead(btround.Defaults(), own.Group, own.Rank, btround.Instance(rand.Uint32()), l.options.Assert)
 	}
 	var reply BundleReply
 	for _, r := range b.Reports {
-		if l.take(now, r, b.From) {
+		if l.handleReport(now, r, b.From) {
 			reply.WantHeld = append(reply.WantHeld, r.Report.State.Rank)
 		}
 	}
-	l.planner.count(now, b.Counts)
+	l.planner.addCounts(now, b.Counts)
 	if l.machine.AllRanksOpen(now) != l.open {
 		l.wake()
 	}
 	return reply, nil
 }
 
-// take takes one report in, and tells whether the rank's held experts are asked
-// for. Reports of other groups are passed over. The lock is held.
-func (l *lead) take(now time.Time, aged AgedReport, from netip.AddrPort) bool {
+// handleReport processes one report, and reports whether the rank's held experts are
+// needed. Reports of other groups are ignored. The lock must be held.
+func (l *lead) handleReport(now time.Time, aged AgedReport, from netip.AddrPort) bool {
 	r := aged.Report
 	if r.State.Group != l.machine.Group() {
 		return false
@@ -139,128 +141,128 @@
 	epoch := l.machine.Epoch()
 	l.machine.HandleReport(at, r.State, r.Ballot)
 	if l.machine.Epoch() != epoch {
-		l.planner.restart(now, l.machine.Size())
+		l.planner.reset(now, l.machine.Size())
 		l.log.Info("group formed", "group", r.State.Group, "epoch", r.State.Epoch, "size", r.State.Size)
 	}
 	l.engines[r.State.Rank] = r.Engine
-	l.at[r.State.Rank] = at
-	l.via[r.State.Rank] = from
-	if now.Sub(l.heardAt) > leadFor {
-		l.looker.ReportsResumed(now)
+	l.reportedAt[r.State.Rank] = at
+	l.relays[r.State.Rank] = from
+	if now.Sub(l.lastReportAt) > silenceTimeout {
+		l.directReader.ReportsResumed(now)
 	}
-	l.heardAt = now
+	l.lastReportAt = now
 	if r.State.Epoch != l.machine.Epoch() {
 		return false
 	}
 	if r.Held != nil && r.Held.Epoch == l.machine.Epoch() {
-		l.planner.hold(r.State.Rank, *r.Held)
+		l.planner.setHeld(r.State.Rank, *r.Held)
 	}
-	return l.planner.wants(r.State.Rank, r.State.Map)
+	return l.planner.needsHeld(r.State.Rank, r.State.Map)
 }
 
-// own returns the state of the agent's own engine.
-func (a *Agent) own() btround.State {
+// ownState returns the state of the agent's own engine.
+func (a *Agent) ownState() btround.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.state
 }
 
-// reportsToOther tells whether the agent takes another for the group's lead.
+// reportsToOther reports whether the agent has chosen another agent as the group's lead.
 func (a *Agent) reportsToOther() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.reportsTo.IsValid() && a.reportsTo != a.options.Address
+	return a.chosenLead.IsValid() && a.chosenLead != a.options.Address
 }
 
 // run drives rounds until the context ends.
 func (l *lead) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		tick := l.step(ctx)
-		timer := time.NewTimer(tick)
+		interval := l.step(ctx)
+		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
-		case <-l.kick:
+		case <-l.pollNow:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// step takes the steps that are due and returns when to look again.
+// step does what is due and returns the time until the next step.
 func (l *lead) step(ctx context.Context) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Clock()
-	if l.machine == nil || now.Sub(l.heardAt) > leadFor {
+	if l.machine == nil || now.Sub(l.lastReportAt) > silenceTimeout {
 		l.leading = false
-		return idleTick
+		return idleInterval
 	}
 	if !l.leading {
 		l.leading = true
-		l.log.Info("leads", "group", l.agent.own().Group, "epoch", l.machine.Epoch(), "ballot", l.machine.Ballot())
+		l.log.Info("leads", "group", l.agent.ownState().Group, "epoch", l.machine.Epoch(), "ballot", l.machine.Ballot())
 	}
 	l.machine.SetDeferred(l.agent.reportsToOther())
-	l.lookAtStale(ctx, now)
-	if whole := l.machine.AllRanksOpen(now); whole != l.open {
-		l.open = whole
-		l.told = time.Time{}
+	l.readSilentEngines(ctx, now)
+	if open := l.machine.AllRanksOpen(now); open != l.open {
+		l.open = open
+		l.loadSentAt = time.Time{}
 	}
-	l.tell(ctx, now)
+	l.sendLoad(ctx, now)
 	if l.machine.Phase() == btround.Idle {
 		l.plan(now)
 	}
 	l.dispatch(ctx, l.machine.Poll(now))
-	l.note()
-	l.watch(now)
+	l.handleOutcome()
+	l.logDelays(now)
 	if l.machine.Phase() == btround.Idle {
-		return idleTick
+		return idleInterval
 	}
-	return roundTick
+	return roundInterval
 }
 
-// plan begins a round where a better map is worth its price.
+// plan begins a round if a better map is worth its price.
 func (l *lead) plan(now time.Time) {
 	group, found := l.agent.directory.shape()
-	version, one := l.machine.ActiveVersion()
-	if !found || !one || !l.machine.AllRanksOpen(now) {
+	version, consistent := l.machine.ActiveVersion()
+	if !found || !consistent || !l.machine.AllRanksOpen(now) {
 		return
 	}
 	plan, reason := l.planner.plan(now, group, l.paces(now), version, l.strain(now))
 	if reason != "" {
-		if now.Sub(l.planned) > time.Second {
-			l.planned = now
+		if now.Sub(l.planLoggedAt) > time.Second {
+			l.planLoggedAt = now
 			l.log.Info("map kept", "reason", reason, "version", version, "peak", plan.PeakBefore, "planned_peak", plan.PeakAfter, "loads", plan.Transfers, "strain", l.planner.strain)
 		}
 		return
 	}
-	holder := l.holder(now)
+	holder := l.chooseHolder(now)
 	next, begun := l.machine.Begin(now, btround.Proposal{Layers: plan.Map.Layers, Holder: holder, Nonce: rand.Uint32()})
 	if !begun {
 		return
 	}
-	l.planned = now
-	l.planner.begun(version, next, plan)
+	l.planLoggedAt = now
+	l.planner.roundBegun(version, next, plan)
 	l.log.Info("map round begun", "version", next, "before", version, "epoch", l.machine.Epoch(), "peak", plan.PeakBefore, "planned_peak", plan.PeakAfter, "loads", plan.Transfers, "strain", l.planner.strain, "holder", holder, "ballot", l.machine.Ballot())
 }
 
-// holder chooses the rank that is to hold the group: the first after the own one
-// whose agent is there to keep a record. Where none answers it is the own rank.
-func (l *lead) holder(now time.Time) btexpert.Rank {
+// chooseHolder returns the rank that is to hold the group: the first one after the own
+// rank whose agent has recently reported and so can store a record, or else the own rank.
+func (l *lead) chooseHolder(now time.Time) btexpert.Rank {
 	own := l.machine.Self()
 	size := l.machine.Size()
-	if now.Before(l.unrecorded) {
+	if now.Before(l.holdSelfUntil) {
 		return own
 	}
 	for i := 1; i < size; i++ {
 		r := btexpert.Rank((int(own) + i) % size)
-		if now.Sub(l.at[r]) <= holderFresh {
+		if now.Sub(l.reportedAt[r]) <= recentReportAge {
 			return r
 		}
 	}
 	return own
 }
 
-// paces returns how slow each rank is.
+// paces returns each rank's slowness, by rank.
 func (l *lead) paces(now time.Time) []float64 {
 	paces := make([]float64, l.machine.Size())
 	for _, s := range l.machine.RecentStates(now) {
@@ -269,16 +271,16 @@
 	return paces
 }
 
-// note logs how a round ended.
-func (l *lead) note() {
+// handleOutcome processes and logs the outcome of a round that has ended.
+func (l *lead) handleOutcome() {
 	o := l.machine.Outcome()
 	if o == nil {
 		return
 	}
 	now := l.options.Clock()
-	l.planner.ended(now, *o)
+	l.planner.roundEnded(now, *o)
 	if o.Reason == btround.NoRecord {
-		l.unrecorded = now.Add(leadFor)
+		l.holdSelfUntil = now.Add(silenceTimeout)
 	}
 	l.options.Meter.Counter("rounds." + string(o.Reason)).Inc(1)
 	l.options.Meter.Duration("round_held_us", o.HeldFor)
--- a/io/btrank/maps.go
+++ b/io/btrank/maps.go
@@ -8,21 +8,21 @@
 	"bilberrytide/core/btround"
 )
 
-// errBase means that an instruction refers to a map that the agent doesn't have;
-// the lead sends the whole map then.
-var errBase = errors.New("base map isn't known")
+// errBaseUnknown means that an instruction refers to a map that the agent lacks. The lead
+// sends the whole map then.
+var errBaseUnknown = errors.New("base map isn't known")
 
-// remember keeps a map for later instructions.
-func (a *Agent) remember(v btround.Version, layers []btexpert.Layer) {
+// cacheMap caches a map for later instructions.
+func (a *Agent) cacheMap(v btround.Version, layers []btexpert.Layer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.maps.Put(v, layers, a.state.Map)
 }
 
-// changed returns the map that an instruction describes; false where its base
-// isn't known.
-func (a *Agent) changed(i Instruction) ([]btexpert.Layer, bool) {
-	base, found := a.base(i.Base)
+// applyChanges returns the map that an instruction describes; false if its base is unknown
+// or the changes don't fit it.
+func (a *Agent) applyChanges(i Instruction) ([]btexpert.Layer, bool) {
+	base, found := a.baseMap(i.Base)
 	if !found {
 		return nil, false
 	}
@@ -39,8 +39,8 @@
 	return layers, true
 }
 
-// base returns a known map. Version 0 is the one that groups start from.
-func (a *Agent) base(v btround.Version) ([]btexpert.Layer, bool) {
+// baseMap returns a cached map. Version 0 is the map that groups form with.
+func (a *Agent) baseMap(v btround.Version) ([]btexpert.Layer, bool) {
 	group, found := a.directory.shape()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,7 +53,7 @@
 	return btexpert.SingleReplica(shapeOf(group, a.state.Size)).Layers, true
 }
 
-// changesBetween lists what differs between two maps of one shape.
+// changesBetween returns the differences between two maps of the same shape.
 func changesBetween(from, to []btexpert.Layer) []Change {
 	var changes []Change
 	for l := range to {
--- a/io/btrank/message.go
+++ b/io/btrank/message.go
@@ -13,67 +13,68 @@
 	"bilberrytide/io/btdirect"
 )
 
-// Paths of the calls between agents.
+// Paths of the requests between agents.
 const (
-	pathReport  = "/v1/report"
-	pathBundle  = "/v1/bundle"
-	pathCommand = "/v1/command"
-	pathBatch   = "/v1/batch"
-	pathTell    = "/v1/tell"
+	pathReport     = "/v1/report"
+	pathBundle     = "/v1/bundle"
+	pathCommand    = "/v1/command"
+	pathBatch      = "/v1/batch"
+	pathLoadNotice = "/v1/tell"
 )
 
-// errMessage is wrapped by the error of a malformed message.
+// errMessage is wrapped by the errors for all malformed messages.
 var errMessage = errors.New("malformed agent message")
 
-// Report is what an agent tells its relay.
+// Report is sent by an agent to its relay.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 	// Engine is the address of the agent's engine.
 	Engine netip.AddrPort `cbor:"engine"`
 	State  btround.State  `cbor:"state"`
-	// Ballot is the highest that the agent has heard.
+	// Ballot is the highest that the agent has promised.
 	Ballot btround.Ballot `cbor:"ballot"`
-	// Counts are the choices of experts of late; nil where they aren't due.
-	Counts *Sample `cbor:"counts"`
-	// Held is sent where the lead has asked for it.
+	// Counts are recent expert activations; nil if none are due.
+	Counts *ScaledCounts `cbor:"counts"`
+	// Held is set if the lead has asked for it.
 	Held *Held `cbor:"held"`
 }
 
-// Sample holds counts in a byte each, as counts of a large group's experts would
-// else take most of an agent's link.
-type Sample struct {
-	// Unit is the count that one stands for.
+// ScaledCounts holds expert activation counts in one byte each. The counts of a large
+// group would take most of an agent's link otherwise.
+type ScaledCounts struct {
+	// Unit is the count that a value of one represents, at least 1.
 	Unit float64 `cbor:"unit"`
 	// Values are flat, layer by layer.
 	Values []byte `cbor:"values"`
 }
 
-// newSample returns the counts as a sample.
-func newSample(counts []int64) *Sample {
+// scaleCounts scales counts to one byte each; nil if none is positive.
+func scaleCounts(counts []int64) *ScaledCounts {
 	largest := slices.Max(counts)
 	if largest <= 0 {
 		return nil
 	}
-	s := &Sample{Unit: max(float64(largest)/math.MaxUint8, 1), Values: make([]byte, len(counts))}
+	s := &ScaledCounts{Unit: max(float64(largest)/math.MaxUint8, 1), Values: make([]byte, len(counts))}
 	for i, n := range counts {
 		s.Values[i] = byte(math.Round(float64(max(n, 0)) / s.Unit))
 	}
 	return s
 }
 
-// maxCounts bounds a report: 1,024 layers of 256 experts.
+// maxCounts is the maximum number of counts in a message: 1,024 layers of 256 experts.
 const maxCounts = 1 << 18
 
-// Validate reports counts that no agent has. None are none.
-func (s *Sample) Validate() error {
+// Validate checks the number of counts and the unit; nil is valid. The error wraps
+// errMessage.
+func (s *ScaledCounts) Validate() error {
 	if s != nil && (len(s.Values) > maxCounts || !(s.Unit >= 1) || math.IsInf(s.Unit, 0)) {
 		return fmt.Errorf("%w: %d counts of unit %v", errMessage, len(s.Values), s.Unit)
 	}
 	return nil
 }
 
-// addTo adds the counts to a sum, which is made anew where it has another shape.
-func (s *Sample) addTo(sum []int64) []int64 {
+// addTo adds the counts to a sum, which starts at zero if it has another length.
+func (s *ScaledCounts) addTo(sum []int64) []int64 {
 	if s == nil {
 		return sum
 	}
@@ -86,7 +87,7 @@
 	return sum
 }
 
-// Validate reports a report that no agent sends.
+// Validate checks the counts and the state.
 func (r Report) Validate() error {
 	if err := r.Counts.Validate(); err != nil {
 		return err
@@ -94,23 +95,23 @@
 	return r.State.Validate()
 }
 
-// AgedReport is a report that a relay has had for a while.
+// AgedReport is a report and the time since a relay received it.
 type AgedReport struct {
 	_      struct{}      `cbor:",toarray"`
 	Report Report        `cbor:"report"`
 	Age    time.Duration `cbor:"age"`
 }
 
-// Bundle is what a relay tells the lead: the last reports of its block, without
-// their counts, and the sum of these.
+// Bundle is sent by a relay to the lead: the latest reports of its block without their
+// counts, and the sum of the counts.
 type Bundle struct {
 	// From is the relay's address.
 	From    netip.AddrPort `cbor:"from"`
 	Reports []AgedReport   `cbor:"reports"`
-	Counts  *Sample        `cbor:"counts,omitempty"`
+	Counts  *ScaledCounts  `cbor:"counts,omitempty"`
 }
 
-// Validate reports a bundle that no relay sends.
+// Validate checks the sender's address, the reports, their ages and the counts.
 func (b Bundle) Validate() error {
 	if !b.From.IsValid() || len(b.Reports) > btround.MaxSize {
 		return fmt.Errorf("%w: bundle of %d reports from %v", errMessage, len(b.Reports), b.From)
@@ -128,14 +129,14 @@
 
 // BundleReply answers a Bundle.
 type BundleReply struct {
-	// WantHeld lists the ranks whose held experts the lead asks for.
+	// WantHeld lists the ranks whose held experts the lead needs.
 	WantHeld []btexpert.Rank `cbor:"want_held,omitempty"`
 }
 
 // Validate accepts every reply.
 func (BundleReply) Validate() error { return nil }
 
-// Change is one rank's experts in one layer of a new map.
+// Change holds one rank's experts in one layer of a new map.
 type Change struct {
 	_       struct{}          `cbor:",toarray"`
 	Layer   uint16            `cbor:"layer"`
@@ -143,28 +144,28 @@
 	Experts []btexpert.Expert `cbor:"experts"`
 }
 
-// Instruction is a command on its way to an agent. The map of a Prepare travels
-// as the changes to one that the agent has, where it has one.
+// Instruction is a command as it is sent to an agent. The map of a Prepare is sent as the
+// changes to one that the agent has, if it has one.
 type Instruction struct {
 	Command btround.Command `cbor:"command"`
-	// Base is the version that the changes refer to.
+	// Base is the version of the map that Changes apply to.
 	Base    btround.Version `cbor:"base,omitempty"`
 	Changes []Change        `cbor:"changes,omitempty"`
 }
 
-// Validate reports an instruction that no lead gives.
+// Validate checks the command.
 func (i Instruction) Validate() error { return i.Command.Validate() }
 
-// Reply answers a Report.
-type Reply struct {
-	// WantHeld asks for the experts that the rank holds.
+// ReportReply answers a Report.
+type ReportReply struct {
+	// WantHeld asks for the experts that the rank holds in the next report.
 	WantHeld bool `cbor:"want_held"`
 }
 
 // Validate accepts every reply.
-func (Reply) Validate() error { return nil }
+func (ReportReply) Validate() error { return nil }
 
-// Addressee is a rank that an instruction of a batch is meant for.
+// Addressee is a rank that a batch's instruction is sent to.
 type Addressee struct {
 	_      struct{}       `cbor:",toarray"`
 	Rank   btexpert.Rank  `cbor:"rank"`
@@ -177,7 +178,7 @@
 	Ranks       []Addressee `cbor:"ranks"`
 }
 
-// Validate reports a batch that no lead gives.
+// Validate checks the number of ranks and the instruction.
 func (b Batch) Validate() error {
 	if len(b.Ranks) == 0 || len(b.Ranks) > btround.MaxSize {
 		return fmt.Errorf("%w: batch for %d ranks", errMessage, len(b.Ranks))
@@ -189,10 +190,10 @@
 type Unanswered struct {
 	_    struct{}      `cbor:",toarray"`
 	Rank btexpert.Rank `cbor:"rank"`
-	// Refused tells that the agent answered that it can't follow the instruction, as
-	// it lacks the map that the changes refer to.
+	// Refused is set if the agent answered with an error, as it does if it lacks the map
+	// that the changes refer to.
 	Refused bool `cbor:"refused"`
-	// NotReached tells that no connection to the agent could be had.
+	// NotReached is set if no connection to the agent could be established.
 	NotReached bool `cbor:"not_reached"`
 }
 
@@ -202,7 +203,7 @@
 	Unanswered []Unanswered     `cbor:"unanswered,omitempty"`
 }
 
-// Validate reports an answer that no relay gives.
+// Validate checks the results.
 func (a BatchAnswer) Validate() error {
 	for _, r := range a.Results {
 		if err := r.Validate(); err != nil {
@@ -212,14 +213,14 @@
 	return nil
 }
 
-// Notice has an agent tell some entries of the group's load.
-type Notice struct {
+// LoadNotice asks an agent to send the group's load to some entries.
+type LoadNotice struct {
 	Load    btdirect.LoadReport `cbor:"load"`
 	Entries []netip.AddrPort    `cbor:"entries"`
 }
 
-// Validate reports a notice without entries, or of no load.
-func (n Notice) Validate() error {
+// Validate checks that there are entries, and the load.
+func (n LoadNotice) Validate() error {
 	if len(n.Entries) == 0 {
 		return fmt.Errorf("%w: notice for no entry", errMessage)
 	}
--- a/io/btrank/planner.go
+++ b/io/btrank/planner.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// leastCounts is how many choices an expert must have had on average for the
-	// counts to tell popular experts from chance.
-	leastCounts = 10
-	// gainPerGigabyte is the part of a step that loading a gigabyte of experts
-	// must save: moving weights slows the steps meanwhile and is paid for.
+	// minMeanCount is the mean number of activations per expert from which the counts
+	// distinguish popular experts from chance.
+	minMeanCount = 10
+	// gainPerGigabyte is the fraction of a step that transferring a gigabyte of experts
+	// must save, because transfers slow the steps meanwhile and are paid for.
 	gainPerGigabyte = 0.0024
-	// leastGain is the part of the mean load by which a new map must be better,
-	// averaged over the layers.
-	leastGain = 0.05
-	// loadTime is for how long a rank may load experts for one map, and
-	// leastRankLoads how many it may load in any case. A group waits for its
-	// slowest rank, so the changes that matter most come first.
-	loadTime       = 250 * time.Millisecond
-	leastRankLoads = 2
-	// planRounds bounds the changes in one layer.
-	planRounds = 60
-	// settleTime is how long a group takes after it has formed until it has worked
-	// off who waited for it: callers ask again for some seconds.
+	// minGain is the fraction of the mean load by which a new map must be better, averaged
+	// over the layers.
+	minGain = 0.05
+	// maxTransferTime bounds how long a rank loads experts for one map, and
+	// minRankTransfers is how many it may load in any case. A group waits for its slowest
+	// rank, so the changes that gain most come first.
+	maxTransferTime  = 250 * time.Millisecond
+	minRankTransfers = 2
+	// maxLayerChanges bounds the changes in one layer.
+	maxLayerChanges = 60
+	// settleTime is how long a group needs after forming to serve the requests that
+	// waited for it: callers retry for some seconds.
 	settleTime = 5 * time.Second
-	// failedPause is the wait after a round that put no map in force.
-	failedPause = 300 * time.Millisecond
+	// failedRoundDelay is the delay after a round that didn't switch the map.
+	failedRoundDelay = 300 * time.Millisecond
 )
 
-// Reasons to keep a map.
+// Reasons for keeping the active map, for logs.
 const (
 	keepNoCounts  = "too few counts"
 	keepNoMap     = "map in force not known"
@@ -43,50 +43,52 @@
 	keepHeld      = "rounds hold the group for too long"
 )
 
-// planner knows the experts in demand and the map in force.
+// planner plans maps from the experts' activations and the active map. It is not safe for
+// concurrent use.
 type planner struct {
-	size    int
-	choices btexpert.Activations
-	held    []Held
-	known   []bool
-	// next is the map of the round under way, changes what differs in it from
-	// the version base.
-	next    *btexpert.FastPlan
-	base    btround.Version
-	changes []Change
-	version btround.Version
-	failed  time.Time
-	holds   btexpert.StallBudget
-	// strains remembers how near answers came to what callers are promised; strain
-	// is the worst of late.
-	strains btexpert.PeakStrain
-	strain  float64
-	// formed is when the group formed.
-	formed time.Time
+	size        int
+	activations btexpert.Activations
+	// held is what each rank holds as far as known, known whether it is.
+	held  []Held
+	known []bool
+	// pending is the plan of the current round, pendingVersion its version, and
+	// pendingChanges how its map differs from that of version pendingBase.
+	pending        *btexpert.FastPlan
+	pendingBase    btround.Version
+	pendingChanges []Change
+	pendingVersion btround.Version
+	failedAt       time.Time
+	stallBudget    btexpert.StallBudget
+	// peakStrain is the decaying maximum of the strain: how close answers come to the
+	// times that callers are promised. strain is the value of the last plan, for logs.
+	peakStrain btexpert.PeakStrain
+	strain     float64
+	// formedAt is when the group formed.
+	formedAt time.Time
 }
 
 func newPlanner() *planner { return &planner{} }
 
-// restart begins anew with a group that has formed anew.
-func (p *planner) restart(now time.Time, size int) {
-	p.formed = now
+// reset discards what was known of the group, which has formed again.
+func (p *planner) reset(now time.Time, size int) {
+	p.formedAt = now
 	p.size = size
 	p.held = make([]Held, size)
 	p.known = make([]bool, size)
-	p.next = nil
-	p.choices.Resume(now)
+	p.pending = nil
+	p.activations.Resume(now)
 }
 
-// count takes choices of experts in.
-func (p *planner) count(now time.Time, s *Sample) {
+// addCounts adds expert activation counts.
+func (p *planner) addCounts(now time.Time, s *ScaledCounts) {
 	if s == nil {
 		return
 	}
-	p.choices.Add(now, s.Values, s.Unit)
+	p.activations.Add(now, s.Values, s.Unit)
 }
 
-// hold takes in what a rank holds.
-func (p *planner) hold(r btexpert.Rank, h Held) {
+// setHeld stores what a rank holds, unless a newer version is known.
+func (p *planner) setHeld(r btexpert.Rank, h Held) {
 	if int(r) < p.size && (!p.known[r] || h.Version >= p.held[r].Version) {
 		for _, experts := range h.Layers {
 			slices.Sort(experts)
@@ -96,64 +98,66 @@
 	}
 }
 
-// wants tells whether it isn't known what the rank holds by the version.
-func (p *planner) wants(r btexpert.Rank, v btround.Version) bool {
-	if v == 0 || p.next != nil && v == p.version {
+// needsHeld reports whether it isn't known what the rank holds under the version.
+func (p *planner) needsHeld(r btexpert.Rank, v btround.Version) bool {
+	if v == 0 || p.pending != nil && v == p.pendingVersion {
 		return false
 	}
 	return int(r) < p.size && (!p.known[r] || p.held[r].Version < v)
 }
 
-// plan returns a better map, or why the one in force stays. Strain is how near the
-// last answers came to what callers are promised.
+// plan returns a plan for a better map, or the reason why the active one is kept. Strain
+// is how close the latest answers came to the times that callers are promised, with 1 at
+// the limit.
 func (p *planner) plan(now time.Time, g *btcatalog.Group, pace []float64, version btround.Version, strain float64) (btexpert.FastPlan, string) {
 	size := len(pace)
-	if now.Sub(p.failed) < failedPause {
+	if now.Sub(p.failedAt) < failedRoundDelay {
 		return btexpert.FastPlan{}, keepPause
 	}
-	if !p.holds.Allows(now) {
+	if !p.stallBudget.Allows(now) {
 		return btexpert.FastPlan{}, keepHeld
 	}
 	shape := shapeOf(g, size)
-	load, total := p.choices.Load(g.Layers, g.Experts)
+	load, total := p.activations.Load(g.Layers, g.Experts)
 	if shape.Validate() != nil || load == nil {
 		return btexpert.FastPlan{}, keepNoShape
 	}
-	m, found := p.inForce(shape, version)
+	m, found := p.activeMap(shape, version)
 	if !found {
 		return btexpert.FastPlan{}, keepNoMap
 	}
-	if total < leastCounts*float64(g.Layers*g.Experts) {
+	if total < minMeanCount*float64(g.Layers*g.Experts) {
 		return btexpert.FastPlan{}, keepNoCounts
 	}
-	p.strain = p.worst(now, strain)
-	caution := btexpert.PriceFactor(p.strain)
+	p.strain = p.updateStrain(now, strain)
+	priceFactor := btexpert.PriceFactor(p.strain)
 	plan := btexpert.FastRebalance(m, load, btexpert.FastLimits{
 		MaxLayerTransfers: g.NewPerMap,
-		TransferCost:      caution * loadGain(g),
-		MaxChanges:        planRounds,
-		MaxRankTransfers:  rankLoads(g),
+		TransferCost:      priceFactor * minTransferGain(g),
+		MaxChanges:        maxLayerChanges,
+		MaxRankTransfers:  maxRankTransfers(g),
 		Slowness:          pace,
 	})
-	if plan.PeakBefore-plan.PeakAfter < leastGain*caution {
+	if plan.PeakBefore-plan.PeakAfter < minGain*priceFactor {
 		return plan, keepSmallGain
 	}
 	return plan, ""
 }
 
-// loadGain returns the part of a layer's mean load that a loaded expert must
-// take off the most loaded rank.
-func loadGain(g *btcatalog.Group) float64 {
+// minTransferGain returns the fraction of a layer's mean load by which transferring one
+// expert must relieve the most loaded rank.
+func minTransferGain(g *btcatalog.Group) float64 {
 	const gigabyte = 1e9
 	return gainPerGigabyte * float64(g.ExpertBytes) / gigabyte * float64(g.Layers)
 }
 
-// rankLoads returns how many experts one map may bring to a rank.
-func rankLoads(g *btcatalog.Group) int {
+// maxRankTransfers returns how many experts a new map may bring to a rank; zero means no
+// limit.
+func maxRankTransfers(g *btcatalog.Group) int {
 	if g.CopyTime <= 0 {
 		return 0
 	}
-	return max(int(loadTime/g.CopyTime), leastRankLoads)
+	return max(int(maxTransferTime/g.CopyTime), minRankTransfers)
 }
 
 // shapeOf returns the shape of a group's maps.
@@ -161,10 +165,10 @@
 	return btexpert.Shape{Ranks: size, Layers: g.Layers, Experts: g.Experts, Slots: g.Slots, ExpertBytes: max(g.ExpertBytes, 1)}
 }
 
-// inForce returns the map in force, put together from what the ranks hold. The one
-// that a group forms with is known beforehand: it need not be asked of every rank,
-// which takes half a second in which each step lasts twice as long.
-func (p *planner) inForce(s btexpert.Shape, version btround.Version) (btexpert.Map, bool) {
+// activeMap returns the active map, assembled from what the ranks hold; false if that isn't
+// known. The map that a group forms with is known in advance, without asking every rank:
+// that takes half a second, during which each step lasts twice as long.
+func (p *planner) activeMap(s btexpert.Shape, version btround.Version) (btexpert.Map, bool) {
 	if version == 0 {
 		return btexpert.SingleReplica(s), true
 	}
@@ -183,63 +187,65 @@
 	return m, m.Validate() == nil
 }
 
-// begun notes the map of a round.
-func (p *planner) begun(before, v btround.Version, plan btexpert.FastPlan) {
-	p.version = v
-	p.next = &plan
-	p.base = before
-	p.changes = nil
-	from, found := p.inForce(plan.Map.Shape, before)
+// roundBegun records the map of a round that has begun.
+func (p *planner) roundBegun(before, v btround.Version, plan btexpert.FastPlan) {
+	p.pendingVersion = v
+	p.pending = &plan
+	p.pendingBase = before
+	p.pendingChanges = nil
+	from, found := p.activeMap(plan.Map.Shape, before)
 	if found {
-		p.changes = changesBetween(from.Layers, plan.Map.Layers)
+		p.pendingChanges = changesBetween(from.Layers, plan.Map.Layers)
 	}
 }
 
-// instruction returns a command as it travels: with as much of the map as the form
-// says, or the whole where its changes aren't known.
-func (p *planner) instruction(c btround.Command, f form) Instruction {
-	if c.Kind != btround.Prepare || f == wholeMap || p.next == nil || c.Version != p.version {
+// instruction returns a command as it is sent, with as much of the map as the form says,
+// or the whole map if its changes aren't known.
+func (p *planner) instruction(c btround.Command, f mapForm) Instruction {
+	if c.Kind != btround.Prepare || f == wholeMap || p.pending == nil || c.Version != p.pendingVersion {
 		return Instruction{Command: c}
 	}
-	if f == knownMap {
+	if f == cachedMap {
 		c.Layers = nil
 		return Instruction{Command: c, Base: c.Version}
 	}
-	if len(p.changes) == 0 {
+	if len(p.pendingChanges) == 0 {
 		return Instruction{Command: c}
 	}
 	c.Layers = nil
-	return Instruction{Command: c, Base: p.base, Changes: p.changes}
+	return Instruction{Command: c, Base: p.pendingBase, Changes: p.pendingChanges}
 }
 
-// ended takes the outcome of a round in: a map that is in force is known.
-func (p *planner) ended(now time.Time, o btround.Outcome) {
-	p.holds.Record(now, o.HeldFor)
+// roundEnded processes the outcome of a round. After a switch the new map is what the ranks
+// hold.
+func (p *planner) roundEnded(now time.Time, o btround.Outcome) {
+	p.stallBudget.Record(now, o.HeldFor)
 	if !o.Switched {
-		p.failed = now
-		p.next = nil
+		p.failedAt = now
+		p.pending = nil
 		return
 	}
-	if p.next == nil || o.Version != p.version {
+	if p.pending == nil || o.Version != p.pendingVersion {
 		return
 	}
 	for r := range p.size {
-		layers := make([][]btexpert.Expert, len(p.next.Map.Layers))
+		layers := make([][]btexpert.Expert, len(p.pending.Map.Layers))
 		for l := range layers {
-			layers[l] = p.next.Map.Layers[l].Ranks[r]
+			layers[l] = p.pending.Map.Layers[l].Ranks[r]
 		}
 		p.held[r] = Held{Version: o.Version, Layers: layers}
 		p.known[r] = true
 	}
-	p.next = nil
+	p.pending = nil
 }
 
-// worst returns the worst strain of late. A group that has just formed is uneven
-// and meets all who waited for it, which tells nothing of what a change of demand
-// does: it is made even at once, and what callers see meanwhile is not remembered.
-func (p *planner) worst(now time.Time, strain float64) float64 {
-	if now.Sub(p.formed) < settleTime {
+// updateStrain adds a strain and returns the decayed maximum. A group that has just formed
+// has an unbalanced map and serves all requests that waited for it, so its strain doesn't
+// show the effect of a change of demand: it isn't added, and at least 1 is returned, so
+// that the group is balanced at once.
+func (p *planner) updateStrain(now time.Time, strain float64) float64 {
+	if now.Sub(p.formedAt) < settleTime {
 		return max(strain, 1)
 	}
-	return p.strains.Observe(now, strain)
+	return p.peakStrain.Observe(now, strain)
 }
--- a/io/btrank/observe_test.go
+++ b/io/btrank/refusals_test.go
@@ -15,24 +15,24 @@
 	"bilberrytide/io/btrank"
 )
 
-// refusing is an engine that refuses every order.
-type refusing struct{ btrank.Engine }
+// refusingEngine is an engine that refuses every order.
+type refusingEngine struct{ btrank.Engine }
 
-func (refusing) Order(context.Context, btround.Command) (btrank.OrderAnswer, error) {
+func (refusingEngine) Order(context.Context, btround.Command) (btrank.OrderAnswer, error) {
 	return btrank.OrderRefused, btround.ErrMessage
 }
 
-// TestRefusedOrdersAreCountedAndLogged guards against a loop of refused orders that leaves
-// no line, and against one that fills the log.
+// TestRefusedOrdersAreCountedAndLogged guards against a loop of refused orders that isn't
+// logged, and against one that fills the log.
 func TestRefusedOrdersAreCountedAndLogged(t *testing.T) {
 	var lines bytes.Buffer
 	now := time.Unix(1000, 0)
 	meter := btmetric.New(nil)
-	engine := btrank.Observed(btrank.Options{
+	engine := btrank.LogRefusals(btrank.Options{
 		Meter: meter,
 		Log:   slog.New(slog.NewTextHandler(&lines, nil)),
 		Clock: func() time.Time { return now },
-	}, refusing{})
+	}, refusingEngine{})
 	order := func(k btround.Kind) {
 		answer, err := engine.Order(context.Background(), btround.Command{Kind: k, Step: 7})
 		assert.Equal(t, answer, btrank.OrderRefused)
--- a/io/btrank/remote.go
+++ b/io/btrank/remote.go
@@ -11,38 +11,39 @@
 	"bilberrytide/core/btround"
 )
 
-// lookAtStale reads the states of engines whose agents are away. An agent that
-// has only just begun to lead doesn't know their ranks, so it goes by the list.
-func (l *lead) lookAtStale(ctx context.Context, now time.Time) {
+// readSilentEngines reads the states of engines whose agents are silent. It finds them by
+// the engines' addresses, because an agent that has just begun to lead doesn't know their
+// ranks. The lock must be held.
+func (l *lead) readSilentEngines(ctx context.Context, now time.Time) {
 	if len(l.machine.StaleRanks(now)) == 0 {
 		return
 	}
-	heard := make(map[netip.AddrPort]bool, len(l.engines))
+	reporting := make(map[netip.AddrPort]bool, len(l.engines))
 	for r, engine := range l.engines {
-		heard[engine] = now.Sub(l.at[r]) <= btrelay.DirectReadInterval
+		reporting[engine] = now.Sub(l.reportedAt[r]) <= btrelay.DirectReadInterval
 	}
-	silent := slices.DeleteFunc(l.agent.directory.engines(l.machine.Group()), func(e netip.AddrPort) bool { return heard[e] })
-	for _, engine := range l.looker.Due(now, silent) {
-		go l.look(ctx, engine)
+	silent := slices.DeleteFunc(l.agent.directory.engines(l.machine.Group()), func(e netip.AddrPort) bool { return reporting[e] })
+	for _, engine := range l.directReader.Due(now, silent) {
+		go l.readDirectly(ctx, engine)
 	}
 }
 
-// look reads one engine's state from afar.
-func (l *lead) look(ctx context.Context, engine netip.AddrPort) {
-	remote := l.remote(engine)
-	s, err := report(ctx, remote)
+// readDirectly reads the state of an engine on another host.
+func (l *lead) readDirectly(ctx context.Context, engine netip.AddrPort) {
+	remote := l.remoteEngine(engine)
+	s, err := readState(ctx, remote)
 	if err != nil {
 		l.options.Meter.Counter("remote_reports_failed").Inc(1)
 		return
 	}
-	if l.takeRemote(engine, s) {
-		l.holdRemote(ctx, remote, s.Rank)
+	if l.handleDirectState(engine, s) {
+		l.readHeldDirectly(ctx, remote, s.Rank)
 	}
 }
 
-// takeRemote takes the state of an engine in whose agent is away, and tells
+// handleDirectState processes the state of an engine whose agent is silent, and reports
 // whether it isn't known what the rank holds.
-func (l *lead) takeRemote(engine netip.AddrPort, s btround.State) bool {
+func (l *lead) handleDirectState(engine netip.AddrPort, s btround.State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.machine.HandleReport(l.options.Clock(), s, 0)
@@ -50,12 +51,12 @@
 		return false
 	}
 	l.engines[s.Rank] = engine
-	return l.planner.wants(s.Rank, s.Map)
+	return l.planner.needsHeld(s.Rank, s.Map)
 }
 
-// holdRemote reads what a rank holds from its engine.
-func (l *lead) holdRemote(ctx context.Context, remote Engine, r btexpert.Rank) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+// readHeldDirectly reads from a rank's engine which experts it holds.
+func (l *lead) readHeldDirectly(ctx context.Context, remote Engine, r btexpert.Rank) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	h, err := remote.Held(ctx)
 	if err != nil {
@@ -65,18 +66,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h.Epoch == l.machine.Epoch() {
-		l.planner.hold(r, h)
+		l.planner.setHeld(r, h)
 	}
 }
 
-// remote returns a client of another host's engine.
-func (l *lead) remote(engine netip.AddrPort) Engine {
+// remoteEngine returns a client of an engine on another host.
+func (l *lead) remoteEngine(engine netip.AddrPort) Engine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e, found := l.remotes[engine]
+	e, found := l.remoteEngines[engine]
 	if !found {
 		e = l.options.Remote(engine)
-		l.remotes[engine] = e
+		l.remoteEngines[engine] = e
 	}
 	return e
 }
--- a/io/btrank/strain.go
+++ b/io/btrank/strain.go
@@ -7,30 +7,31 @@
 	"bilberrytide/io/btdirect"
 )
 
-// strainFresh is how old an entry's word on its answers may be: entries are asked
-// five times a second, and one that is away has no say.
-const strainFresh = time.Second
+// maxStrainAge is the maximum age of a strain that is used. Entries are asked five times a
+// second; one that no longer answers is ignored.
+const maxStrainAge = time.Second
 
-// heardStrain is what an entry said of the service's answers, and when.
-type heardStrain struct {
+// receivedStrain is a strain and the time when it was received.
+type receivedStrain struct {
 	btdirect.Strain
 	at time.Time
 }
 
-// strained takes an entry's word in.
-func (l *lead) strained(entry netip.AddrPort, s btdirect.Strain) {
+// recordStrain stores the strain received from an entry, or from an agent for its entries.
+func (l *lead) recordStrain(entry netip.AddrPort, s btdirect.Strain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.strains[entry] = heardStrain{Strain: s, at: l.options.Clock()}
+	l.strains[entry] = receivedStrain{Strain: s, at: l.options.Clock()}
 }
 
-// strain returns how near the answers come to what callers are promised: the mean
-// of what the entries see, each by its streams. Where none has said so the answers
-// count as late, so that the group is kept even. The lock is held.
+// strain returns how close the service's answers come to the times that callers are
+// promised: the mean of the entries' strains, weighted by their streams. It is 1, the
+// limit, if no entry has reported any, so that the group is kept balanced. The lock must be
+// held.
 func (l *lead) strain(now time.Time) float64 {
 	var all meanStrain
 	for entry, s := range l.strains {
-		if now.Sub(s.at) > strainFresh {
+		if now.Sub(s.at) > maxStrainAge {
 			delete(l.strains, entry)
 			continue
 		}
@@ -42,7 +43,7 @@
 	return all.strain().Value
 }
 
-// meanStrain is the mean of what several entries say, each by its streams.
+// meanStrain computes the mean strain of several entries, weighted by their streams.
 type meanStrain struct {
 	sum     float64
 	streams int
--- a/io/btrank/watch.go
+++ b/io/btrank/watch.go
@@ -6,36 +6,36 @@
 	"bilberrytide/core/btround"
 )
 
-// longWait is how long a round or a pause may take before it is logged: rounds take a
-// few hundred milliseconds, pauses tens of them.
+// longWait is the duration from which on a round or a pause is logged. Rounds usually take
+// a few hundred milliseconds, pauses some tens of milliseconds.
 const longWait = time.Second
 
-// watch logs a round that has not ended after a second, and a group that is paused for
-// as long. The lock is held.
-func (l *lead) watch(now time.Time) {
-	l.watchRound(now)
-	l.watchPause(now)
+// logDelays logs rounds and pauses of the group that last longer than longWait. The lock
+// must be held.
+func (l *lead) logDelays(now time.Time) {
+	l.logLongRound(now)
+	l.logLongPause(now)
 }
 
-// watchRound says once a second which ranks a long round waits for.
-func (l *lead) watchRound(now time.Time) {
+// logLongRound logs once a second which ranks a long round waits for.
+func (l *lead) logLongRound(now time.Time) {
 	took := now.Sub(l.machine.StartedAt())
-	if l.machine.Phase() == btround.Idle || took < longWait || now.Sub(l.waitLogged) < longWait {
+	if l.machine.Phase() == btround.Idle || took < longWait || now.Sub(l.waitLoggedAt) < longWait {
 		return
 	}
-	l.waitLogged = now
+	l.waitLoggedAt = now
 	l.options.Meter.Counter("rounds_waiting").Inc(1)
 	l.log.Warn("map round waits", "group", l.machine.Group(), "phase", l.machine.Phase(), "holder", l.machine.Holder(), "ranks", l.machine.UnansweredRanks(), "ballot", l.machine.Ballot(), "took_ms", took.Milliseconds())
 }
 
-// watchPause logs the beginning and the end of a long pause.
-func (l *lead) watchPause(now time.Time) {
-	pause := l.pause.Observe(now, l.machine.RecentStates(now))
+// logLongPause logs the beginning and the end of a long pause.
+func (l *lead) logLongPause(now time.Time) {
+	pause := l.pauseWatch.Observe(now, l.machine.RecentStates(now))
 	long := pause != nil && now.Sub(pause.Since) >= longWait
-	if long == l.paused {
+	if long == l.pauseLogged {
 		return
 	}
-	l.paused = long
+	l.pauseLogged = long
 	if !long {
 		l.log.Info("group resumed", "group", l.machine.Group())
 		return
