--- a/io/btagent/quarantine.go
+++ b/io/btagent/quarantine.go
@@ -17,14 +17,14 @@
 func (v *attempt) detectCrash(ctx context.Context, err error, p btquarantine.Progress) {
 	// Checking the target and sending the record continue if the caller cancels.
 	ctx = context.WithoutCancel(ctx)
-	if !bttarget.BrokeOff(err) || !v.deps.client.Refused(ctx) {
+	if !bttarget.ClosedByTarget(err) || !v.deps.client.RefusesConnections(ctx) {
 		return
 	}
 	a := v.agent
 	f := v.fingerprint()
-	a.isolation.Ended(f, string(a.self.Target), p, "account", v.request.Account, "path", v.request.Path)
+	a.isolation.RecordCrash(f, string(a.self.Target), p, "account", v.request.Account, "path", v.request.Path)
 	if to, found := v.entryEndpoint(); found {
-		a.isolation.Compare(ctx, to, btquarantine.Records{a.isolation.Record(f)})
+		a.isolation.Compare(ctx, to, btquarantine.Records{a.isolation.ExportRecord(f)})
 	}
 }
 
@@ -41,7 +41,7 @@
 // sendCrashRecords sends an entry the records of requests during which this agent's
 // target crashed.
 func (a *Agent) sendCrashRecords(ctx context.Context, to btpeer.Endpoint) {
-	if records := a.isolation.NewerThan(0); len(records) > 0 {
+	if records := a.isolation.ExportIfChanged(0); len(records) > 0 {
 		a.isolation.Compare(ctx, to, records)
 	}
 }
--- a/io/btagent/relay.go
+++ b/io/btagent/relay.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if status < http.StatusInternalServerError {
-		v.agent.isolation.Served(v.fingerprint())
+		v.agent.isolation.RecordServed(v.fingerprint())
 	}
 }
 
--- a/io/btdirect/attempt.go
+++ b/io/btdirect/attempt.go
@@ -91,7 +91,7 @@
 		return result
 	}
 	// A connection to a caller that has disconnected breaks off in the same way.
-	if result.complete || result.notRun || result.reason == ReasonCallerGone || !bttarget.BrokeOff(result.err) {
+	if result.complete || result.notRun || result.reason == ReasonCallerGone || !bttarget.ClosedByTarget(result.err) {
 		return result
 	}
 	crashed, first := x.entry.crashes.targetCrashed(ctx, t)
@@ -102,7 +102,7 @@
 		x.entry.memberCrashed(t)
 	}
 	if crashed {
-		x.entry.quarantine.Ended(x.fingerprint(), t.info.Instance().String(), x.progress(t, result), "account", x.account, "path", x.request.RequestURI)
+		x.entry.quarantine.RecordCrash(x.fingerprint(), t.info.Instance().String(), x.progress(t, result), "account", x.account, "path", x.request.RequestURI)
 	}
 	result.crashed = crashed
 	return result
--- a/io/btdirect/crash.go
+++ b/io/btdirect/crash.go
@@ -78,7 +78,7 @@
 	check := d.checkOf(t.info.Instance())
 	check.once.Do(func() {
 		if d.limiter(t).AllowN(d.clock(), 1) {
-			first = t.pooled.Refused(context.WithoutCancel(ctx))
+			first = t.pooled.RefusesConnections(context.WithoutCancel(ctx))
 		}
 		check.crashed.Store(first)
 		check.done.Store(true)
--- a/io/btdirect/exchange.go
+++ b/io/btdirect/exchange.go
@@ -288,7 +288,7 @@
 
 // retryDenied returns the reason for which the request must not be retried, or "".
 func (x *exchange) retryDenied(result attemptResult, now time.Time) btrequest.Reason {
-	if _, held := x.entry.quarantine.Left(x.fingerprint); held {
+	if _, held := x.entry.quarantine.Remaining(x.fingerprint); held {
 		return ReasonQuarantined
 	}
 	if result.moved {
--- a/io/btdirect/fleet.go
+++ b/io/btdirect/fleet.go
@@ -172,10 +172,10 @@
 		Endpoint:       info.Address,
 		DialTimeout:    dialTimeout,
 		IdleTimeout:    idleTimeout,
-		SilenceTimeout: silenceTimeout,
+		TCPUserTimeout: silenceTimeout,
 	}
 	unpooled := options
-	unpooled.Fresh = true
+	unpooled.DisableKeepAlives = true
 	t = &target{
 		info:     info,
 		state:    info.State,
--- a/io/btdirect/log.go
+++ b/io/btdirect/log.go
@@ -31,7 +31,7 @@
 func (x *exchange) recordServed(result attemptResult) {
 	e := x.entry
 	took := e.options.Clock().Sub(x.receivedAt)
-	e.quarantine.Served(x.fingerprint())
+	e.quarantine.RecordServed(x.fingerprint())
 	e.meter.Ended(btrequest.Done)
 	e.meter.Duration(metricAnswer, took)
 	number := e.served.Add(1)
--- a/io/btdirect/peer.go
+++ b/io/btdirect/peer.go
@@ -155,9 +155,9 @@
 		Entries:    p.observeHello(h.From),
 		Catalog:    p.entry.cache.catalogAfter(h.Catalog),
 		List:       p.entry.cache.ownList(h.Targets),
-		Quarantine: p.entry.quarantine.NewerThan(h.Quarantine),
+		Quarantine: p.entry.quarantine.ExportIfChanged(h.Quarantine),
 		KnowsAll:   p.entry.quarantine.hasFullHistory(),
-		Suspects:   p.entry.quarantine.Suspects(),
+		Suspects:   p.entry.quarantine.ExportSuspects(),
 		Rates:      p.entry.ratesFor(btrate.Summary{Digest: h.Rates, Cells: h.RateCells}),
 	}, nil
 }
--- a/io/btdirect/quarantine.go
+++ b/io/btdirect/quarantine.go
@@ -53,7 +53,7 @@
 		started:   o.Clock(),
 		attempts:  make(map[*exchange]context.CancelFunc),
 	}
-	q.OnHold(q.withdraw)
+	q.OnQuarantine(q.withdraw)
 	if o.Settings.FirstStart {
 		q.markComplete("first start")
 	}
@@ -73,7 +73,7 @@
 // mergeReply merges the records of another entry. If that one has the full history, so
 // does this one now.
 func (q *quarantine) mergeReply(reply helloReply, from netip.AddrPort) {
-	q.Hear(btquarantine.Update{Records: reply.Quarantine, Suspects: reply.Suspects}, from.String())
+	q.Merge(btquarantine.Update{Records: reply.Quarantine, Suspects: reply.Suspects}, from.String())
 	if reply.KnowsAll && !q.historyComplete.Load() {
 		q.markComplete(from.String())
 	}
@@ -166,15 +166,15 @@
 // are more entries than one entry notifies.
 func (p *peers) handleQuarantine(_ context.Context, notice quarantineNotice) (emptyReply, error) {
 	q := p.entry.quarantine
-	if q.Hear(notice.update(), notice.From.String()) && p.count() > maxNotified {
-		q.Pass(notice.update())
+	if q.Merge(notice.update(), notice.From.String()) && p.count() > maxNotified {
+		q.Forward(notice.update())
 	}
 	return emptyReply{}, nil
 }
 
 // refuseQuarantined refuses a request that is quarantined, and reports whether it did.
 func (x *exchange) refuseQuarantined() bool {
-	left, held := x.entry.quarantine.Left(x.fingerprint)
+	left, held := x.entry.quarantine.Remaining(x.fingerprint)
 	if held {
 		x.endUnserved(ReasonQuarantined, left)
 	}
--- a/io/btentry/attempt.go
+++ b/io/btentry/attempt.go
@@ -143,7 +143,7 @@
 	}
 	result := attempt{load: head.Load, status: head.Status}
 	header := head.Header.HTTP()
-	if o.resume > 0 && !bthttp.IsEvents(head.Status, header) {
+	if o.resume > 0 && !bthttp.IsEventStream(head.Status, header) {
 		result.outcome = btrequest.Unknown
 		result.reason = ReasonAnswerCut
 		result.atFault = targetFailed(head.Status)
@@ -247,7 +247,7 @@
 		s.cut(x, result)
 		return true
 	}
-	if err := x.answer.Whole(); err != nil {
+	if err := x.answer.Finish(); err != nil {
 		result.reason = ReasonCallerGone
 		return true
 	}
@@ -270,7 +270,7 @@
 // unfinished tells whether an engine's stream came to its end without its last
 // event.
 func unfinished(x *exchange, status int) bool {
-	return x.call.Completion && x.answer.Streaming() && status < http.StatusMultipleChoices && !x.answer.Ended()
+	return x.call.ChatCompletion && x.answer.Streaming() && status < http.StatusMultipleChoices && !x.answer.StreamEnded()
 }
 
 // failed turns an error of the way to the agent into the attempt's end.
--- a/io/btentry/btentry.go
+++ b/io/btentry/btentry.go
@@ -35,16 +35,16 @@
 	// BalancerLag is how long the balancer in front may send new connections
 	// after the readiness check failed.
 	BalancerLag time.Duration
-	// HostsEvery is the shortest interval at which the platform's host list is
+	// HostListInterval is the shortest interval at which the platform's host list is
 	// read; zero means the default of 5 s.
-	HostsEvery time.Duration
-	Node       *btpeer.Node
-	Bundles    *btprocess.Bundles
-	Platform   *btplatform.Client
-	Meter      *btmetric.Meter
-	Decisions  *btmetric.Decisions
-	Log        *slog.Logger
-	Clock      btloop.Clock
+	HostListInterval time.Duration
+	Node             *btpeer.Node
+	Bundles          *btprocess.Bundles
+	Platform         *btplatform.Client
+	Meter            *btmetric.Meter
+	Decisions        *btmetric.Decisions
+	Log              *slog.Logger
+	Clock            btloop.Clock
 	// Elapsed tells the time that passes, also while the host is suspended. Its times are
 	// this process's own: none is compared with one of another host.
 	Elapsed btloop.Clock
@@ -76,7 +76,7 @@
 	headerBytes = 64 << 10
 	// idleWait is how long a caller's connection is kept without a request.
 	idleWait = 2 * time.Minute
-	// hostsEvery is the default of Options.HostsEvery. hostsCalls is how many
+	// hostsEvery is the default of Options.HostListInterval. hostsCalls is how many
 	// reads a second all entries make together, which lengthens the interval in a
 	// large fleet. One entry's reading is enough: the agent that it tells tells
 	// all others.
@@ -100,7 +100,7 @@
 	e.limit = newLimit(e)
 	e.reserve = newReserve(o.Clock, o.Meter)
 	e.isolation = btprocess.NewIsolation(o.Bundles)
-	e.path = chain(end.handle, &identify{self: o.Name, current: o.Bundles.Current, timer: e.timer, bodies: bthttp.NewBodies(bthttp.DefaultBodyBytes)}, quarantine{e.isolation}, e.limit, e.reserve)
+	e.path = chain(end.handle, &identify{self: o.Name, current: o.Bundles.Current, timer: e.timer, bodies: bthttp.NewBodyBudget(bthttp.DefaultBodyBudgetBytes)}, quarantine{e.isolation}, e.limit, e.reserve)
 	e.server = &http.Server{
 		Handler:           http.HandlerFunc(e.serveHTTP),
 		ReadHeaderTimeout: headerWait,
@@ -193,7 +193,7 @@
 
 // hostsInterval returns the wait between two readings of the host list.
 func (e *Entry) hostsInterval() time.Duration {
-	shortest := e.options.HostsEvery
+	shortest := e.options.HostListInterval
 	if shortest == 0 {
 		shortest = hostsEvery
 	}
--- a/io/btentry/fixture_test.go
+++ b/io/btentry/fixture_test.go
@@ -195,7 +195,7 @@
 	var issued struct {
 		Key string `json:"idempotency_key"`
 	}
-	r := w.do(http.MethodPost, bthttp.PathKeys, "")
+	r := w.do(http.MethodPost, bthttp.PathIdempotencyKeys, "")
 	assert.NilError(w.TB, json.Unmarshal([]byte(r.body), &issued), r.body)
 	return issued.Key
 }
--- a/io/btentry/http.go
+++ b/io/btentry/http.go
@@ -31,7 +31,7 @@
 	switch {
 	case r.URL.Path == bthttp.PathModels && r.Method == http.MethodGet:
 		e.exchange(x, e.listModels)
-	case r.URL.Path == bthttp.PathKeys && r.Method == http.MethodPost:
+	case r.URL.Path == bthttp.PathIdempotencyKeys && r.Method == http.MethodPost:
 		e.exchange(x, e.issueKey)
 	default:
 		e.exchange(x, e.path)
@@ -145,7 +145,7 @@
 	}
 	x.answer.Begin(http.StatusOK, http.Header{"Content-Type": {"application/json"}})
 	_ = x.answer.Add(append(data, '\n'))
-	if err := x.answer.Whole(); err != nil {
+	if err := x.answer.Finish(); err != nil {
 		return btrequest.RefuseUnknown(ReasonCallerGone, 0, "%v", err)
 	}
 	return nil
--- a/io/btentry/identify.go
+++ b/io/btentry/identify.go
@@ -29,7 +29,7 @@
 	current func() *btbundle.Approved
 	// timer returns a moment of the entry's as timers and sockets know it.
 	timer  func(time.Time) time.Time
-	bodies *bthttp.Bodies
+	bodies *bthttp.BodyBudget
 }
 
 var _ filter = (*identify)(nil)
@@ -73,7 +73,7 @@
 func (f *identify) read(x *exchange) *btrequest.Refusal {
 	x.answer.SetReadDeadline(f.timer(x.deadline))
 	defer x.answer.SetReadDeadline(time.Time{})
-	if !x.call.Completion {
+	if !x.call.ChatCompletion {
 		if refusal := f.service(x); refusal != nil {
 			return refusal
 		}
@@ -116,11 +116,11 @@
 		return btrequest.Refuse(ReasonForbiddenService, 0, "client account %s may not ask for service %q", x.account.Name, name)
 	}
 	x.service = service
-	if x.call.Completion && service.Kind != btbundle.Model {
+	if x.call.ChatCompletion && service.Kind != btbundle.Model {
 		return btrequest.Refuse(ReasonWrongKind, 0, "service %q is not a model; use %s%s/…", name, bthttp.PathServices, name)
 	}
 	if service.KeyRequired && !x.keyed() && changes(x.call.Method) {
-		return btrequest.Refuse(ReasonKeyRequired, 0, "service %q takes %s only with header %s", name, x.call.Method, bthttp.HeaderKey)
+		return btrequest.Refuse(ReasonKeyRequired, 0, "service %q takes %s only with header %s", name, x.call.Method, bthttp.HeaderIdempotencyKey)
 	}
 	return nil
 }
--- a/io/btentry/pace.go
+++ b/io/btentry/pace.go
@@ -35,14 +35,14 @@
 // one that ends a stream. It is zero, for unknown, of an answer that is no
 // stream, and where the caller held the stream up.
 func (p *pace) tokens() int {
-	if p.began.IsZero() || !p.x.call.Completion || !p.x.answer.Streaming() {
+	if p.began.IsZero() || !p.x.call.ChatCompletion || !p.x.answer.Streaming() {
 		return 0
 	}
 	if p.writing*slowCaller > p.clock().Sub(p.began) {
 		return 0
 	}
 	count := int(p.x.answer.Events() - p.before)
-	if p.x.answer.Ended() {
+	if p.x.answer.StreamEnded() {
 		count--
 	}
 	return count
--- a/io/btentry/quarantine.go
+++ b/io/btentry/quarantine.go
@@ -25,7 +25,7 @@
 // refuse returns the refusal of a request that is kept from targets, nil for others.
 // Whether one with a key has run before only its home knows.
 func (q quarantine) refuse(x *exchange) *btrequest.Refusal {
-	left, held := q.isolation.Left(x.fingerprint)
+	left, held := q.isolation.Remaining(x.fingerprint)
 	if !held {
 		return nil
 	}
--- a/io/bthttp/answer.go
+++ b/io/bthttp/answer.go
@@ -12,8 +12,8 @@
 	"bilberrytide/core/btrequest"
 )
 
-// ErrCaller means that the caller is gone: nothing more can be written to it.
-var ErrCaller = errors.New("caller is gone")
+// ErrCallerGone means that the caller is gone: nothing more can be written to it.
+var ErrCallerGone = errors.New("caller is gone")
 
 // wholeBufferBytes is the longest answer that is held until it is whole, so
 // that a shorter one that breaks off can still be retried or refused cleanly.
@@ -84,8 +84,8 @@
 // out.
 func (a *Answer) Resumable() bool { return a.events && a.count > 0 && !a.broken }
 
-// Ended tells whether the last event of an engine's stream was added.
-func (a *Answer) Ended() bool { return a.ended || isLast(a.held.Bytes()) }
+// StreamEnded tells whether the last event of an engine's stream was added.
+func (a *Answer) StreamEnded() bool { return a.ended || isLast(a.held.Bytes()) }
 
 // Begin takes the head of an attempt's answer and forgets what an earlier
 // attempt left incomplete.
@@ -98,7 +98,7 @@
 	a.clearHeader()
 	a.status = status
 	h := a.w.Header()
-	for name, values := range PassedAnswer(header) {
+	for name, values := range ForwardedAnswerHeader(header) {
 		h[name] = values
 	}
 	if !a.bodiless && status != http.StatusNotModified {
@@ -108,15 +108,15 @@
 		// An empty value keeps net/http from guessing one.
 		h["Content-Type"] = nil
 	}
-	a.events = isEventStream(header)
+	a.events = hasEventStreamType(header)
 }
 
-// IsEvents tells whether an answer is a stream of events.
-func IsEvents(status int, header http.Header) bool {
-	return status == http.StatusOK && isEventStream(header)
+// IsEventStream tells whether an answer is a stream of events.
+func IsEventStream(status int, header http.Header) bool {
+	return status == http.StatusOK && hasEventStreamType(header)
 }
 
-func isEventStream(header http.Header) bool {
+func hasEventStreamType(header http.Header) bool {
 	media, _, err := mime.ParseMediaType(header.Get("Content-Type"))
 	return err == nil && media == eventStream
 }
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Whole ends an answer that is complete and checked.
-func (a *Answer) Whole() error {
+// Finish ends an answer that is complete and checked.
+func (a *Answer) Finish() error {
 	if !a.started {
 		a.writeHead()
 	}
@@ -259,10 +259,10 @@
 		a.started = true
 	}
 	if _, err := a.w.Write(a.held.Next(size)); err != nil {
-		return fmt.Errorf("%w: %w", ErrCaller, err)
+		return fmt.Errorf("%w: %w", ErrCallerGone, err)
 	}
 	if err := a.control.Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return fmt.Errorf("%w: %w", ErrCaller, err)
+		return fmt.Errorf("%w: %w", ErrCallerGone, err)
 	}
 	return nil
 }
--- a/io/bthttp/body.go
+++ b/io/bthttp/body.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// MaxBody is the largest body of a request in bytes, whatever a bundle
+	// MaxBodyBytes is the largest body of a request in bytes, whatever a bundle
 	// allows: with its header it has to fit into one message between processes.
-	MaxBody = 15 << 20
-	// MaxCompletionBody is the largest body of a chat completion in bytes; it
+	MaxBodyBytes = 15 << 20
+	// MaxCompletionBodyBytes is the largest body of a chat completion in bytes; it
 	// has to be read before its service is known.
-	MaxCompletionBody = 8 << 20
-	// DefaultBodyBytes is how many bytes of bodies one process holds at a time.
-	DefaultBodyBytes = 64 << 20
+	MaxCompletionBodyBytes = 8 << 20
+	// DefaultBodyBudgetBytes is how many bytes of bodies one process holds at a time.
+	DefaultBodyBudgetBytes = 64 << 20
 
 	// firstBodyBytes is the most that a stated length alone can claim; a buffer
 	// grows as the bytes that it was promised arrive.
@@ -33,21 +33,21 @@
 	bodyRoomBackoff = time.Second
 )
 
-// Bodies bounds the memory that request bodies take in one process. It is safe
+// BodyBudget bounds the memory that request bodies take in one process. It is safe
 // for concurrent use.
-type Bodies struct {
+type BodyBudget struct {
 	limit int64
 	held  atomic.Int64
 }
 
-// NewBodies returns room for that many bytes.
-func NewBodies(limit int64) *Bodies { return &Bodies{limit: limit} }
+// NewBodyBudget returns room for that many bytes.
+func NewBodyBudget(limit int64) *BodyBudget { return &BodyBudget{limit: limit} }
 
-// Held returns how many bytes are taken.
-func (b *Bodies) Held() int64 { return b.held.Load() }
+// InUse returns how many bytes are taken.
+func (b *BodyBudget) InUse() int64 { return b.held.Load() }
 
 // take takes room, or returns false where there is not enough.
-func (b *Bodies) take(size int64) bool {
+func (b *BodyBudget) take(size int64) bool {
 	for {
 		held := b.held.Load()
 		if held+size > b.limit {
@@ -59,13 +59,13 @@
 	}
 }
 
-func (b *Bodies) give(size int64) { b.held.Add(-size) }
+func (b *BodyBudget) give(size int64) { b.held.Add(-size) }
 
 // errNoRoom means that the process holds as many bodies as it may.
 var errNoRoom = errors.New("no room")
 
 // readBody reads a body of up to limit bytes. Release gives its room back.
-func (c *Call) readBody(r *http.Request, bodies *Bodies, limit int64) *btrequest.Refusal {
+func (c *Call) readBody(r *http.Request, bodies *BodyBudget, limit int64) *btrequest.Refusal {
 	if r.ContentLength > limit {
 		return bodyTooBig(limit)
 	}
--- a/io/bthttp/bthttp_test.go
+++ b/io/bthttp/bthttp_test.go
@@ -17,7 +17,7 @@
 // whatever their lengths claim, and give it back.
 func TestBodiesAreBounded(t *testing.T) {
 	const room = 64 << 10
-	bodies := bthttp.NewBodies(room)
+	bodies := bthttp.NewBodyBudget(room)
 	var calls []*bthttp.Call
 	read := func(size int, stated int64) *btrequest.Refusal {
 		request := httptest.NewRequest("PUT", "/services/pages/x", io.LimitReader(zeros{}, int64(size)))
@@ -28,9 +28,9 @@
 		return call.ReadBody(request, bodies, 1<<20)
 	}
 	assert.Assert(t, read(100, 100) == nil)
-	assert.Equal(t, bodies.Held(), int64(101))
+	assert.Equal(t, bodies.InUse(), int64(101))
 	assert.Assert(t, read(0, 1<<20) == nil)
-	assert.Assert(t, bodies.Held() < room)
+	assert.Assert(t, bodies.InUse() < room)
 	refused := 0
 	for range 20 {
 		if f := read(9000, -1); f != nil {
@@ -39,14 +39,14 @@
 			assert.Assert(t, f.RetryAfter > 0)
 			refused++
 		}
-		assert.Assert(t, bodies.Held() <= room)
+		assert.Assert(t, bodies.InUse() <= room)
 	}
 	assert.Assert(t, refused > 0 && refused < 20, "%d refused", refused)
 	for _, c := range calls {
 		c.Release()
 		c.Release()
 	}
-	assert.Equal(t, bodies.Held(), int64(0))
+	assert.Equal(t, bodies.InUse(), int64(0))
 }
 
 type zeros struct{}
@@ -65,7 +65,7 @@
 	assert.NilError(t, a.Add([]byte("half")))
 	a.Begin(http.StatusCreated, http.Header{"X-Second": {"2"}})
 	assert.NilError(t, a.Add([]byte("whole")))
-	assert.NilError(t, a.Whole())
+	assert.NilError(t, a.Finish())
 	assert.Equal(t, w.Code, http.StatusCreated)
 	assert.Equal(t, w.Body.String(), "whole")
 	assert.Equal(t, w.Header().Get("X-First")+w.Header().Get("Content-Type"), "")
@@ -96,7 +96,7 @@
 			assert.NilError(t, a.Add([]byte(c.in[len(c.in)/7*7:])))
 			assert.Assert(t, w.Body.String() == c.out)
 			assert.Equal(t, a.Events(), c.count)
-			assert.Equal(t, a.Ended(), c.ended)
+			assert.Equal(t, a.StreamEnded(), c.ended)
 			assert.Equal(t, a.Resumable(), c.count > 0)
 		})
 	}
--- a/io/bthttp/call.go
+++ b/io/bthttp/call.go
@@ -13,24 +13,24 @@
 
 // Reasons for refusing what a caller sent.
 const (
-	ReasonBadPath     btrequest.Reason = "bad_path"
-	ReasonBadMethod   btrequest.Reason = "bad_method"
-	ReasonBadJSON     btrequest.Reason = "bad_json"
-	ReasonBadModel    btrequest.Reason = "bad_model"
-	ReasonBadHeader   btrequest.Reason = "bad_header"
-	ReasonBodyTooBig  btrequest.Reason = "body_too_big"
-	ReasonBodyCut     btrequest.Reason = "body_cut"
-	ReasonBodyRoom    btrequest.Reason = "body_room"
-	ReasonBadIdemKey  btrequest.Reason = "bad_idempotency_key"
-	ReasonBadPriority btrequest.Reason = "bad_priority"
+	ReasonBadPath           btrequest.Reason = "bad_path"
+	ReasonBadMethod         btrequest.Reason = "bad_method"
+	ReasonBadJSON           btrequest.Reason = "bad_json"
+	ReasonBadModel          btrequest.Reason = "bad_model"
+	ReasonBadHeader         btrequest.Reason = "bad_header"
+	ReasonBodyTooBig        btrequest.Reason = "body_too_big"
+	ReasonBodyCut           btrequest.Reason = "body_cut"
+	ReasonBodyRoom          btrequest.Reason = "body_room"
+	ReasonBadIdempotencyKey btrequest.Reason = "bad_idempotency_key"
+	ReasonBadPriority       btrequest.Reason = "bad_priority"
 )
 
 // Paths that callers use.
 const (
-	PathCompletions = "/v1/chat/completions"
-	PathModels      = "/v1/models"
-	PathKeys        = "/v1/idempotency-keys"
-	PathServices    = "/services/"
+	PathCompletions     = "/v1/chat/completions"
+	PathModels          = "/v1/models"
+	PathIdempotencyKeys = "/v1/idempotency-keys"
+	PathServices        = "/services/"
 )
 
 // Call is one request as its caller sent it.
@@ -39,13 +39,13 @@
 	Method  string
 	// Path is path and query as the target is to see them.
 	Path string
-	// Completion tells that this is a chat completion, whose service stands in
+	// ChatCompletion tells that this is a chat completion, whose service stands in
 	// its body.
-	Completion bool
-	Header     http.Header
-	Body       []byte
-	Key        btrequest.Key
-	Priority   btrequest.Priority
+	ChatCompletion bool
+	Header         http.Header
+	Body           []byte
+	Key            btrequest.Key
+	Priority       btrequest.Priority
 	// Timeout is what the caller asked for; zero for none.
 	Timeout time.Duration
 	// Stream tells that the caller wants server-sent events.
@@ -53,7 +53,7 @@
 	// Prompt is the text that prefix caching goes by; nil for plain services.
 	Prompt []byte
 
-	bodies *Bodies
+	bodies *BodyBudget
 	taken  int64
 }
 
@@ -67,7 +67,7 @@
 // ReadHead reads all of a request but its body. A failure is a refusal that
 // names the place.
 func ReadHead(r *http.Request) (*Call, *btrequest.Refusal) {
-	c := &Call{Method: r.Method, Header: PassedRequest(r.Header)}
+	c := &Call{Method: r.Method, Header: ForwardedRequestHeader(r.Header)}
 	if f := c.readMethod(); f != nil {
 		return nil, f
 	}
@@ -82,14 +82,14 @@
 
 // ReadBody reads the body of a request for a plain service, of up to limit
 // bytes.
-func (c *Call) ReadBody(r *http.Request, bodies *Bodies, limit int64) *btrequest.Refusal {
-	return c.readBody(r, bodies, min(limit, MaxBody))
+func (c *Call) ReadBody(r *http.Request, bodies *BodyBudget, limit int64) *btrequest.Refusal {
+	return c.readBody(r, bodies, min(limit, MaxBodyBytes))
 }
 
 // ReadCompletion reads the body of a chat completion and what routing needs of
 // it.
-func (c *Call) ReadCompletion(r *http.Request, bodies *Bodies) *btrequest.Refusal {
-	if f := c.readBody(r, bodies, MaxCompletionBody); f != nil {
+func (c *Call) ReadCompletion(r *http.Request, bodies *BodyBudget) *btrequest.Refusal {
+	if f := c.readBody(r, bodies, MaxCompletionBodyBytes); f != nil {
 		return f
 	}
 	var body completion
@@ -127,12 +127,12 @@
 	if len(c.Header) > btserve.MaxHeaders {
 		return btrequest.Refuse(ReasonBadHeader, 0, "%d header fields, at most %d", len(c.Header), btserve.MaxHeaders)
 	}
-	c.Key = btrequest.Key(h.Get(HeaderKey))
+	c.Key = btrequest.Key(h.Get(HeaderIdempotencyKey))
 	if err := c.Key.Validate(); err != nil {
-		return btrequest.Refuse(ReasonBadIdemKey, 0, "header %s: %v", HeaderKey, err)
+		return btrequest.Refuse(ReasonBadIdempotencyKey, 0, "header %s: %v", HeaderIdempotencyKey, err)
 	}
-	if values := h.Values(HeaderKey); len(values) > 1 || len(values) == 1 && c.Key == "" {
-		return btrequest.Refuse(ReasonBadIdemKey, 0, "header %s: want one key", HeaderKey)
+	if values := h.Values(HeaderIdempotencyKey); len(values) > 1 || len(values) == 1 && c.Key == "" {
+		return btrequest.Refuse(ReasonBadIdempotencyKey, 0, "header %s: want one key", HeaderIdempotencyKey)
 	}
 	if text := h.Get(HeaderTimeout); text != "" {
 		d, err := time.ParseDuration(text)
@@ -183,7 +183,7 @@
 	if c.Method != http.MethodPost {
 		return btrequest.Refuse(ReasonBadMethod, 0, "%s takes POST, not %s", PathCompletions, c.Method)
 	}
-	c.Completion = true
+	c.ChatCompletion = true
 	c.Path = target
 	return nil
 }
--- a/io/bthttp/headers.go
+++ b/io/bthttp/headers.go
@@ -9,8 +9,8 @@
 
 // Headers of requests.
 const (
-	// HeaderKey marks a request as not repeatable: it runs at most once.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey marks a request as not repeatable: it runs at most once.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderTimeout bounds the request: a duration such as "10s".
 	HeaderTimeout = "Bilberrytide-Timeout"
 	// HeaderPriority is "low", "normal" or "high".
@@ -41,9 +41,9 @@
 // ownPrefix starts the names of all headers that are this system's own.
 const ownPrefix = "Bilberrytide-"
 
-// PassedRequest returns the headers that the target is to see: all but those
+// ForwardedRequestHeader returns the headers that the target is to see: all but those
 // of the connection, the caller's credentials and this system's own.
-func PassedRequest(h http.Header) http.Header {
+func ForwardedRequestHeader(h http.Header) http.Header {
 	out := passed(h)
 	out.Del("Authorization")
 	out.Del("Content-Length")
@@ -52,9 +52,9 @@
 	return out
 }
 
-// PassedAnswer returns the headers of the target's answer that the caller is
+// ForwardedAnswerHeader returns the headers of the target's answer that the caller is
 // to see.
-func PassedAnswer(h http.Header) http.Header { return passed(h) }
+func ForwardedAnswerHeader(h http.Header) http.Header { return passed(h) }
 
 func passed(h http.Header) http.Header {
 	out := h.Clone()
--- a/io/bthttp/prompt_test.go
+++ b/io/bthttp/prompt_test.go
@@ -19,7 +19,7 @@
 	request := httptest.NewRequest("POST", bthttp.PathCompletions, strings.NewReader(body))
 	call, refusal := bthttp.ReadHead(request)
 	assert.Assert(t, refusal == nil, "%v", refusal)
-	refusal = call.ReadCompletion(request, bthttp.NewBodies(bthttp.DefaultBodyBytes))
+	refusal = call.ReadCompletion(request, bthttp.NewBodyBudget(bthttp.DefaultBodyBudgetBytes))
 	assert.Assert(t, refusal == nil, "%v", refusal)
 	return string(call.Prompt)
 }
--- a/io/bthttp/refusal.go
+++ b/io/bthttp/refusal.go
@@ -39,16 +39,16 @@
 
 // callerStatus holds the statuses of the reasons that this package decides.
 var callerStatus = StatusTable{
-	ReasonBadPath:     http.StatusNotFound,
-	ReasonBadMethod:   http.StatusMethodNotAllowed,
-	ReasonBadJSON:     http.StatusBadRequest,
-	ReasonBadModel:    http.StatusBadRequest,
-	ReasonBadHeader:   http.StatusBadRequest,
-	ReasonBadPriority: http.StatusBadRequest,
-	ReasonBadIdemKey:  http.StatusBadRequest,
-	ReasonBodyTooBig:  http.StatusRequestEntityTooLarge,
-	ReasonBodyCut:     http.StatusBadRequest,
-	ReasonBodyRoom:    http.StatusServiceUnavailable,
+	ReasonBadPath:           http.StatusNotFound,
+	ReasonBadMethod:         http.StatusMethodNotAllowed,
+	ReasonBadJSON:           http.StatusBadRequest,
+	ReasonBadModel:          http.StatusBadRequest,
+	ReasonBadHeader:         http.StatusBadRequest,
+	ReasonBadPriority:       http.StatusBadRequest,
+	ReasonBadIdempotencyKey: http.StatusBadRequest,
+	ReasonBodyTooBig:        http.StatusRequestEntityTooLarge,
+	ReasonBodyCut:           http.StatusBadRequest,
+	ReasonBodyRoom:          http.StatusServiceUnavailable,
 }
 
 // Status returns the HTTP status of a refusal.
--- a/io/btisolation/btisolation.go
+++ b/io/btisolation/btisolation.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// OnHold sets what withdraws a request from the targets that have it, before they begin
+// OnQuarantine sets what withdraws a request from the targets that have it, before they begin
 // to run it. It must not call the isolation, and is to be set before the first request.
-func (i *Isolation) OnHold(withdraw Withdraw) { i.withdraw = withdraw }
+func (i *Isolation) OnQuarantine(withdraw Withdraw) { i.withdraw = withdraw }
 
 // SetPolicy has it go by another policy, also for what is known.
 func (i *Isolation) SetPolicy(p btquarantine.Policy) {
@@ -68,9 +68,9 @@
 	i.register.SetPolicy(p)
 }
 
-// Left returns for how long the request is still kept from targets, if it is. The
+// Remaining returns for how long the request is still kept from targets, if it is. The
 // fingerprint is asked for only where any request is remembered.
-func (i *Isolation) Left(fingerprint func() btquarantine.Fingerprint) (left time.Duration, held bool) {
+func (i *Isolation) Remaining(fingerprint func() btquarantine.Fingerprint) (left time.Duration, held bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.register.Empty() {
@@ -81,9 +81,9 @@
 	return left, left > 0
 }
 
-// Ended notes that a target ended with the request at work, and has others know; details
+// RecordCrash notes that a target ended with the request at work, and has others know; details
 // are for the log.
-func (i *Isolation) Ended(f btquarantine.Fingerprint, target string, p btquarantine.Progress, details ...any) {
+func (i *Isolation) RecordCrash(f btquarantine.Fingerprint, target string, p btquarantine.Progress, details ...any) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	newly := i.register.RecordCrash(i.clock(), f, btquarantine.TargetID(target), p)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Served notes that a target answered the request whole.
-func (i *Isolation) Served(f btquarantine.Fingerprint) {
+// RecordServed notes that a target answered the request whole.
+func (i *Isolation) RecordServed(f btquarantine.Fingerprint) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.register.RecordServed(i.clock(), f) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Hear takes in what another process tells, and tells whether that was new.
-func (i *Isolation) Hear(n btquarantine.Update, from string) (changed bool) {
+// Merge takes in what another process tells, and tells whether that was new.
+func (i *Isolation) Merge(n btquarantine.Update, from string) (changed bool) {
 	if len(n.Records) == 0 && len(n.Suspects) == 0 {
 		return false
 	}
@@ -119,8 +119,8 @@
 	return changed || i.register.Digest() != before
 }
 
-// Pass has others told of what was heard.
-func (i *Isolation) Pass(n btquarantine.Update) {
+// Forward has others told of what was heard.
+func (i *Isolation) Forward(n btquarantine.Update) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, r := range n.Records {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Suspects returns the requests that are suspected.
-func (i *Isolation) Suspects() btquarantine.Suspects {
+// ExportSuspects returns the requests that are suspected.
+func (i *Isolation) ExportSuspects() btquarantine.Suspects {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.register.ExportSuspects(i.clock())
@@ -145,8 +145,8 @@
 	return i.register.Digest()
 }
 
-// NewerThan returns what is known, for a process that knows what the digest identifies.
-func (i *Isolation) NewerThan(digest uint64) btquarantine.Records {
+// ExportIfChanged returns what is known, for a process that knows what the digest identifies.
+func (i *Isolation) ExportIfChanged(digest uint64) btquarantine.Records {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.register.Digest() == digest {
@@ -155,8 +155,8 @@
 	return i.register.Export(i.clock())
 }
 
-// Record returns what is known of one request.
-func (i *Isolation) Record(f btquarantine.Fingerprint) btquarantine.Record {
+// ExportRecord returns what is known of one request.
+func (i *Isolation) ExportRecord(f btquarantine.Fingerprint) btquarantine.Record {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.register.ExportRecord(i.clock(), f)
--- a/io/btisolation/btisolation_test.go
+++ b/io/btisolation/btisolation_test.go
@@ -27,18 +27,18 @@
 }
 
 func left(i *btisolation.Isolation, f btquarantine.Fingerprint) (time.Duration, bool) {
-	return i.Left(func() btquarantine.Fingerprint { return f })
+	return i.Remaining(func() btquarantine.Fingerprint { return f })
 }
 
 func TestARequestIsHeldOnceAndWithdrawn(t *testing.T) {
 	i, lines := newIsolation()
 	var withdrawn []btquarantine.Fingerprint
-	i.OnHold(func(f btquarantine.Fingerprint, _ bool) int {
+	i.OnQuarantine(func(f btquarantine.Fingerprint, _ bool) int {
 		withdrawn = append(withdrawn, f)
 		return 2
 	})
 	for _, target := range []string{"a", "b", "c"} {
-		i.Ended(request("/x"), target, btquarantine.Answering)
+		i.RecordCrash(request("/x"), target, btquarantine.Answering)
 	}
 	remaining, held := left(i, request("/x"))
 	assert.Assert(t, held)
@@ -46,7 +46,7 @@
 	assert.DeepEqual(t, withdrawn, []btquarantine.Fingerprint{request("/x")})
 	assert.Equal(t, strings.Count(lines.String(), "request held"), 1)
 	assert.Assert(t, strings.Contains(lines.String(), "withdrawn=2"))
-	i.Served(request("/x"))
+	i.RecordServed(request("/x"))
 	_, held = left(i, request("/x"))
 	assert.Assert(t, !held)
 }
@@ -54,7 +54,7 @@
 // While nothing is remembered no request's content is looked at.
 func TestNothingIsAskedOfRequestsWhileNoneIsRemembered(t *testing.T) {
 	i, _ := newIsolation()
-	_, held := i.Left(func() btquarantine.Fingerprint {
+	_, held := i.Remaining(func() btquarantine.Fingerprint {
 		t.Error("the fingerprint is asked for")
 		return btquarantine.Fingerprint{}
 	})
@@ -70,16 +70,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go a.Run(ctx, func(_ context.Context, n btquarantine.Update) { told <- n })
-	a.Ended(request("/x"), "a", btquarantine.Answering)
-	a.Ended(request("/x"), "b", btquarantine.Answering)
-	assert.Assert(t, b.Hear(<-told, "a's address"))
+	a.RecordCrash(request("/x"), "a", btquarantine.Answering)
+	a.RecordCrash(request("/x"), "b", btquarantine.Answering)
+	assert.Assert(t, b.Merge(<-told, "a's address"))
 	_, held := left(b, request("/x"))
 	assert.Assert(t, held)
 	assert.Assert(t, strings.Contains(lines.String(), "from=\"a's address\""))
 	assert.Equal(t, a.Digest(), b.Digest())
-	assert.Equal(t, len(a.NewerThan(b.Digest())), 0)
-	assert.Equal(t, len(a.NewerThan(0)), 1)
-	assert.Assert(t, !b.Hear(btquarantine.Update{Records: a.NewerThan(0)}, "a's address"))
+	assert.Equal(t, len(a.ExportIfChanged(b.Digest())), 0)
+	assert.Equal(t, len(a.ExportIfChanged(0)), 1)
+	assert.Assert(t, !b.Merge(btquarantine.Update{Records: a.ExportIfChanged(0)}, "a's address"))
 }
 
 // A request that a member of a group had only begun to answer is held at the first end, for a
@@ -88,7 +88,7 @@
 	a, lines := newIsolation()
 	b, _ := newIsolation()
 	var suspected []bool
-	a.OnHold(func(_ btquarantine.Fingerprint, s bool) int {
+	a.OnQuarantine(func(_ btquarantine.Fingerprint, s bool) int {
 		suspected = append(suspected, s)
 		return 1
 	})
@@ -96,18 +96,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go a.Run(ctx, func(_ context.Context, n btquarantine.Update) { told <- n })
-	a.Ended(request("/x"), "a", btquarantine.BegunWithoutOutput)
+	a.RecordCrash(request("/x"), "a", btquarantine.BegunWithoutOutput)
 	news := <-told
 	assert.NilError(t, news.Validate())
-	assert.Assert(t, b.Hear(news, "a's address"))
-	assert.Assert(t, !b.Hear(news, "a's address"), "it is known")
+	assert.Assert(t, b.Merge(news, "a's address"))
+	assert.Assert(t, !b.Merge(news, "a's address"), "it is known")
 	for _, i := range []*btisolation.Isolation{a, b} {
 		remaining, held := left(i, request("/x"))
 		assert.Assert(t, held)
 		assert.Equal(t, remaining, btquarantine.SuspectFor)
 	}
 	assert.Assert(t, strings.Contains(lines.String(), "for_ms=30000 suspected=true withdrawn=1"))
-	a.Ended(request("/x"), "b", btquarantine.BegunWithoutOutput)
+	a.RecordCrash(request("/x"), "b", btquarantine.BegunWithoutOutput)
 	remaining, _ := left(a, request("/x"))
 	assert.Equal(t, remaining, btquarantine.TTL)
 	assert.DeepEqual(t, suspected, []bool{true, false})
--- a/io/btprocess/isolation.go
+++ b/io/btprocess/isolation.go
@@ -56,10 +56,10 @@
 
 // answer takes another process's news in, and passes on what is new.
 func (i *Isolation) answer(_ context.Context, from btpeer.Identity, heard Isolated) (Isolated, error) {
-	if i.Hear(heard.news(), from.String()) {
-		i.Pass(heard.news())
+	if i.Merge(heard.news(), from.String()) {
+		i.Forward(heard.news())
 	}
-	return Isolated{Digest: i.Digest(), Records: i.NewerThan(heard.Digest), Suspects: i.Suspects()}, nil
+	return Isolated{Digest: i.Digest(), Records: i.ExportIfChanged(heard.Digest), Suspects: i.ExportSuspects()}, nil
 }
 
 // tell tells the neighbours.
@@ -83,13 +83,13 @@
 	ctx, cancel := context.WithTimeout(ctx, isolationWait)
 	defer cancel()
 	o := i.bundles.options
-	message := Isolated{Digest: i.Digest(), Records: records, Suspects: i.Suspects()}
+	message := Isolated{Digest: i.Digest(), Records: records, Suspects: i.ExportSuspects()}
 	answer, err := btpeer.Call[Isolated, Isolated](ctx, o.Node, to, KindIsolation, message)
 	if err != nil {
 		o.Meter.Refused(reasonIsolationFailed)
 		return
 	}
-	i.Hear(answer.news(), to.Identity.String())
+	i.Merge(answer.news(), to.Identity.String())
 }
 
 // Run tells the neighbours of news until the context ends.
--- a/io/btstandin/btfleet/caller.go
+++ b/io/btstandin/btfleet/caller.go
@@ -102,7 +102,7 @@
 		return answer
 	}
 	if call.Key != "" {
-		request.Header.Set(bthttp.HeaderKey, string(call.Key))
+		request.Header.Set(bthttp.HeaderIdempotencyKey, string(call.Key))
 	}
 	if call.Timeout > 0 {
 		request.Header.Set(bthttp.HeaderTimeout, call.Timeout.String())
--- a/io/btstandin/btinprocess/process.go
+++ b/io/btstandin/btinprocess/process.go
@@ -108,20 +108,20 @@
 	listener, err := net.Listen("tcp", free.String())
 	assert.NilError(f.TB, err)
 	entry := btentry.New(btentry.Options{
-		Name:       btid.Entry(node.Identity().Name),
-		DataCentre: DataCentre,
-		HostsEvery: hostsEvery,
-		Listener:   listener,
-		Node:       node,
-		Bundles:    p.Bundles,
-		Platform:   p.platform,
-		Meter:      p.Meter,
-		Decisions:  p.Decisions,
-		Log:        quiet,
-		Clock:      time.Now,
-		Elapsed:    f.elapsed,
-		Assert:     panics,
-		Random:     p.random,
+		Name:             btid.Entry(node.Identity().Name),
+		DataCentre:       DataCentre,
+		HostListInterval: hostsEvery,
+		Listener:         listener,
+		Node:             node,
+		Bundles:          p.Bundles,
+		Platform:         p.platform,
+		Meter:            p.Meter,
+		Decisions:        p.Decisions,
+		Log:              quiet,
+		Clock:            time.Now,
+		Elapsed:          f.elapsed,
+		Assert:           panics,
+		Random:           p.random,
 	})
 	return &Entry{Entry: entry, Node: node, URL: "http://" + listener.Addr().String(), End: f.Run(node, entry.Run)}
 }
--- a/io/bttarget/bttarget_test.go
+++ b/io/bttarget/bttarget_test.go
@@ -273,7 +273,7 @@
 	}))
 	defer server.Close()
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	c := bttarget.New(bttarget.Options{Endpoint: address, MaxAnswer: 99})
+	c := bttarget.New(bttarget.Options{Endpoint: address, MaxAnswerBytes: 99})
 	_, err := c.Load(t.Context())
 	assert.ErrorIs(t, err, bttarget.ErrTooLarge)
 }
--- a/io/bttarget/client.go
+++ b/io/bttarget/client.go
@@ -25,15 +25,15 @@
 const (
 	// DefaultDialTimeout bounds connecting to a target on the same host.
 	DefaultDialTimeout = time.Second
-	// DefaultConnections is how many idle connections are kept.
-	DefaultConnections = 256
+	// DefaultMaxIdleConnections is how many idle connections are kept.
+	DefaultMaxIdleConnections = 256
 	// DefaultIdleTimeout is how long an idle connection is kept.
 	DefaultIdleTimeout = time.Minute
-	// DefaultMaxAnswer is the size limit of answers of the target's own
+	// DefaultMaxAnswerBytes is the size limit of answers of the target's own
 	// protocol, in bytes; it doesn't bound callers' answers.
-	DefaultMaxAnswer = 4 << 20
-	// DefaultMaxHeader is the size limit of the fields of an answer, in bytes.
-	DefaultMaxHeader = 64 << 10
+	DefaultMaxAnswerBytes = 4 << 20
+	// DefaultMaxHeaderBytes is the size limit of the fields of an answer, in bytes.
+	DefaultMaxHeaderBytes = 64 << 10
 )
 
 // Names of the counters.
@@ -49,17 +49,17 @@
 	// Endpoint is where the target serves HTTP.
 	Endpoint netip.AddrPort
 	// Registry may be nil.
-	Registry    metrics.Registry
-	DialTimeout time.Duration
-	IdleTimeout time.Duration
-	Connections int
-	MaxAnswer   int64
-	// Fresh makes a connection for each request, so that none is written to one
+	Registry           metrics.Registry
+	DialTimeout        time.Duration
+	IdleTimeout        time.Duration
+	MaxIdleConnections int
+	MaxAnswerBytes     int64
+	// DisableKeepAlives makes a connection for each request, so that none is written to one
 	// that the target has just closed: such a request may or may not have run.
-	Fresh bool
-	// SilenceTimeout ends a connection whose peer acknowledges nothing for that
+	DisableKeepAlives bool
+	// TCPUserTimeout ends a connection whose peer acknowledges nothing for that
 	// long; zero leaves it to the system, which waits for minutes.
-	SilenceTimeout time.Duration
+	TCPUserTimeout time.Duration
 }
 
 // Client speaks with one target. It is safe for concurrent use.
@@ -78,19 +78,19 @@
 	}
 	setDefault(&o.DialTimeout, DefaultDialTimeout)
 	setDefault(&o.IdleTimeout, DefaultIdleTimeout)
-	setDefault(&o.Connections, DefaultConnections)
-	setDefault(&o.MaxAnswer, DefaultMaxAnswer)
-	dialler := &net.Dialer{Timeout: o.DialTimeout, Control: silence(o.SilenceTimeout)}
+	setDefault(&o.MaxIdleConnections, DefaultMaxIdleConnections)
+	setDefault(&o.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	dialler := &net.Dialer{Timeout: o.DialTimeout, Control: silence(o.TCPUserTimeout)}
 	return &Client{
 		options: o,
 		transport: &http.Transport{
 			DialContext:            dialler.DialContext,
-			MaxIdleConns:           o.Connections,
-			MaxIdleConnsPerHost:    o.Connections,
+			MaxIdleConns:           o.MaxIdleConnections,
+			MaxIdleConnsPerHost:    o.MaxIdleConnections,
 			IdleConnTimeout:        o.IdleTimeout,
-			MaxResponseHeaderBytes: DefaultMaxHeader,
+			MaxResponseHeaderBytes: DefaultMaxHeaderBytes,
 			DisableCompression:     true,
-			DisableKeepAlives:      o.Fresh,
+			DisableKeepAlives:      o.DisableKeepAlives,
 		},
 		requests: metrics.GetOrRegisterCounter(MetricRequests, o.Registry),
 		notSent:  metrics.GetOrRegisterCounter(MetricNotSent, o.Registry),
@@ -125,17 +125,17 @@
 // Close drops idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// BrokeOff tells whether the target's side ended a connection with a request on it. A
+// ClosedByTarget tells whether the target's side ended a connection with a request on it. A
 // caller that leaves, a time that is over and a target that falls silent end it from
 // this side.
-func BrokeOff(err error) bool {
+func ClosedByTarget(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Refused tells whether the target's host refuses a connection: nothing serves there.
+// RefusesConnections tells whether the target's host refuses a connection: nothing serves there.
 // A host that is out of reach refuses nothing.
-func (c *Client) Refused(ctx context.Context) bool {
+func (c *Client) RefusesConnections(ctx context.Context) bool {
 	dialler := net.Dialer{Timeout: c.options.DialTimeout}
 	connection, err := dialler.DialContext(ctx, "tcp", c.options.Endpoint.String())
 	if err != nil {
--- a/io/bttarget/engine.go
+++ b/io/bttarget/engine.go
@@ -271,12 +271,12 @@
 
 // read returns the whole body up to the limit.
 func (c *Client) read(response *Response, uri string) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(response.Body, c.options.MaxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, c.options.MaxAnswerBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", uri, err)
 	}
-	if int64(len(data)) > c.options.MaxAnswer {
-		return nil, fmt.Errorf("%w: %s: over %d bytes", ErrTooLarge, uri, c.options.MaxAnswer)
+	if int64(len(data)) > c.options.MaxAnswerBytes {
+		return nil, fmt.Errorf("%w: %s: over %d bytes", ErrTooLarge, uri, c.options.MaxAnswerBytes)
 	}
 	return data, nil
 }
--- a/io/bttarget/refused_test.go
+++ b/io/bttarget/refused_test.go
@@ -33,8 +33,8 @@
 	for _, path := range []string{"/cut", "/ends"} {
 		_, err := client.Do(context.Background(), bttarget.Request{Method: http.MethodPost, URI: path, Body: []byte("x")})
 		assert.ErrorIs(t, err, bttarget.ErrLost)
-		assert.Assert(t, bttarget.BrokeOff(err), "%v", err)
-		assert.Equal(t, client.Refused(context.Background()), path == "/ends")
+		assert.Assert(t, bttarget.ClosedByTarget(err), "%v", err)
+		assert.Equal(t, client.RefusesConnections(context.Background()), path == "/ends")
 	}
 }
 
@@ -54,5 +54,5 @@
 	client := bttarget.New(bttarget.Options{Endpoint: netip.MustParseAddrPort(server.Listener.Addr().String())})
 	_, err := client.Do(ctx, bttarget.Request{Method: http.MethodGet, URI: "/"})
 	assert.ErrorIs(t, err, bttarget.ErrLost)
-	assert.Assert(t, !bttarget.BrokeOff(err), "%v", err)
+	assert.Assert(t, !bttarget.ClosedByTarget(err), "%v", err)
 }
