--- a/io/btisolation/btisolation.go
+++ b/io/btisolation/btisolation.go
@@ -1,8 +1,8 @@
-// Package btisolation keeps requests that end targets from them, for all goroutines of
-// a process, and gathers what other processes are to be told of them.
+// Package btisolation quarantines requests that crash targets, for all goroutines of a
+// process, and batches the updates for other processes.
 //
-// Each end of a target takes along up to a dozen other requests and, where the target
-// is a rank of a group, closes the group for seconds.
+// Each crash of a target interrupts up to a dozen other requests and, if the target is a
+// rank of a group, closes the group for seconds.
 package btisolation
 
 import (
@@ -17,135 +17,137 @@
 )
 
 const (
-	// gather is how long news is gathered: all requests that were at a target break
-	// off within some milliseconds of each other.
-	gather = 5 * time.Millisecond
-	// expireEvery is how often what is of no more use is dropped.
-	expireEvery = 10 * time.Second
+	// batchDelay is how long updates are collected: all requests that were running at a
+	// target are interrupted within milliseconds of each other.
+	batchDelay = 5 * time.Millisecond
+	// expireInterval is how often expired records are removed.
+	expireInterval = 10 * time.Second
 )
 
-// Isolation is what a process knows of such requests. It is safe for concurrent use.
+// Isolation holds a process's register of such requests. It is safe for concurrent use.
 type Isolation struct {
 	clock btloop.Clock
 	log   *slog.Logger
-	// woken is filled when there is news.
-	woken chan struct{}
+	// wake signals that updates are pending.
+	wake chan struct{}
 
 	mu       sync.Mutex
 	register *btquarantine.Register
-	// news are the requests of which others are to be told.
-	news     map[btquarantine.Fingerprint]bool
+	// pending are the requests whose records other processes must receive.
+	pending  map[btquarantine.Fingerprint]bool
 	withdraw Withdraw
 }
 
-// Withdraw takes a request back from the targets that have it, and returns from how many.
-// One that is only suspected is left where its answer goes on: it doesn't end that target
-// as it begins.
+// Withdraw cancels a request at the targets that have it and returns their number. If it
+// is only suspected, attempts whose answer is in progress continue, since the request
+// crashes targets only when it begins.
 type Withdraw func(f btquarantine.Fingerprint, suspected bool) int
 
-// New returns one that knows of no request and goes by the policy.
+// New returns an isolation with an empty register and the policy.
 func New(p btquarantine.Policy, clock btloop.Clock, log *slog.Logger) *Isolation {
 	register := btquarantine.New(p)
 	register.SetObserver(rand.Uint64())
 	return &Isolation{
 		clock:    clock,
 		log:      log,
-		woken:    make(chan struct{}, 1),
+		wake:     make(chan struct{}, 1),
 		register: register,
-		news:     make(map[btquarantine.Fingerprint]bool),
+		pending:  make(map[btquarantine.Fingerprint]bool),
 		withdraw: func(btquarantine.Fingerprint, bool) int { return 0 },
 	}
 }
 
-// OnQuarantine sets what withdraws a request from the targets that have it, before they begin
-// to run it. It must not call the isolation, and is to be set before the first request.
+// OnQuarantine sets the function that withdraws a newly quarantined request from the
+// targets that have not begun to run it. It must not call the isolation, and must be set
+// before the first request.
 func (i *Isolation) OnQuarantine(withdraw Withdraw) { i.withdraw = withdraw }
 
-// SetPolicy has it go by another policy, also for what is known.
+// SetPolicy replaces the policy, also for the requests in the register.
 func (i *Isolation) SetPolicy(p btquarantine.Policy) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.register.SetPolicy(p)
 }
 
-// Remaining returns for how long the request is still kept from targets, if it is. The
-// fingerprint is asked for only where any request is remembered.
-func (i *Isolation) Remaining(fingerprint func() btquarantine.Fingerprint) (left time.Duration, held bool) {
+// Remaining returns for how long the request is still quarantined, and whether it is.
+// The fingerprint is computed only if the register isn't empty.
+func (i *Isolation) Remaining(fingerprint func() btquarantine.Fingerprint) (remaining time.Duration, quarantined bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.register.Empty() {
 		return 0, false
 	}
 	now := i.clock()
-	left = i.register.QuarantinedUntil(now, fingerprint()).Sub(now)
-	return left, left > 0
+	remaining = i.register.QuarantinedUntil(now, fingerprint()).Sub(now)
+	return remaining, remaining > 0
 }
 
-// RecordCrash notes that a target ended with the request at work, and has others know; details
-// are for the log.
-func (i *Isolation) RecordCrash(f btquarantine.Fingerprint, target string, p btquarantine.Progress, details ...any) {
+// RecordCrash records that a target crashed while running the request, and announces it
+// to other processes. logAttrs are added to the log message.
+func (i *Isolation) RecordCrash(f btquarantine.Fingerprint, target string, p btquarantine.Progress, logAttrs ...any) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	newly := i.register.RecordCrash(i.clock(), f, btquarantine.TargetID(target), p)
-	i.tell(f)
+	i.announce(f)
 	if newly {
-		i.hold(f, append([]any{"target", target}, details...)...)
+		i.quarantine(f, append([]any{"target", target}, logAttrs...)...)
 	}
 }
 
-// RecordServed notes that a target answered the request whole.
+// RecordServed records that a target answered the request completely.
 func (i *Isolation) RecordServed(f btquarantine.Fingerprint) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.register.RecordServed(i.clock(), f) {
-		i.tell(f)
+		i.announce(f)
 	}
 }
 
-// Merge takes in what another process tells, and tells whether that was new.
-func (i *Isolation) Merge(n btquarantine.Update, from string) (changed bool) {
-	if len(n.Records) == 0 && len(n.Suspects) == 0 {
+// Merge merges the update of another process and reports whether it changed anything.
+func (i *Isolation) Merge(update btquarantine.Update, from string) (changed bool) {
+	if len(update.Records) == 0 && len(update.Suspects) == 0 {
 		return false
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.clock()
-	before := i.register.Digest()
-	suspected, changed := i.register.MergeSuspects(now, n.Suspects)
-	held := i.register.Merge(now, n.Records)
-	for _, f := range append(suspected, held...) {
-		i.hold(f, "from", from)
+	oldDigest := i.register.Digest()
+	suspected, changed := i.register.MergeSuspects(now, update.Suspects)
+	quarantined := i.register.Merge(now, update.Records)
+	for _, f := range append(suspected, quarantined...) {
+		i.quarantine(f, "from", from)
 	}
-	return changed || i.register.Digest() != before
+	return changed || i.register.Digest() != oldDigest
 }
 
-// Forward has others told of what was heard.
-func (i *Isolation) Forward(n btquarantine.Update) {
+// Forward announces a received update to other processes.
+func (i *Isolation) Forward(update btquarantine.Update) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, r := range n.Records {
-		i.tell(r.Fingerprint)
+	for _, r := range update.Records {
+		i.announce(r.Fingerprint)
 	}
-	for _, s := range n.Suspects {
-		i.tell(s.Fingerprint)
+	for _, s := range update.Suspects {
+		i.announce(s.Fingerprint)
 	}
 }
 
-// ExportSuspects returns the requests that are suspected.
+// ExportSuspects returns the suspected requests.
 func (i *Isolation) ExportSuspects() btquarantine.Suspects {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.register.ExportSuspects(i.clock())
 }
 
-// Digest identifies what is known.
+// Digest identifies the contents of the register.
 func (i *Isolation) Digest() uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.register.Digest()
 }
 
-// ExportIfChanged returns what is known, for a process that knows what the digest identifies.
+// ExportIfChanged returns the records for a process whose register has the digest; nil
+// if that is the digest of this one.
 func (i *Isolation) ExportIfChanged(digest uint64) btquarantine.Records {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -155,16 +157,16 @@
 	return i.register.Export(i.clock())
 }
 
-// ExportRecord returns what is known of one request.
+// ExportRecord returns the record of one request.
 func (i *Isolation) ExportRecord(f btquarantine.Fingerprint) btquarantine.Record {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.register.ExportRecord(i.clock(), f)
 }
 
-// Run hands news to tell, and drops what is of no more use, until the context ends.
-func (i *Isolation) Run(ctx context.Context, tell func(context.Context, btquarantine.Update)) {
-	expire := time.NewTicker(expireEvery)
+// Run passes pending updates to send and removes expired records until the context ends.
+func (i *Isolation) Run(ctx context.Context, send func(context.Context, btquarantine.Update)) {
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
@@ -172,47 +174,48 @@
 			return
 		case <-expire.C:
 			i.expire()
-		case <-i.woken:
-			pause(ctx, gather)
-			for news := i.takeNews(); len(news.Records) > 0; news = i.takeNews() {
-				tell(ctx, news)
+		case <-i.wake:
+			sleep(ctx, batchDelay)
+			for update := i.nextUpdate(); len(update.Records) > 0; update = i.nextUpdate() {
+				send(ctx, update)
 			}
 		}
 	}
 }
 
-// tell has the teller tell of a request. The lock is held.
-func (i *Isolation) tell(f btquarantine.Fingerprint) {
-	i.news[f] = true
+// announce schedules the record of a request for the next update. The caller holds the
+// lock.
+func (i *Isolation) announce(f btquarantine.Fingerprint) {
+	i.pending[f] = true
 	select {
-	case i.woken <- struct{}{}:
+	case i.wake <- struct{}{}:
 	default:
 	}
 }
 
-// hold logs that a request is kept from targets from now on, and withdraws it. The lock
-// is held.
-func (i *Isolation) hold(f btquarantine.Fingerprint, evidence ...any) {
+// quarantine logs that a request is quarantined from now on, and withdraws it. The
+// caller holds the lock.
+func (i *Isolation) quarantine(f btquarantine.Fingerprint, logAttrs ...any) {
 	now := i.clock()
 	suspected := i.register.Suspected(now, f)
 	withdrawn := i.withdraw(f, suspected)
-	left := i.register.QuarantinedUntil(now, f).Sub(now)
-	i.log.Warn("request held", append([]any{"fingerprint", f, "for_ms", left.Milliseconds(), "suspected", suspected, "withdrawn", withdrawn}, evidence...)...)
+	remaining := i.register.QuarantinedUntil(now, f).Sub(now)
+	i.log.Warn("request held", append([]any{"fingerprint", f, "for_ms", remaining.Milliseconds(), "suspected", suspected, "withdrawn", withdrawn}, logAttrs...)...)
 }
 
-// takeNews returns what others are to be told, as much as one message holds, with all
+// nextUpdate returns the pending records, as many as one message holds, and all
 // suspects.
-func (i *Isolation) takeNews() btquarantine.Update {
+func (i *Isolation) nextUpdate() btquarantine.Update {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.clock()
 	var records btquarantine.Records
-	for f := range i.news {
+	for f := range i.pending {
 		if len(records) == btquarantine.MaxRecordsPerMessage {
 			break
 		}
 		records = append(records, i.register.ExportRecord(now, f))
-		delete(i.news, f)
+		delete(i.pending, f)
 	}
 	return btquarantine.Update{Records: records, Suspects: i.register.ExportSuspects(now)}
 }
@@ -223,8 +226,8 @@
 	i.register.Expire(i.clock())
 }
 
-// pause waits, unless the context ends before.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/io/btisolation/btisolation_test.go
+++ b/io/btisolation/btisolation_test.go
@@ -19,18 +19,18 @@
 	return btquarantine.Content{URI: uri}.Fingerprint()
 }
 
-// newIsolation returns one whose clock stands, and what it logs.
+// newIsolation returns an isolation with a fixed clock, and its log.
 func newIsolation() (*btisolation.Isolation, *strings.Builder) {
 	lines := &strings.Builder{}
 	i := btisolation.New(btquarantine.DefaultPolicy(), func() time.Time { return start }, slog.New(slog.NewTextHandler(lines, nil)))
 	return i, lines
 }
 
-func left(i *btisolation.Isolation, f btquarantine.Fingerprint) (time.Duration, bool) {
+func remainingFor(i *btisolation.Isolation, f btquarantine.Fingerprint) (time.Duration, bool) {
 	return i.Remaining(func() btquarantine.Fingerprint { return f })
 }
 
-func TestARequestIsHeldOnceAndWithdrawn(t *testing.T) {
+func TestRequestIsQuarantinedOnceAndWithdrawn(t *testing.T) {
 	i, lines := newIsolation()
 	var withdrawn []btquarantine.Fingerprint
 	i.OnQuarantine(func(f btquarantine.Fingerprint, _ bool) int {
@@ -40,41 +40,42 @@
 	for _, target := range []string{"a", "b", "c"} {
 		i.RecordCrash(request("/x"), target, btquarantine.Answering)
 	}
-	remaining, held := left(i, request("/x"))
-	assert.Assert(t, held)
+	remaining, quarantined := remainingFor(i, request("/x"))
+	assert.Assert(t, quarantined)
 	assert.Equal(t, remaining, btquarantine.TTL)
 	assert.DeepEqual(t, withdrawn, []btquarantine.Fingerprint{request("/x")})
 	assert.Equal(t, strings.Count(lines.String(), "request held"), 1)
 	assert.Assert(t, strings.Contains(lines.String(), "withdrawn=2"))
 	i.RecordServed(request("/x"))
-	_, held = left(i, request("/x"))
-	assert.Assert(t, !held)
+	_, quarantined = remainingFor(i, request("/x"))
+	assert.Assert(t, !quarantined)
 }
 
-// While nothing is remembered no request's content is looked at.
-func TestNothingIsAskedOfRequestsWhileNoneIsRemembered(t *testing.T) {
+// TestNoFingerprintWhileRegisterIsEmpty: fingerprints are costly and must not be
+// computed while the register is empty.
+func TestNoFingerprintWhileRegisterIsEmpty(t *testing.T) {
 	i, _ := newIsolation()
-	_, held := i.Remaining(func() btquarantine.Fingerprint {
-		t.Error("the fingerprint is asked for")
+	_, quarantined := i.Remaining(func() btquarantine.Fingerprint {
+		t.Error("the fingerprint is computed")
 		return btquarantine.Fingerprint{}
 	})
-	assert.Assert(t, !held)
+	assert.Assert(t, !quarantined)
 }
 
-// What one process notes another one holds, once it was told; what is known already is
-// not told again.
-func TestProcessesTellEachOther(t *testing.T) {
+// TestUpdatesBetweenProcesses: a request that one process has recorded is quarantined in
+// another one after the update; an update without news is not reported as a change.
+func TestUpdatesBetweenProcesses(t *testing.T) {
 	a, _ := newIsolation()
 	b, lines := newIsolation()
-	told := make(chan btquarantine.Update, 8)
+	updates := make(chan btquarantine.Update, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go a.Run(ctx, func(_ context.Context, n btquarantine.Update) { told <- n })
+	go a.Run(ctx, func(_ context.Context, update btquarantine.Update) { updates <- update })
 	a.RecordCrash(request("/x"), "a", btquarantine.Answering)
 	a.RecordCrash(request("/x"), "b", btquarantine.Answering)
-	assert.Assert(t, b.Merge(<-told, "a's address"))
-	_, held := left(b, request("/x"))
-	assert.Assert(t, held)
+	assert.Assert(t, b.Merge(<-updates, "a's address"))
+	_, quarantined := remainingFor(b, request("/x"))
+	assert.Assert(t, quarantined)
 	assert.Assert(t, strings.Contains(lines.String(), "from=\"a's address\""))
 	assert.Equal(t, a.Digest(), b.Digest())
 	assert.Equal(t, len(a.ExportIfChanged(b.Digest())), 0)
@@ -82,9 +83,10 @@
 	assert.Assert(t, !b.Merge(btquarantine.Update{Records: a.ExportIfChanged(0)}, "a's address"))
 }
 
-// A request that a member of a group had only begun to answer is held at the first end, for a
-// shorter time, here and where this is told; its second end holds it for good.
-func TestASuspectIsHeldAndTold(t *testing.T) {
+// TestSuspectIsQuarantinedAndAnnounced: a request that a group member had only begun to
+// answer is quarantined after the first crash, for a shorter time, both here and in a
+// process that receives the update. A second crash quarantines it for the full time.
+func TestSuspectIsQuarantinedAndAnnounced(t *testing.T) {
 	a, lines := newIsolation()
 	b, _ := newIsolation()
 	var suspected []bool
@@ -92,23 +94,23 @@
 		suspected = append(suspected, s)
 		return 1
 	})
-	told := make(chan btquarantine.Update, 8)
+	updates := make(chan btquarantine.Update, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go a.Run(ctx, func(_ context.Context, n btquarantine.Update) { told <- n })
+	go a.Run(ctx, func(_ context.Context, update btquarantine.Update) { updates <- update })
 	a.RecordCrash(request("/x"), "a", btquarantine.BegunWithoutOutput)
-	news := <-told
-	assert.NilError(t, news.Validate())
-	assert.Assert(t, b.Merge(news, "a's address"))
-	assert.Assert(t, !b.Merge(news, "a's address"), "it is known")
+	update := <-updates
+	assert.NilError(t, update.Validate())
+	assert.Assert(t, b.Merge(update, "a's address"))
+	assert.Assert(t, !b.Merge(update, "a's address"), "a known update is reported as a change")
 	for _, i := range []*btisolation.Isolation{a, b} {
-		remaining, held := left(i, request("/x"))
-		assert.Assert(t, held)
+		remaining, quarantined := remainingFor(i, request("/x"))
+		assert.Assert(t, quarantined)
 		assert.Equal(t, remaining, btquarantine.SuspectFor)
 	}
 	assert.Assert(t, strings.Contains(lines.String(), "for_ms=30000 suspected=true withdrawn=1"))
 	a.RecordCrash(request("/x"), "b", btquarantine.BegunWithoutOutput)
-	remaining, _ := left(a, request("/x"))
+	remaining, _ := remainingFor(a, request("/x"))
 	assert.Equal(t, remaining, btquarantine.TTL)
 	assert.DeepEqual(t, suspected, []bool{true, false})
 }
