--- a/io/bttarget/bttarget_test.go
+++ b/io/bttarget/bttarget_test.go
@@ -21,7 +21,7 @@
 	"bilberrytide/io/bttarget"
 )
 
-func serve(tb testing.TB, h http.HandlerFunc) *bttarget.Client {
+func newTarget(tb testing.TB, h http.HandlerFunc) *bttarget.Client {
 	tb.Helper()
 	server := httptest.NewServer(h)
 	tb.Cleanup(server.Close)
@@ -39,20 +39,20 @@
 	// Output: 3 4.5ms <nil>
 }
 
-// flaky answers the first request of each connection and cuts the connection
-// after it has read the second; it counts what it has read.
-type flaky struct {
-	address netip.AddrPort
-	read    atomic.Int64
-	keyed   atomic.Int64
+// cuttingServer answers the first request of each connection and closes the connection
+// after it has read the second. It counts the requests that it has read.
+type cuttingServer struct {
+	address  netip.AddrPort
+	requests atomic.Int64
+	withKey  atomic.Int64
 }
 
-func newFlaky(tb testing.TB) *flaky {
+func newCuttingServer(tb testing.TB) *cuttingServer {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
 	tb.Cleanup(func() { _ = listener.Close() })
-	f := &flaky{address: netip.MustParseAddrPort(listener.Addr().String())}
+	f := &cuttingServer{address: netip.MustParseAddrPort(listener.Addr().String())}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -65,7 +65,7 @@
 	return f
 }
 
-func (f *flaky) serve(conn net.Conn) {
+func (f *cuttingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for i := range 2 {
@@ -74,9 +74,9 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		f.read.Add(1)
+		f.requests.Add(1)
 		if request.Header.Get("Idempotency-Key") != "" {
-			f.keyed.Add(1)
+			f.withKey.Add(1)
 		}
 		if i == 0 {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -84,26 +84,26 @@
 	}
 }
 
-var keyed = http.Header{"Idempotency-Key": {"k1"}}
+var withKey = http.Header{"Idempotency-Key": {"k1"}}
 
-// A request on a connection that breaks after it was read must not be sent
-// again. The plain client of net/http does send it again; the test shows that
-// the failure is there to be found.
-func TestNothingIsSentTwice(t *testing.T) {
+// TestNoRequestIsSentTwice: a request must not be sent again after its connection broke
+// when the target had read it. The plain client of net/http does send it again, as
+// TestPlainClientSendsTwice shows.
+func TestNoRequestIsSentTwice(t *testing.T) {
 	cases := []bttarget.Request{
 		{Method: http.MethodGet, URI: "/"},
-		{Method: http.MethodGet, URI: "/", Header: keyed},
-		{Method: http.MethodHead, URI: "/", Header: keyed},
-		{Method: http.MethodOptions, URI: "/", Header: keyed},
-		{Method: http.MethodDelete, URI: "/", Header: keyed},
-		{Method: http.MethodPost, URI: "/", Header: keyed},
-		{Method: http.MethodPost, URI: "/", Header: keyed, Body: []byte("body")},
+		{Method: http.MethodGet, URI: "/", Header: withKey},
+		{Method: http.MethodHead, URI: "/", Header: withKey},
+		{Method: http.MethodOptions, URI: "/", Header: withKey},
+		{Method: http.MethodDelete, URI: "/", Header: withKey},
+		{Method: http.MethodPost, URI: "/", Header: withKey},
+		{Method: http.MethodPost, URI: "/", Header: withKey, Body: []byte("body")},
 		{Method: http.MethodPost, URI: "/", Header: http.Header{"X-Idempotency-Key": {"k1"}}, Body: []byte("body")},
-		{Method: http.MethodPut, URI: "/", Header: keyed, Body: []byte("body")},
+		{Method: http.MethodPut, URI: "/", Header: withKey, Body: []byte("body")},
 	}
 	for _, r := range cases {
 		t.Run(fmt.Sprint(r.Method, len(r.Header), len(r.Body)), func(t *testing.T) {
-			f := newFlaky(t)
+			f := newCuttingServer(t)
 			c := bttarget.New(bttarget.Options{Endpoint: f.address})
 			first, err := c.Do(t.Context(), bttarget.Request{Method: http.MethodGet, URI: "/"})
 			assert.NilError(t, err)
@@ -112,32 +112,32 @@
 			assert.NilError(t, first.Body.Close())
 			_, err = c.Do(t.Context(), r)
 			assert.ErrorIs(t, err, bttarget.ErrLost)
-			assert.Equal(t, f.read.Load(), int64(2))
+			assert.Equal(t, f.requests.Load(), int64(2))
 			if r.Header.Get("Idempotency-Key") != "" {
-				assert.Equal(t, f.keyed.Load(), int64(1), "the key did not arrive")
+				assert.Equal(t, f.withKey.Load(), int64(1), "the key did not arrive")
 			}
 		})
 	}
 }
 
 func TestPlainClientSendsTwice(t *testing.T) {
-	f := newFlaky(t)
+	f := newCuttingServer(t)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for range 2 {
 		r, err := http.NewRequest(http.MethodPost, "http://"+f.address.String(), strings.NewReader("body"))
 		assert.NilError(t, err)
-		r.Header = keyed.Clone()
+		r.Header = withKey.Clone()
 		answer, err := transport.RoundTrip(r)
 		assert.NilError(t, err)
 		_, _ = io.Copy(io.Discard, answer.Body)
 		assert.NilError(t, answer.Body.Close())
 	}
-	assert.Equal(t, f.read.Load(), int64(3), "two requests, one sent twice")
+	assert.Equal(t, f.requests.Load(), int64(3), "two requests, one sent twice")
 }
 
 func TestRefusedConnectionIsNotSent(t *testing.T) {
-	// At an address of its own, so that no other test's server gets the port.
+	// Its own address keeps the server of another test from getting the port.
 	listener, err := net.Listen("tcp", "127.0.0.11:0")
 	assert.NilError(t, err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
@@ -148,8 +148,8 @@
 	assert.Assert(t, !errors.Is(err, bttarget.ErrLost))
 }
 
-func TestCutAnswerIsLost(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestInterruptedAnswerIsLost(t *testing.T) {
+	c := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "data: 1\n\n")
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
@@ -164,7 +164,7 @@
 
 func TestClosingTheBodyCancels(t *testing.T) {
 	cancelled := make(chan struct{})
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "data: 1\n\n")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
@@ -180,7 +180,7 @@
 
 func TestHeadersAndURIPassUnchanged(t *testing.T) {
 	var got *http.Request
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		got = r
 		w.Header().Set("Connection", "X-Internal")
 		w.Header().Set("X-Internal", "1")
@@ -203,7 +203,7 @@
 	assert.Equal(t, r.Header.Get("X-Kept"), "2")
 }
 
-func TestUnusableRequests(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	c := bttarget.New(bttarget.Options{})
 	for _, r := range []bttarget.Request{
 		{Method: "CONNECT", URI: "/"}, {Method: "GET", URI: "http://other/"}, {Method: "GET", URI: ""}, {Method: "G T", URI: "/"},
@@ -215,7 +215,7 @@
 
 func TestOrders(t *testing.T) {
 	var last uint64
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			body, _ := io.ReadAll(r.Body)
 			switch {
@@ -250,7 +250,7 @@
 		"/group/map":            `{"layers":[[[0],[1]]]}`,
 		"/load":                 `{"kv_used":2}`,
 	}
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, answers[r.RequestURI]) })
+	c := newTarget(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, answers[r.RequestURI]) })
 	events, err := c.CacheEvents(t.Context(), 7)
 	assert.NilError(t, err)
 	assert.Assert(t, cmp.Len(events, 1))
--- a/io/bttarget/client.go
+++ b/io/bttarget/client.go
@@ -23,16 +23,16 @@
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout bounds connecting to a target on the same host.
+	// DefaultDialTimeout limits connecting to a target on the same host.
 	DefaultDialTimeout = time.Second
 	// DefaultMaxIdleConnections is how many idle connections are kept.
 	DefaultMaxIdleConnections = 256
 	// DefaultIdleTimeout is how long an idle connection is kept.
 	DefaultIdleTimeout = time.Minute
-	// DefaultMaxAnswerBytes is the size limit of answers of the target's own
-	// protocol, in bytes; it doesn't bound callers' answers.
+	// DefaultMaxAnswerBytes is the size limit of answers in the target's own protocol;
+	// it doesn't apply to answers for callers.
 	DefaultMaxAnswerBytes = 4 << 20
-	// DefaultMaxHeaderBytes is the size limit of the fields of an answer, in bytes.
+	// DefaultMaxHeaderBytes is the size limit of the header of an answer.
 	DefaultMaxHeaderBytes = 64 << 10
 )
 
@@ -43,8 +43,7 @@
 	MetricLost     = "target.lost"
 )
 
-// Options are a Client's dependencies and limits. Zero values mean the
-// defaults.
+// Options are the dependencies and limits of a Client. Zero values mean the defaults.
 type Options struct {
 	// Endpoint is where the target serves HTTP.
 	Endpoint netip.AddrPort
@@ -54,15 +53,16 @@
 	IdleTimeout        time.Duration
 	MaxIdleConnections int
 	MaxAnswerBytes     int64
-	// DisableKeepAlives makes a connection for each request, so that none is written to one
-	// that the target has just closed: such a request may or may not have run.
+	// DisableKeepAlives opens a connection for each request, so that none is written to
+	// a connection that the target has just closed: such a request may or may not have
+	// run.
 	DisableKeepAlives bool
-	// TCPUserTimeout ends a connection whose peer acknowledges nothing for that
-	// long; zero leaves it to the system, which waits for minutes.
+	// TCPUserTimeout closes a connection whose peer has acknowledged nothing for that
+	// long. Zero means the default of the system, which is minutes.
 	TCPUserTimeout time.Duration
 }
 
-// Client speaks with one target. It is safe for concurrent use.
+// Client is a client of one target. It is safe for concurrent use.
 type Client struct {
 	options   Options
 	transport *http.Transport
@@ -71,7 +71,7 @@
 	lost      metrics.Counter
 }
 
-// New returns a client; it connects with the first request.
+// New returns a client. It connects with the first request.
 func New(o Options) *Client {
 	if o.Registry == nil {
 		o.Registry = metrics.NewRegistry()
@@ -80,7 +80,7 @@
 	setDefault(&o.IdleTimeout, DefaultIdleTimeout)
 	setDefault(&o.MaxIdleConnections, DefaultMaxIdleConnections)
 	setDefault(&o.MaxAnswerBytes, DefaultMaxAnswerBytes)
-	dialler := &net.Dialer{Timeout: o.DialTimeout, Control: silence(o.TCPUserTimeout)}
+	dialler := &net.Dialer{Timeout: o.DialTimeout, Control: setUserTimeout(o.TCPUserTimeout)}
 	return &Client{
 		options: o,
 		transport: &http.Transport{
@@ -98,23 +98,23 @@
 	}
 }
 
-// silence returns a dialler's control function that bounds how long written
-// bytes may stay unacknowledged.
-func silence(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+// setUserTimeout returns a dialler control function that limits how long written data
+// may stay unacknowledged.
+func setUserTimeout(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	if limit <= 0 {
 		return nil
 	}
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit.Milliseconds()))
+			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optUserTimeout, int(limit.Milliseconds()))
 		})
 		return errors.Join(err, failed)
 	}
 }
 
-// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
-const tcpUserTimeout = 0x12
+// optUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
+const optUserTimeout = 0x12
 
 func setDefault[T ~int | ~int64](value *T, fallback T) {
 	if *value <= 0 {
@@ -122,45 +122,42 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// ClosedByTarget tells whether the target's side ended a connection with a request on it. A
-// caller that leaves, a time that is over and a target that falls silent end it from
-// this side.
+// ClosedByTarget reports whether the target closed the connection of a request. After a
+// cancelled request, a timeout or a silent target this side closes it.
 func ClosedByTarget(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// RefusesConnections tells whether the target's host refuses a connection: nothing serves there.
-// A host that is out of reach refuses nothing.
+// RefusesConnections reports whether the target's host refuses a connection, so that
+// nothing listens there. An unreachable host refuses nothing.
 func (c *Client) RefusesConnections(ctx context.Context) bool {
 	dialler := net.Dialer{Timeout: c.options.DialTimeout}
 	connection, err := dialler.DialContext(ctx, "tcp", c.options.Endpoint.String())
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// Nothing was written that a close could lose.
+	// Nothing was written that closing could lose.
 	_ = connection.Close()
 	return false
 }
 
-// Do sends the request once and returns when the head of the answer is there.
-// The context governs the whole exchange, the body included. Redirects are
-// answers like any other.
+// Do sends the request once and returns when the head of the answer has arrived. The
+// context applies to the whole exchange including the body. Redirects are not followed.
 //
 // Errors: ErrRequest (nothing was sent), ErrNotSent, ErrLost.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	request, err := c.request(httptrace.WithClientTrace(ctx, trace), r)
+	request, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), r)
 	if err != nil {
 		return nil, err
 	}
 	c.requests.Inc(1)
-	// RoundTrip rather than http.Client: it follows no redirects, and keeps no
-	// cookies.
+	// RoundTrip is used since http.Client follows redirects and may keep cookies.
 	answer, err := c.transport.RoundTrip(request)
 	if err != nil && !connected.Load() {
 		c.notSent.Inc(1)
@@ -172,11 +169,11 @@
 	}
 	return &Response{
 		Status:    answer.StatusCode,
-		Header:    endToEnd(answer.Header),
+		Header:    endToEndHeader(answer.Header),
 		Length:    answer.ContentLength,
 		Delimited: delimited(r.Method, answer),
 		Rate:      btrate.ParseAdvertisement(answer.Header[HeaderRate]),
-		Body:      &body{from: answer.Body, lost: c.lost},
+		Body:      &responseBody{source: answer.Body, lost: c.lost},
 	}, nil
 }
 
@@ -192,11 +189,11 @@
 	return false
 }
 
-// request builds a request that net/http never sends again by itself. It does
-// that, on a connection that breaks, to requests that look repeatable and
-// whose body it can rewind. None here can be rewound, and none carries the key
-// in the spelling that net/http looks for.
-func (c *Client) request(ctx context.Context, r Request) (*http.Request, error) {
+// newRequest builds a request that net/http never retries by itself. When a connection
+// breaks, net/http retries requests that look repeatable and whose body it can rewind.
+// None of these can be rewound, and none carries an idempotency key in the spelling that
+// net/http recognises.
+func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
 		return nil, fmt.Errorf("%w: method %s is not passed on", ErrRequest, r.Method)
 	}
@@ -208,30 +205,30 @@
 		return nil, fmt.Errorf("%w: %w", ErrRequest, err)
 	}
 	if !strings.HasPrefix(r.URI, "//") {
-		// net/http would take such a path for the name of a host.
+		// net/http would parse the start of such a path as a host name.
 		request.URL = c.exactURL(r.URI)
 	}
 	if r.Host != "" {
 		request.Host = r.Host
 	}
-	request.Header = outgoing(r.Header)
+	request.Header = requestHeader(r.Header)
 	request.GetBody = nil
 	switch {
 	case len(r.Body) > 0:
 		request.Body = io.NopCloser(bytes.NewReader(r.Body))
 		request.ContentLength = int64(len(r.Body))
-	case looksRepeatable(r.Method):
-		// net/http finds out that this is empty, and sends no body, but takes it
-		// for one that can't be rewound.
-		request.Body = io.NopCloser(eof{})
+	case replayableMethod(r.Method):
+		// net/http detects that this is empty and sends no body, but treats it as a body
+		// that can't be rewound.
+		request.Body = io.NopCloser(emptyReader{})
 	default:
 		request.Body = http.NoBody
 	}
 	return request, nil
 }
 
-// exactURL returns a URL that is written byte for byte as the caller sent it;
-// parsing would respell characters that callers leave unescaped.
+// exactURL returns a URL that is written byte for byte as the caller sent it. Parsing
+// would change the escaping of characters that callers may leave unescaped.
 func (c *Client) exactURL(uri string) *url.URL {
 	path, query, found := strings.Cut(uri, "?")
 	return &url.URL{
@@ -243,23 +240,23 @@
 	}
 }
 
-func looksRepeatable(method string) bool {
+func replayableMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-type eof struct{}
+type emptyReader struct{}
 
-func (eof) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-// body converts the errors of an answer's body.
-type body struct {
-	from io.ReadCloser
-	lost metrics.Counter
+// responseBody maps the errors of an answer's body.
+type responseBody struct {
+	source io.ReadCloser
+	lost   metrics.Counter
 }
 
 // Read reads from the target. The error is io.EOF or wraps ErrLost.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.source.Read(p)
 	if err == nil || err == io.EOF {
 		return n, err
 	}
@@ -269,9 +266,10 @@
 	return n, fmt.Errorf("%w: answer: %w", ErrLost, err)
 }
 
-// Close ends the exchange; before the body's end it cancels it at the target.
-func (b *body) Close() error {
-	if err := b.from.Close(); err != nil {
+// Close ends the exchange. Before the end of the body it cancels the request at the
+// target.
+func (b *responseBody) Close() error {
+	if err := b.source.Close(); err != nil {
 		return fmt.Errorf("%w: close: %w", ErrLost, err)
 	}
 	return nil
--- a/io/bttarget/engine.go
+++ b/io/bttarget/engine.go
@@ -25,21 +25,21 @@
 	contentJSON       = "application/json"
 )
 
-// Load is what an engine says of itself; it lags.
+// Load is the load that an engine reports, with some delay.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	// KVUsed is the share of cache memory in use, 0 to 1.
 	KVUsed float64 `json:"kv_used"`
 	Steps  uint64  `json:"steps"`
-	// StepMillis is the time of a step in milliseconds.
+	// StepMillis is the duration of a step in milliseconds.
 	StepMillis float64 `json:"step_ms"`
 }
 
-// StepTime returns the time of a step.
-func (l Load) StepTime() time.Duration { return millis(l.StepMillis) }
+// StepTime returns the duration of a step.
+func (l Load) StepTime() time.Duration { return fromMillis(l.StepMillis) }
 
-// Validate reports a load that can't be one.
+// Validate returns an error if a value is out of range.
 func (l Load) Validate() error {
 	if l.Running < 0 || l.Waiting < 0 || l.StepMillis < 0 || !(l.KVUsed >= 0 && l.KVUsed <= 1) {
 		return fmt.Errorf("load out of range: %+v", l)
@@ -47,18 +47,18 @@
 	return nil
 }
 
-// CacheOp tells what happened to a cached prefix.
+// CacheOp is the kind of a cache event.
 type CacheOp string
 
 const (
-	// Stored prefixes are in the cache from now on.
+	// Stored means that the prefix is now in the cache.
 	Stored CacheOp = "stored"
-	// Evicted prefixes are not any more.
+	// Evicted means that the prefix is no longer in the cache.
 	Evicted CacheOp = "evicted"
 )
 
-// CacheEvent is one change of an engine's prefix cache. Events come late, and
-// a gap between two sequence numbers is one in the engine's own report.
+// CacheEvent is a change of an engine's prefix cache. Events are delayed, and a gap in
+// the sequence numbers means that the engine missed reporting some.
 type CacheEvent struct {
 	Sequence uint64          `json:"seq"`
 	Op       CacheOp         `json:"op"`
@@ -69,7 +69,7 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// Validate reports an event that can't be one.
+// Validate returns an error if an event has an unknown kind.
 func (c cacheEvents) Validate() error {
 	for i, e := range c.Events {
 		if e.Op != Stored && e.Op != Evicted {
@@ -79,12 +79,12 @@
 	return nil
 }
 
-// Op names an order.
+// Op is the kind of an order.
 type Op string
 
-// The orders of a group member. Stage loads a map's weights and changes no
-// step. Engines with a barrier then take Arm, Commit and Abort; the others
-// Pause, Switch and Resume.
+// The orders for a group member. Stage loads the weights of a map and changes no step.
+// Engines with a barrier then accept Arm, Commit and Abort; the others Pause, Switch and
+// Resume.
 const (
 	Stage  Op = "stage"
 	Arm    Op = "arm"
@@ -95,16 +95,16 @@
 	Resume Op = "resume"
 )
 
-// Order is one order to the target. Whether the target checks the fencing
-// number differs; safety must not rest on it.
+// Order is an order for the target. Not every target checks the fencing number; safety
+// must not depend on it.
 type Order struct {
 	Fencing uint64 `json:"fencing"`
 	Op      Op     `json:"op"`
-	// Version names the staging of a map that the order is about. Engines
-	// compare it and read nothing from it.
+	// Version identifies the staged map that the order is about. Engines only compare
+	// it.
 	Version string `json:"version,omitempty"`
-	// Ranks and Map come with a Stage: the targets that step together, by rank,
-	// and the expert map as compact JSON.
+	// Ranks and Map are set for Stage: the targets that step together, by rank, and the
+	// expert map as compact JSON.
 	Ranks []btid.Target   `json:"ranks,omitempty"`
 	Map   json.RawMessage `json:"map,omitempty"`
 }
@@ -115,69 +115,69 @@
 
 func (fencing) Validate() error { return nil }
 
-// GroupState is what an engine knows of its place in a group.
+// GroupState is an engine's state as a member of a group.
 type GroupState struct {
-	// MapVersion names the map of the current step, empty for none.
+	// MapVersion is the map of the current step; empty if there is none.
 	MapVersion string `json:"map_version"`
-	// StagedVersion is empty where nothing is staged.
+	// StagedVersion is the staged map; empty if there is none.
 	StagedVersion string `json:"staged_version"`
-	// LoadingVersion is a Stage whose weights are still being loaded.
+	// LoadingVersion is a staged map whose weights are still being loaded.
 	LoadingVersion string `json:"loading_version"`
-	// Held tells that the engine takes no step until it is ordered to go on.
+	// Held reports that the engine runs no step until it is ordered to continue.
 	Held bool `json:"held"`
-	// Fencing is the highest fencing number seen, zero for none.
+	// Fencing is the highest fencing number seen; zero if there is none.
 	Fencing uint64 `json:"fencing"`
-	// Step counts the steps since the engine's start.
+	// Step is the number of steps since the engine started.
 	Step uint64 `json:"step"`
-	// Counts holds, by layer, the tokens that each expert got on this rank since
-	// the engine's start.
+	// Counts holds, by layer, the number of tokens that each expert received on this
+	// rank since the engine started.
 	Counts [][]uint64 `json:"counts"`
 	// StepMillis is this rank's own part of a step in milliseconds.
 	StepMillis float64 `json:"step_ms"`
-	// GroupStepMillis is the whole group's step in milliseconds, zero where the
-	// engine doesn't tell.
+	// GroupStepMillis is the duration of the whole group's step in milliseconds; zero if
+	// the engine doesn't report it.
 	GroupStepMillis float64 `json:"group_step_ms"`
 }
 
 // StepTime returns this rank's own part of a step.
-func (g GroupState) StepTime() time.Duration { return millis(g.StepMillis) }
+func (g GroupState) StepTime() time.Duration { return fromMillis(g.StepMillis) }
 
-// GroupStepTime returns the whole group's step, zero where unknown.
-func (g GroupState) GroupStepTime() time.Duration { return millis(g.GroupStepMillis) }
+// GroupStepTime returns the duration of the whole group's step; zero if unknown.
+func (g GroupState) GroupStepTime() time.Duration { return fromMillis(g.GroupStepMillis) }
 
-// longestStep is the longest step believed, in milliseconds.
-const longestStep = 3.6e6
+// maxStepMillis is the longest step accepted as valid, in milliseconds.
+const maxStepMillis = 3.6e6
 
-// Validate reports a state that can't be one.
+// Validate returns an error if a step time is out of range.
 func (g GroupState) Validate() error {
 	for _, ms := range []float64{g.StepMillis, g.GroupStepMillis} {
-		if !(ms >= 0 && ms <= longestStep) {
+		if !(ms >= 0 && ms <= maxStepMillis) {
 			return fmt.Errorf("step of %v ms", ms)
 		}
 	}
 	return nil
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Load reads the engine's load. Errors: ErrNotSent, ErrLost, ErrStatus,
-// ErrMalformed, ErrTooLarge.
+// Load reads the engine's load. Errors: ErrNotSent, ErrLost, ErrStatus, ErrMalformed,
+// ErrTooLarge.
 func (c *Client) Load(ctx context.Context) (Load, error) { return get[Load](ctx, c, uriLoad) }
 
-// CacheEvents reads the changes of the prefix cache after a sequence number.
-// Errors are those of Load.
+// CacheEvents reads the changes of the prefix cache after a sequence number. Errors are
+// those of Load.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	answer, err := get[cacheEvents](ctx, c, uriCacheEvents+strconv.FormatUint(after, 10))
 	return answer.Events, err
 }
 
-// Group reads the engine's place in its group. Errors are those of Load.
+// Group reads the engine's state as a group member. Errors are those of Load.
 func (c *Client) Group(ctx context.Context) (GroupState, error) {
 	return get[GroupState](ctx, c, uriGroup)
 }
 
-// GroupMap reads the map in use as it came with the Stage; nil where there is
-// none. Errors are those of Load.
+// GroupMap reads the map in use as it was sent with Stage; nil if there is none. Errors
+// are those of Load.
 func (c *Client) GroupMap(ctx context.Context) ([]byte, error) {
 	response, err := c.Do(ctx, Request{Method: http.MethodGet, URI: uriGroupMap})
 	if err != nil {
@@ -193,16 +193,16 @@
 	return c.read(response, uriGroupMap)
 }
 
-// Fencing reads the highest fencing number that the target has seen. Errors
-// are those of Load.
+// Fencing reads the highest fencing number that the target has seen. Errors are those of
+// Load.
 func (c *Client) Fencing(ctx context.Context) (uint64, error) {
 	answer, err := get[fencing](ctx, c, uriOrders)
 	return answer.Fencing, err
 }
 
-// Order gives the target an order, once. Errors are those of Load, ErrRefused
-// and *FencedError; the last two and ErrNotSent prove that the order is not and
-// will not be carried out. After any other it may be.
+// Order sends the target an order, once. Errors are those of Load, ErrRefused and
+// *FencedError. The last two and ErrNotSent prove that the order is not and will not be
+// carried out; after any other it may be.
 func (c *Client) Order(ctx context.Context, o Order) error {
 	data, err := json.Marshal(o)
 	if err != nil {
@@ -227,8 +227,8 @@
 	return expectOK(response, uriOrders)
 }
 
-// ResumeRequest returns the request that continues a stream of the engine after
-// so many events.
+// ResumeRequest returns the request that continues an engine's stream after that many
+// events.
 func ResumeRequest(id btid.Request, after uint64) Request {
 	uri := uriStreams + id.String() + "?after=" + strconv.FormatUint(after, 10)
 	return Request{Method: http.MethodGet, URI: uri}
@@ -269,7 +269,7 @@
 	return value, nil
 }
 
-// read returns the whole body up to the limit.
+// read returns the whole body, up to the size limit.
 func (c *Client) read(response *Response, uri string) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(response.Body, c.options.MaxAnswerBytes+1))
 	if err != nil {
--- a/io/bttarget/header.go
+++ b/io/bttarget/header.go
@@ -13,25 +13,25 @@
 	headerHost           = "Host"
 	headerLength         = "Content-Length"
 
-	// sentIdempotencyKey and its kin are the spellings in which the fields go
-	// out. Names of fields are the same in any case, but net/http takes only
-	// the canonical spelling as leave to send a request again.
-	sentIdempotencyKey  = "idempotency-key"
-	sentXIdempotencyKey = "x-idempotency-key"
+	// lowerIdempotencyKey and lowerXIdempotencyKey are the spellings in which the keys
+	// are sent. Field names are case-insensitive, but net/http retries requests by
+	// itself only if it finds the canonical spelling.
+	lowerIdempotencyKey  = "idempotency-key"
+	lowerXIdempotencyKey = "x-idempotency-key"
 )
 
-// HeaderRate has how many requests a second a target takes of all callers together, a
-// decimal number, in all of its answers for as long as that holds.
+// HeaderRate is how many requests per second, from all callers together, a target
+// accepts: a decimal number, present in all its answers while it applies.
 const HeaderRate = "X-Request-Rate"
 
-// hopByHop lists the fields that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopFields lists the fields that concern one connection only (RFC 9110, 7.6.1).
+var hopByHopFields = []string{
 	headerConnection, "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns a copy without the fields that concern one connection only.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeader returns a copy without the fields that concern one connection only.
+func endToEndHeader(h http.Header) http.Header {
 	clone := h.Clone()
 	if clone == nil {
 		clone = http.Header{}
@@ -41,27 +41,27 @@
 			clone.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopFields {
 		clone.Del(name)
 	}
 	return clone
 }
 
-// outgoing returns the fields as they are handed to net/http.
-func outgoing(h http.Header) http.Header {
-	clone := endToEnd(h)
+// requestHeader returns the header as it is passed to net/http.
+func requestHeader(h http.Header) http.Header {
+	clone := endToEndHeader(h)
 	clone.Del(headerHost)
 	clone.Del(headerLength)
-	respell(clone, headerIdempotencyKey, sentIdempotencyKey)
-	respell(clone, "X-Idempotency-Key", sentXIdempotencyKey)
+	renameField(clone, headerIdempotencyKey, lowerIdempotencyKey)
+	renameField(clone, "X-Idempotency-Key", lowerXIdempotencyKey)
 	if _, found := clone[headerUserAgent]; !found {
-		// An empty value keeps net/http from naming itself.
+		// An empty value keeps net/http from adding its own.
 		clone[headerUserAgent] = []string{""}
 	}
 	return clone
 }
 
-func respell(h http.Header, canonical, sent string) {
+func renameField(h http.Header, canonical, sent string) {
 	if values, found := h[canonical]; found {
 		delete(h, canonical)
 		h[sent] = values
--- a/io/bttarget/refused_test.go
+++ b/io/bttarget/refused_test.go
@@ -13,16 +13,17 @@
 	"bilberrytide/io/bttarget"
 )
 
-// A target that cuts an answer and one that ends under it break off alike; the host of
-// the one that has ended refuses connections.
-func TestATargetThatHasEndedIsTold(t *testing.T) {
-	// At an address of its own, so that no other test's server gets the port.
+// TestCrashedTargetRefusesConnections: a target that only cuts an answer and one that
+// crashes close the connection alike; only after a crash does the host refuse
+// connections.
+func TestCrashedTargetRefusesConnections(t *testing.T) {
+	// Its own address keeps the server of another test from getting the port.
 	listener, err := net.Listen("tcp", "127.0.0.12:0")
 	assert.NilError(t, err)
 	server := &httptest.Server{Listener: listener, Config: &http.Server{}}
 	server.Config.Handler = http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/ends" {
-			// A listener is closed once only.
+			// A listener is closed only once.
 			_ = server.Listener.Close()
 		}
 		panic(http.ErrAbortHandler)
@@ -38,8 +39,9 @@
 	}
 }
 
-// A caller that leaves ends the connection from this side.
-func TestACallerThatLeavesBreaksNothingOff(t *testing.T) {
+// TestCancelledRequestIsNotClosedByTarget: a caller that disconnects closes the
+// connection from this side, which must not count as a crash.
+func TestCancelledRequestIsNotClosedByTarget(t *testing.T) {
 	arrived := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
