--- a/io/bthttp/answer.go
+++ b/io/bthttp/answer.go
@@ -12,16 +12,17 @@
 	"bilberrytide/core/btrequest"
 )
 
-// ErrCallerGone means that the caller is gone: nothing more can be written to it.
+// ErrCallerGone means that the caller has disconnected and nothing more can be written
+// to it.
 var ErrCallerGone = errors.New("caller is gone")
 
-// wholeBufferBytes is the longest answer that is held until it is whole, so
-// that a shorter one that breaks off can still be retried or refused cleanly.
-const wholeBufferBytes = 1 << 20
+// maxBufferedBytes is the longest answer that is buffered until it is complete, so that
+// a shorter one that is interrupted can still be retried or refused cleanly.
+const maxBufferedBytes = 1 << 20
 
-const eventStream = "text/event-stream"
+const contentEventStream = "text/event-stream"
 
-// Ends of an event, and the field that holds its data.
+// The ends of an event, and the field that holds its data.
 var (
 	eventEnd     = []byte("\n\n")
 	eventEndCRLF = []byte("\r\n\r\n")
@@ -29,69 +30,69 @@
 	dataLine     = []byte("\ndata:")
 )
 
-// lastData is what the last event of an engine's stream holds.
-const lastData = "[DONE]"
+// doneMarker is the data of the last event of an engine's stream.
+const doneMarker = "[DONE]"
 
-// Answer writes one answer to the caller. A plain answer of up to a megabyte is
-// held until it is whole; a longer one and a stream of events are passed on as
-// they come, events only when complete, so that another attempt can go on
-// where this one broke off.
+// Answer writes one answer to the caller. A plain answer of up to maxBufferedBytes is
+// buffered until it is complete. A longer one and a stream of events are passed on as
+// they arrive, events only when complete, so that another attempt can continue after the
+// last one.
 type Answer struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	table   StatusTable
 
-	status int
-	events bool
-	// bodiless tells that the answer has fields about a body, but none follows.
-	bodiless bool
-	held     bytes.Buffer
-	// searched is how many held bytes have no end of an event in them.
-	searched int
-	started  bool
-	count    uint64
-	// broken tells that a part of an event went out, as it was too long to hold.
-	broken bool
-	// ended tells that the last event of an engine's stream went out.
-	ended bool
+	status    int
+	streaming bool
+	// noBody reports that no body follows, although the header may describe one.
+	noBody bool
+	buffer bytes.Buffer
+	// scanned is how many buffered bytes are known to contain no end of an event.
+	scanned    int
+	started    bool
+	eventCount uint64
+	// partialEvent reports that a part of an event was sent because it was too long to
+	// buffer.
+	partialEvent bool
+	// streamEnded reports that the last event of an engine's stream was sent.
+	streamEnded bool
 }
 
-// NewAnswer returns the answer to the caller behind w, who asked with the
-// method.
+// NewAnswer returns an answer to a request with the method, written to w.
 func NewAnswer(w http.ResponseWriter, method string, table StatusTable) *Answer {
-	return &Answer{w: w, control: http.NewResponseController(w), table: table, bodiless: method == http.MethodHead}
+	return &Answer{w: w, control: http.NewResponseController(w), table: table, noBody: method == http.MethodHead}
 }
 
-// SetReadDeadline bounds the reading of the request's body; the zero time takes
-// the bound away. It must be taken away before the answer, as the server's watch
-// for a caller that goes away would take its end for that.
+// SetReadDeadline limits the reading of the request's body; the zero time removes the
+// limit. It must be removed before the answer, or the server, which reads on to detect
+// that the caller disconnects, would take the deadline for a disconnect.
 func (a *Answer) SetReadDeadline(t time.Time) { _ = a.control.SetReadDeadline(t) }
 
-// SetWriteDeadline bounds the writing of the answer, so that a caller that
-// reads nothing holds no request for ever.
+// SetWriteDeadline limits the writing of the answer, so that a caller that doesn't read
+// it can't hold the request for ever.
 func (a *Answer) SetWriteDeadline(t time.Time) { _ = a.control.SetWriteDeadline(t) }
 
-// Started tells whether any part of the answer went out.
+// Started reports whether any part of the answer was sent.
 func (a *Answer) Started() bool { return a.started }
 
-// Events returns how many complete events went out.
-func (a *Answer) Events() uint64 { return a.count }
+// Events returns how many complete events were sent.
+func (a *Answer) Events() uint64 { return a.eventCount }
 
-// Streaming tells whether the answer is a stream of events.
-func (a *Answer) Streaming() bool { return a.events }
+// Streaming reports whether the answer is a stream of events.
+func (a *Answer) Streaming() bool { return a.streaming }
 
-// Resumable tells whether another attempt can go on after the events that went
-// out.
-func (a *Answer) Resumable() bool { return a.events && a.count > 0 && !a.broken }
+// Resumable reports whether another attempt can continue after the events that were
+// sent.
+func (a *Answer) Resumable() bool { return a.streaming && a.eventCount > 0 && !a.partialEvent }
 
-// StreamEnded tells whether the last event of an engine's stream was added.
-func (a *Answer) StreamEnded() bool { return a.ended || isLast(a.held.Bytes()) }
+// StreamEnded reports whether the last event of an engine's stream was added.
+func (a *Answer) StreamEnded() bool { return a.streamEnded || isLastEvent(a.buffer.Bytes()) }
 
-// Begin takes the head of an attempt's answer and forgets what an earlier
-// attempt left incomplete.
+// Begin sets the head of an attempt's answer and discards what an earlier attempt left
+// incomplete.
 func (a *Answer) Begin(status int, header http.Header) {
-	a.held.Reset()
-	a.searched = 0
+	a.buffer.Reset()
+	a.scanned = 0
 	if a.started {
 		return
 	}
@@ -101,60 +102,60 @@
 	for name, values := range ForwardedAnswerHeader(header) {
 		h[name] = values
 	}
-	if !a.bodiless && status != http.StatusNotModified {
+	if !a.noBody && status != http.StatusNotModified {
 		h.Del("Content-Length")
 	}
 	if len(h["Content-Type"]) == 0 {
-		// An empty value keeps net/http from guessing one.
+		// An empty value keeps net/http from detecting one.
 		h["Content-Type"] = nil
 	}
-	a.events = hasEventStreamType(header)
+	a.streaming = hasEventStreamType(header)
 }
 
-// IsEventStream tells whether an answer is a stream of events.
+// IsEventStream reports whether an answer is a stream of events.
 func IsEventStream(status int, header http.Header) bool {
 	return status == http.StatusOK && hasEventStreamType(header)
 }
 
 func hasEventStreamType(header http.Header) bool {
 	media, _, err := mime.ParseMediaType(header.Get("Content-Type"))
-	return err == nil && media == eventStream
+	return err == nil && media == contentEventStream
 }
 
-// Add takes the next bytes. The error wraps ErrCaller.
+// Add adds data to the body. The error wraps ErrCallerGone.
 func (a *Answer) Add(data []byte) error {
-	a.held.Write(data)
-	if a.events {
-		if err := a.passEvents(); err != nil {
+	a.buffer.Write(data)
+	if a.streaming {
+		if err := a.flushEvents(); err != nil {
 			return err
 		}
-		if a.held.Len() <= wholeBufferBytes {
+		if a.buffer.Len() <= maxBufferedBytes {
 			return nil
 		}
-		a.broken = true
-		a.searched = 0
+		a.partialEvent = true
+		a.scanned = 0
 	}
-	if a.started || a.held.Len() > wholeBufferBytes {
-		return a.pass(a.held.Len())
+	if a.started || a.buffer.Len() > maxBufferedBytes {
+		return a.flush(a.buffer.Len())
 	}
 	return nil
 }
 
-// Finish ends an answer that is complete and checked.
+// Finish sends the rest of an answer that is complete and checked.
 func (a *Answer) Finish() error {
 	if !a.started {
-		a.writeHead()
+		a.writeCompleteHead()
 	}
-	err := a.pass(a.held.Len())
+	err := a.flush(a.buffer.Len())
 	a.w.Header().Set(HeaderOutcome, string(btrequest.Done))
 	return err
 }
 
-// writeHead writes the head of an answer whose body is held.
-func (a *Answer) writeHead() {
+// writeCompleteHead writes the head of an answer whose body is completely buffered.
+func (a *Answer) writeCompleteHead() {
 	h := a.w.Header()
-	if !a.bodiless && bodyAllowed(a.status) {
-		h.Set("Content-Length", strconv.Itoa(a.held.Len()))
+	if !a.noBody && bodyAllowed(a.status) {
+		h.Set("Content-Length", strconv.Itoa(a.buffer.Len()))
 	}
 	h.Set(HeaderOutcome, string(btrequest.Done))
 	a.w.WriteHeader(a.status)
@@ -165,10 +166,9 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// Fail ends the answer with a refusal. Where parts of it went out already, the
-// caller's connection is broken off after an error event, so that no client can
-// take what it has for the whole; it then panics with http.ErrAbortHandler, as
-// net/http asks for.
+// Fail ends the answer with a refusal. If a part of the answer was sent already, it
+// sends an error event and breaks the connection by a panic with http.ErrAbortHandler,
+// as net/http requires, so that no client takes the part for the whole.
 func (a *Answer) Fail(f *btrequest.Refusal) {
 	if !a.started {
 		a.clearHeader()
@@ -176,66 +176,66 @@
 		a.table.WriteRefusal(a.w, f)
 		return
 	}
-	if a.broken {
+	if a.partialEvent {
 		_, _ = a.w.Write(eventEnd)
 	}
-	if a.events {
+	if a.streaming {
 		_, _ = fmt.Fprintf(a.w, "event: error\ndata: %s\n", a.table.Body(f))
 		_ = a.control.Flush()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// clearHeader removes what the head of a failed attempt set.
+// clearHeader removes the header fields of a failed attempt.
 func (a *Answer) clearHeader() {
 	h := a.w.Header()
 	for name := range h {
-		if len(name) < len(ownPrefix) || name[:len(ownPrefix)] != ownPrefix {
+		if len(name) < len(headerPrefix) || name[:len(headerPrefix)] != headerPrefix {
 			delete(h, name)
 		}
 	}
 }
 
-// passEvents passes on the complete events among the held bytes.
-func (a *Answer) passEvents() error {
-	held := a.held.Bytes()
+// flushEvents sends the complete events in the buffer.
+func (a *Answer) flushEvents() error {
+	buffered := a.buffer.Bytes()
 	size := 0
-	for from := a.searched; ; from = size {
-		end := endOfEvent(held[from:])
+	for from := a.scanned; ; from = size {
+		end := endOfEvent(buffered[from:])
 		if end < 0 {
 			break
 		}
-		a.take(held[size : from+end])
+		a.countEvent(buffered[size : from+end])
 		size = from + end
 	}
-	// An end may lie across this piece and the next.
-	a.searched = max(0, len(held)-size-len(eventEndCRLF)+1)
+	// The end of an event may lie across this piece and the next.
+	a.scanned = max(0, len(buffered)-size-len(eventEndCRLF)+1)
 	if size == 0 {
 		return nil
 	}
-	return a.pass(size)
+	return a.flush(size)
 }
 
-// take notes a complete event.
-func (a *Answer) take(event []byte) {
+// countEvent counts a complete event.
+func (a *Answer) countEvent(event []byte) {
 	if isEvent(event) {
-		a.count++
-		a.ended = isLast(event)
+		a.eventCount++
+		a.streamEnded = isLastEvent(event)
 	}
 }
 
-// isEvent tells an event from a comment, such as those that keep a connection
-// open.
+// isEvent reports whether this is an event and not a comment, such as those that keep a
+// connection open.
 func isEvent(event []byte) bool {
 	return bytes.HasPrefix(event, dataField) || bytes.Contains(event, dataLine)
 }
 
-func isLast(event []byte) bool {
+func isLastEvent(event []byte) bool {
 	data, found := bytes.CutPrefix(bytes.TrimSpace(event), dataField)
-	return found && string(bytes.TrimSpace(data)) == lastData
+	return found && string(bytes.TrimSpace(data)) == doneMarker
 }
 
-// endOfEvent returns where the first event ends, -1 where none is complete.
+// endOfEvent returns the index after the first event, -1 if none is complete.
 func endOfEvent(data []byte) int {
 	end := bytes.Index(data, eventEnd)
 	if end >= 0 {
@@ -251,14 +251,14 @@
 	return end
 }
 
-// pass writes the first size held bytes at once.
-func (a *Answer) pass(size int) error {
+// flush sends the first size bytes of the buffer.
+func (a *Answer) flush(size int) error {
 	if !a.started {
 		a.w.Header().Set("Trailer", HeaderOutcome)
 		a.w.WriteHeader(a.status)
 		a.started = true
 	}
-	if _, err := a.w.Write(a.held.Next(size)); err != nil {
+	if _, err := a.w.Write(a.buffer.Next(size)); err != nil {
 		return fmt.Errorf("%w: %w", ErrCallerGone, err)
 	}
 	if err := a.control.Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
--- a/io/bthttp/body.go
+++ b/io/bthttp/body.go
@@ -12,70 +12,69 @@
 )
 
 const (
-	// MaxBodyBytes is the largest body of a request in bytes, whatever a bundle
-	// allows: with its header it has to fit into one message between processes.
+	// MaxBodyBytes is the largest body of a request, whatever a bundle allows: with its
+	// header it must fit into one message between processes.
 	MaxBodyBytes = 15 << 20
-	// MaxCompletionBodyBytes is the largest body of a chat completion in bytes; it
-	// has to be read before its service is known.
+	// MaxCompletionBodyBytes is the largest body of a chat completion, which must be
+	// read before its service is known.
 	MaxCompletionBodyBytes = 8 << 20
-	// DefaultBodyBudgetBytes is how many bytes of bodies one process holds at a time.
+	// DefaultBodyBudgetBytes is the memory for request bodies in one process.
 	DefaultBodyBudgetBytes = 64 << 20
 
-	// firstBodyBytes is the most that a stated length alone can claim; a buffer
-	// grows as the bytes that it was promised arrive.
-	firstBodyBytes = 32 << 10
-	// minBodyBytes is the first buffer of a body whose length isn't stated.
-	minBodyBytes = 512
-	// bodyCutBackoff is when a caller whose body broke off should send it again.
-	bodyCutBackoff = time.Second
-	// bodyRoomBackoff is when a caller should come back after there was no room
-	// for its body.
-	bodyRoomBackoff = time.Second
+	// maxInitialBuffer is the largest buffer allocated for a declared length before any
+	// data arrives; it then grows with the data.
+	maxInitialBuffer = 32 << 10
+	// defaultInitialBuffer is the initial buffer of a body without a declared length.
+	defaultInitialBuffer = 512
+	// bodyCutRetryAfter is the Retry-After if the body was interrupted.
+	bodyCutRetryAfter = time.Second
+	// bodyRoomRetryAfter is the Retry-After if the budget was exhausted.
+	bodyRoomRetryAfter = time.Second
 )
 
-// BodyBudget bounds the memory that request bodies take in one process. It is safe
-// for concurrent use.
+// BodyBudget limits the memory for request bodies in one process. It is safe for
+// concurrent use.
 type BodyBudget struct {
 	limit int64
-	held  atomic.Int64
+	inUse atomic.Int64
 }
 
-// NewBodyBudget returns room for that many bytes.
+// NewBodyBudget returns a budget of limit bytes.
 func NewBodyBudget(limit int64) *BodyBudget { return &BodyBudget{limit: limit} }
 
-// InUse returns how many bytes are taken.
-func (b *BodyBudget) InUse() int64 { return b.held.Load() }
+// InUse returns how many bytes are in use.
+func (b *BodyBudget) InUse() int64 { return b.inUse.Load() }
 
-// take takes room, or returns false where there is not enough.
-func (b *BodyBudget) take(size int64) bool {
+// acquire takes size bytes from the budget, or returns false if too few are left.
+func (b *BodyBudget) acquire(size int64) bool {
 	for {
-		held := b.held.Load()
-		if held+size > b.limit {
+		inUse := b.inUse.Load()
+		if inUse+size > b.limit {
 			return false
 		}
-		if b.held.CompareAndSwap(held, held+size) {
+		if b.inUse.CompareAndSwap(inUse, inUse+size) {
 			return true
 		}
 	}
 }
 
-func (b *BodyBudget) give(size int64) { b.held.Add(-size) }
+func (b *BodyBudget) release(size int64) { b.inUse.Add(-size) }
 
-// errNoRoom means that the process holds as many bodies as it may.
-var errNoRoom = errors.New("no room")
+// errBodyBudget means that the budget is exhausted.
+var errBodyBudget = errors.New("no room")
 
-// readBody reads a body of up to limit bytes. Release gives its room back.
-func (c *Call) readBody(r *http.Request, bodies *BodyBudget, limit int64) *btrequest.Refusal {
+// readBody reads a body of up to limit bytes. Release returns its memory to the budget.
+func (c *Call) readBody(r *http.Request, budget *BodyBudget, limit int64) *btrequest.Refusal {
 	if r.ContentLength > limit {
 		return bodyTooBig(limit)
 	}
-	c.bodies = bodies
+	c.budget = budget
 	err := c.fill(r.Body, r.ContentLength, limit)
 	switch {
-	case errors.Is(err, errNoRoom):
-		return btrequest.Refuse(ReasonBodyRoom, bodyRoomBackoff, "this entry holds as many request bodies as it has room for")
+	case errors.Is(err, errBodyBudget):
+		return btrequest.Refuse(ReasonBodyRoom, bodyRoomRetryAfter, "this entry holds as many request bodies as it has room for")
 	case err != nil:
-		return btrequest.Refuse(ReasonBodyCut, bodyCutBackoff, "request body broke off after %d bytes: %v", len(c.Body), bodyError(err))
+		return btrequest.Refuse(ReasonBodyCut, bodyCutRetryAfter, "request body broke off after %d bytes: %v", len(c.Body), bodyError(err))
 	case int64(len(c.Body)) > limit:
 		return bodyTooBig(limit)
 	}
@@ -83,14 +82,14 @@
 }
 
 // fill reads until the end, or one byte past the limit.
-func (c *Call) fill(from io.Reader, stated, limit int64) error {
+func (c *Call) fill(source io.Reader, declared, limit int64) error {
 	for int64(len(c.Body)) <= limit {
 		if len(c.Body) == cap(c.Body) {
-			if err := c.grow(stated, limit); err != nil {
+			if err := c.grow(declared, limit); err != nil {
 				return err
 			}
 		}
-		n, err := from.Read(c.Body[len(c.Body):cap(c.Body)])
+		n, err := source.Read(c.Body[len(c.Body):cap(c.Body)])
 		c.Body = c.Body[:len(c.Body)+n]
 		if err == io.EOF {
 			return nil
@@ -102,32 +101,33 @@
 	return nil
 }
 
-// grow takes room for a larger buffer. One byte more than the body's length lets
-// the end be read without another.
-func (c *Call) grow(stated, limit int64) error {
-	size := min(stated+1, firstBodyBytes)
-	if stated < 0 {
-		size = minBodyBytes
+// grow allocates a larger buffer from the budget. One byte more than the declared length
+// lets the end be read without growing again.
+func (c *Call) grow(declared, limit int64) error {
+	size := min(declared+1, maxInitialBuffer)
+	if declared < 0 {
+		size = defaultInitialBuffer
 	}
 	if have := int64(cap(c.Body)); have > 0 {
 		size = 2 * have
 	}
 	size = min(size, limit+1)
-	if !c.bodies.take(size - c.taken) {
-		return errNoRoom
+	if !c.budget.acquire(size - c.bufferBytes) {
+		return errBodyBudget
 	}
-	c.taken = size
+	c.bufferBytes = size
 	larger := make([]byte, len(c.Body), size)
 	copy(larger, c.Body)
 	c.Body = larger
 	return nil
 }
 
-// Release gives back the room that the body took. It is not used after that.
+// Release returns the memory of the body to the budget. The body must not be used
+// afterwards.
 func (c *Call) Release() {
-	if c.bodies != nil {
-		c.bodies.give(c.taken)
-		c.taken = 0
+	if c.budget != nil {
+		c.budget.release(c.bufferBytes)
+		c.bufferBytes = 0
 	}
 }
 
--- a/io/bthttp/bthttp_test.go
+++ b/io/bthttp/bthttp_test.go
@@ -13,11 +13,11 @@
 	"bilberrytide/io/bthttp"
 )
 
-// TestBodiesAreBounded: all bodies together take no more room than there is,
-// whatever their lengths claim, and give it back.
-func TestBodiesAreBounded(t *testing.T) {
+// TestBodyBudgetIsRespected: all bodies together use no more than the budget, whatever
+// lengths they declare, and return it.
+func TestBodyBudgetIsRespected(t *testing.T) {
 	const room = 64 << 10
-	bodies := bthttp.NewBodyBudget(room)
+	budget := bthttp.NewBodyBudget(room)
 	var calls []*bthttp.Call
 	read := func(size int, stated int64) *btrequest.Refusal {
 		request := httptest.NewRequest("PUT", "/services/pages/x", io.LimitReader(zeros{}, int64(size)))
@@ -25,12 +25,12 @@
 		call, refusal := bthttp.ReadHead(request)
 		assert.Assert(t, refusal == nil)
 		calls = append(calls, call)
-		return call.ReadBody(request, bodies, 1<<20)
+		return call.ReadBody(request, budget, 1<<20)
 	}
 	assert.Assert(t, read(100, 100) == nil)
-	assert.Equal(t, bodies.InUse(), int64(101))
+	assert.Equal(t, budget.InUse(), int64(101))
 	assert.Assert(t, read(0, 1<<20) == nil)
-	assert.Assert(t, bodies.InUse() < room)
+	assert.Assert(t, budget.InUse() < room)
 	refused := 0
 	for range 20 {
 		if f := read(9000, -1); f != nil {
@@ -39,14 +39,14 @@
 			assert.Assert(t, f.RetryAfter > 0)
 			refused++
 		}
-		assert.Assert(t, bodies.InUse() <= room)
+		assert.Assert(t, budget.InUse() <= room)
 	}
 	assert.Assert(t, refused > 0 && refused < 20, "%d refused", refused)
 	for _, c := range calls {
 		c.Release()
 		c.Release()
 	}
-	assert.Equal(t, bodies.InUse(), int64(0))
+	assert.Equal(t, budget.InUse(), int64(0))
 }
 
 type zeros struct{}
@@ -56,9 +56,9 @@
 	return len(p), nil
 }
 
-// TestAnotherAttempt: nothing of a failed attempt's head is left in the next
-// one's answer.
-func TestAnotherAttempt(t *testing.T) {
+// TestNewAttemptReplacesBufferedAnswer: nothing of a failed attempt's answer remains in
+// the next one's.
+func TestNewAttemptReplacesBufferedAnswer(t *testing.T) {
 	w := httptest.NewRecorder()
 	a := bthttp.NewAnswer(w, "GET", nil)
 	a.Begin(http.StatusOK, http.Header{"X-First": {"1"}, "Content-Type": {"text/plain"}})
@@ -72,8 +72,9 @@
 	assert.Equal(t, w.Header().Get("X-Second"), "2")
 }
 
-// TestEvents: only complete events go out, in any framing, and are counted.
-func TestEvents(t *testing.T) {
+// TestOnlyCompleteEventsAreSent: only complete events are sent, whatever their line
+// endings and however the data is split, and they are counted.
+func TestOnlyCompleteEventsAreSent(t *testing.T) {
 	for _, c := range []struct {
 		name, in, out string
 		count         uint64
--- a/io/bthttp/call.go
+++ b/io/bthttp/call.go
@@ -11,7 +11,7 @@
 	"bilberrytide/core/btserve"
 )
 
-// Reasons for refusing what a caller sent.
+// Reasons for refusing an invalid request.
 const (
 	ReasonBadPath           btrequest.Reason = "bad_path"
 	ReasonBadMethod         btrequest.Reason = "bad_method"
@@ -25,7 +25,7 @@
 	ReasonBadPriority       btrequest.Reason = "bad_priority"
 )
 
-// Paths that callers use.
+// Paths for callers.
 const (
 	PathCompletions     = "/v1/chat/completions"
 	PathModels          = "/v1/models"
@@ -33,28 +33,28 @@
 	PathServices        = "/services/"
 )
 
-// Call is one request as its caller sent it.
+// Call is a request as the caller sent it.
 type Call struct {
 	Service btid.Service
 	Method  string
-	// Path is path and query as the target is to see them.
+	// Path is the path and query that the target receives.
 	Path string
-	// ChatCompletion tells that this is a chat completion, whose service stands in
+	// ChatCompletion reports that this is a chat completion, whose service is named in
 	// its body.
 	ChatCompletion bool
 	Header         http.Header
 	Body           []byte
 	Key            btrequest.Key
 	Priority       btrequest.Priority
-	// Timeout is what the caller asked for; zero for none.
+	// Timeout is the timeout that the caller asked for; zero if none.
 	Timeout time.Duration
-	// Stream tells that the caller wants server-sent events.
+	// Stream reports that the caller wants server-sent events.
 	Stream bool
-	// Prompt is the text that prefix caching goes by; nil for plain services.
+	// Prompt is the text whose prefixes engines cache; nil for plain services.
 	Prompt []byte
 
-	bodies *BodyBudget
-	taken  int64
+	budget      *BodyBudget
+	bufferBytes int64
 }
 
 // completion is the part of a chat completion that routing needs.
@@ -64,14 +64,13 @@
 	Messages json.RawMessage `json:"messages"`
 }
 
-// ReadHead reads all of a request but its body. A failure is a refusal that
-// names the place.
+// ReadHead reads a request except its body. The refusal says which part is invalid.
 func ReadHead(r *http.Request) (*Call, *btrequest.Refusal) {
 	c := &Call{Method: r.Method, Header: ForwardedRequestHeader(r.Header)}
 	if f := c.readMethod(); f != nil {
 		return nil, f
 	}
-	if f := c.readHeaders(r.Header); f != nil {
+	if f := c.readHeader(r.Header); f != nil {
 		return nil, f
 	}
 	if f := c.readPath(r); f != nil {
@@ -80,16 +79,14 @@
 	return c, nil
 }
 
-// ReadBody reads the body of a request for a plain service, of up to limit
-// bytes.
-func (c *Call) ReadBody(r *http.Request, bodies *BodyBudget, limit int64) *btrequest.Refusal {
-	return c.readBody(r, bodies, min(limit, MaxBodyBytes))
+// ReadBody reads the body of a request for a plain service, of up to limit bytes.
+func (c *Call) ReadBody(r *http.Request, budget *BodyBudget, limit int64) *btrequest.Refusal {
+	return c.readBody(r, budget, min(limit, MaxBodyBytes))
 }
 
-// ReadCompletion reads the body of a chat completion and what routing needs of
-// it.
-func (c *Call) ReadCompletion(r *http.Request, bodies *BodyBudget) *btrequest.Refusal {
-	if f := c.readBody(r, bodies, MaxCompletionBodyBytes); f != nil {
+// ReadCompletion reads the body of a chat completion and what routing needs of it.
+func (c *Call) ReadCompletion(r *http.Request, budget *BodyBudget) *btrequest.Refusal {
+	if f := c.readBody(r, budget, MaxCompletionBodyBytes); f != nil {
 		return f
 	}
 	var body completion
@@ -101,11 +98,11 @@
 	}
 	c.Service = btid.Service(body.Model)
 	c.Stream = body.Stream
-	c.Prompt = promptOf(body.Messages)
+	c.Prompt = promptText(body.Messages)
 	return nil
 }
 
-// CheckSize refuses a body larger than the service allows.
+// CheckSize refuses a body larger than the limit of its service.
 func (c *Call) CheckSize(limit int64) *btrequest.Refusal {
 	if int64(len(c.Body)) > limit {
 		return bodyTooBig(limit)
@@ -123,7 +120,7 @@
 	return nil
 }
 
-func (c *Call) readHeaders(h http.Header) *btrequest.Refusal {
+func (c *Call) readHeader(h http.Header) *btrequest.Refusal {
 	if len(c.Header) > btserve.MaxHeaders {
 		return btrequest.Refuse(ReasonBadHeader, 0, "%d header fields, at most %d", len(c.Header), btserve.MaxHeaders)
 	}
@@ -171,7 +168,7 @@
 	return btrequest.Refuse(ReasonBadPath, 0, "no such path: %s; use %s or %s{service}/…", r.URL.Path, PathCompletions, PathServices)
 }
 
-// rawTarget returns path and query just as the caller sent them.
+// rawTarget returns the path and query exactly as the caller sent them.
 func rawTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
--- a/io/bthttp/headers.go
+++ b/io/bthttp/headers.go
@@ -1,5 +1,5 @@
-// Package bthttp is the caller's side: it reads requests as callers send them,
-// and writes answers, refusals and their headers.
+// Package bthttp is the HTTP interface for callers: it reads their requests, and writes
+// answers, refusals and their headers.
 package bthttp
 
 import (
@@ -11,7 +11,7 @@
 const (
 	// HeaderIdempotencyKey marks a request as not repeatable: it runs at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderTimeout bounds the request: a duration such as "10s".
+	// HeaderTimeout limits the time for the request: a duration such as "10s".
 	HeaderTimeout = "Bilberrytide-Timeout"
 	// HeaderPriority is "low", "normal" or "high".
 	HeaderPriority = "Bilberrytide-Priority"
@@ -19,12 +19,12 @@
 
 // Headers of answers.
 const (
-	// HeaderRequest is the identity of the request, as it stands in logs.
+	// HeaderRequest is the identifier of the request, as it appears in logs.
 	HeaderRequest = "Bilberrytide-Request"
-	// HeaderOutcome is "done", "not_run" or "unknown". A streamed answer has it
-	// as a trailer.
+	// HeaderOutcome is "done", "not_run" or "unknown". A streamed answer has it as a
+	// trailer.
 	HeaderOutcome = "Bilberrytide-Outcome"
-	// HeaderReason names why a request was refused.
+	// HeaderReason is the reason of a refusal.
 	HeaderReason = "Bilberrytide-Reason"
 	// HeaderBundle is the version of the bundle in force.
 	HeaderBundle = "Bilberrytide-Bundle"
@@ -32,42 +32,41 @@
 	HeaderReplayed = "Bilberrytide-Replayed"
 )
 
-// hopHeaders end at this process, by RFC 9110 section 7.6.1.
-var hopHeaders = []string{
+// hopByHopFields lists the fields that concern one connection only (RFC 9110, 7.6.1).
+var hopByHopFields = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownPrefix starts the names of all headers that are this system's own.
-const ownPrefix = "Bilberrytide-"
+// headerPrefix is the prefix of all headers that this system defines.
+const headerPrefix = "Bilberrytide-"
 
-// ForwardedRequestHeader returns the headers that the target is to see: all but those
-// of the connection, the caller's credentials and this system's own.
+// ForwardedRequestHeader returns the header for the target: without the fields of the
+// connection, the caller's credentials and the fields that this system defines.
 func ForwardedRequestHeader(h http.Header) http.Header {
-	out := passed(h)
+	out := forwardedHeader(h)
 	out.Del("Authorization")
 	out.Del("Content-Length")
-	// The server of this process has answered it.
+	// The server of this process has answered it already.
 	out.Del("Expect")
 	return out
 }
 
-// ForwardedAnswerHeader returns the headers of the target's answer that the caller is
-// to see.
-func ForwardedAnswerHeader(h http.Header) http.Header { return passed(h) }
+// ForwardedAnswerHeader returns the header of the target's answer for the caller.
+func ForwardedAnswerHeader(h http.Header) http.Header { return forwardedHeader(h) }
 
-func passed(h http.Header) http.Header {
+func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
 		for name := range strings.SplitSeq(field, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopFields {
 		out.Del(name)
 	}
 	for name := range out {
-		if strings.HasPrefix(name, ownPrefix) {
+		if strings.HasPrefix(name, headerPrefix) {
 			out.Del(name)
 		}
 	}
--- a/io/bthttp/prompt.go
+++ b/io/bthttp/prompt.go
@@ -5,47 +5,48 @@
 	"encoding/json"
 )
 
-// message is the part of a chat message that engines name cached prefixes by.
-type message struct {
-	Role    string  `json:"role"`
-	Content content `json:"content"`
+// chatMessage is the part of a chat message from which engines compute the names of
+// cached prefixes.
+type chatMessage struct {
+	Role    string         `json:"role"`
+	Content messageContent `json:"content"`
 }
 
-// content is a message's text: a string, or a list of parts of which those of
-// type text count.
-type content string
+// messageContent is a message's text: a string, or a list of parts of which only those
+// of type text count.
+type messageContent string
 
-// part is one part of a content that is a list.
-type part struct {
+// contentPart is one part of a content that is a list.
+type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON reads either form. Any other content, such as null, has no text
-// to cache by.
-func (c *content) UnmarshalJSON(data []byte) error {
+// UnmarshalJSON reads either form. Any other content, such as null, has no text to
+// cache.
+func (c *messageContent) UnmarshalJSON(data []byte) error {
 	var text string
 	if json.Unmarshal(data, &text) == nil {
-		*c = content(text)
+		*c = messageContent(text)
 		return nil
 	}
-	var parts []part
+	var parts []contentPart
 	if json.Unmarshal(data, &parts) != nil {
 		return nil
 	}
 	for _, p := range parts {
 		if p.Type == "text" {
-			*c += content(p.Text)
+			*c += messageContent(p.Text)
 		}
 	}
 	return nil
 }
 
-// promptOf returns the text that engines work on, and name cached prefixes by:
-// each message's role, a newline, its content and a newline. Messages that
-// can't be read have none; the engine says what is wrong with them.
-func promptOf(messages json.RawMessage) []byte {
-	var list []message
+// promptText returns the text that engines process and from which they compute the names
+// of cached prefixes: each message's role, a newline, its content and a newline. It is
+// empty if the messages are invalid, which the engine reports.
+func promptText(messages json.RawMessage) []byte {
+	var list []chatMessage
 	if err := json.Unmarshal(messages, &list); err != nil {
 		return nil
 	}
--- a/io/bthttp/prompt_test.go
+++ b/io/bthttp/prompt_test.go
@@ -14,7 +14,7 @@
 	"bilberrytide/io/btstandin"
 )
 
-func promptOf(t *testing.T, body string) string {
+func readPrompt(t *testing.T, body string) string {
 	t.Helper()
 	request := httptest.NewRequest("POST", bthttp.PathCompletions, strings.NewReader(body))
 	call, refusal := bthttp.ReadHead(request)
@@ -24,9 +24,9 @@
 	return string(call.Prompt)
 }
 
-// TestPrefixesAreTheEngines: what an entry looks for in its view of a cache is
-// what the engine's cache events name.
-func TestPrefixesAreTheEngines(t *testing.T) {
+// TestPrefixesMatchThoseOfEngines: the prefixes that an entry looks up in its view of a
+// cache are those in the engine's cache events.
+func TestPrefixesMatchThoseOfEngines(t *testing.T) {
 	request := btstandin.ChatRequest{Model: "m", Messages: []btstandin.ChatMessage{
 		{Role: "system", Content: strings.Repeat("Answer in Danish. ", 40)},
 		{Role: "user", Content: "Æbler & \"pærer\""},
@@ -40,7 +40,7 @@
 		engine = append(engine, btload.EnginePrefixHash(digest))
 	}
 	assert.Assert(t, len(engine) > 1)
-	assert.DeepEqual(t, btload.Prefixes([]byte(promptOf(t, string(body)))), engine)
+	assert.DeepEqual(t, btload.Prefixes([]byte(readPrompt(t, string(body)))), engine)
 }
 
 func TestPromptForms(t *testing.T) {
@@ -50,6 +50,6 @@
 		{`[{"role":"assistant","content":null}]`, "assistant\n\n"},
 		{`"none"`, ""},
 	} {
-		assert.Equal(t, promptOf(t, `{"model":"m","messages":`+c.messages+`}`), c.want)
+		assert.Equal(t, readPrompt(t, `{"model":"m","messages":`+c.messages+`}`), c.want)
 	}
 }
--- a/io/bthttp/refusal.go
+++ b/io/bthttp/refusal.go
@@ -15,7 +15,7 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what became of the request and why.
+// ErrorDetail says whether the request ran and why it failed.
 type ErrorDetail struct {
 	Type    string            `json:"type"`
 	Code    string            `json:"code"`
@@ -24,7 +24,7 @@
 	Reason  btrequest.Reason  `json:"reason"`
 }
 
-// Types of errors, as clients of model services know them.
+// Types of errors, as clients of model services expect them.
 const (
 	typeInvalid        = "invalid_request_error"
 	typeAuthentication = "authentication_error"
@@ -33,12 +33,12 @@
 	typeServer         = "server_error"
 )
 
-// StatusTable gives reasons their HTTP status; reasons that it lacks go by
-// their outcome.
+// StatusTable maps reasons to HTTP statuses. A reason without one gets a status by its
+// outcome.
 type StatusTable map[btrequest.Reason]int
 
-// callerStatus holds the statuses of the reasons that this package decides.
-var callerStatus = StatusTable{
+// requestStatuses holds the statuses of this package's reasons.
+var requestStatuses = StatusTable{
 	ReasonBadPath:           http.StatusNotFound,
 	ReasonBadMethod:         http.StatusMethodNotAllowed,
 	ReasonBadJSON:           http.StatusBadRequest,
@@ -56,7 +56,7 @@
 	if status, found := t[f.Reason]; found {
 		return status
 	}
-	if status, found := callerStatus[f.Reason]; found {
+	if status, found := requestStatuses[f.Reason]; found {
 		return status
 	}
 	if f.Outcome == btrequest.Unknown {
@@ -77,7 +77,7 @@
 	_, _ = w.Write(t.Body(f))
 }
 
-// Body returns the JSON body of a refusal, with a line feed at its end.
+// Body returns the JSON body of a refusal, with a newline at its end.
 func (t StatusTable) Body(f *btrequest.Refusal) []byte {
 	status := t.Status(f)
 	body := ErrorBody{Error: ErrorDetail{
@@ -95,7 +95,7 @@
 	return append(data, '\n')
 }
 
-// SetRetryAfter sets Retry-After in whole seconds, rounded up; nothing for zero.
+// SetRetryAfter sets Retry-After in whole seconds, rounded up; zero sets nothing.
 func SetRetryAfter(h http.Header, after time.Duration) {
 	if after <= 0 {
 		return
