--- a/io/btmetric/btmetric.go
+++ b/io/btmetric/btmetric.go
@@ -1,9 +1,9 @@
-// Package btmetric counts what the system does and keeps what it decided.
+// Package btmetric holds a process's metrics and the log of its decisions.
 //
-// It is a thin layer over go-metrics: a counter for each reason to refuse or
-// retry, histograms with fixed quantiles, a JSON page of all of them, the
-// counting sink for violated invariants, and a bounded ring of the decisions
-// that the system took by itself.
+// It is a thin layer over go-metrics: a counter for each reason of a refusal or retry,
+// histograms with fixed quantiles, a JSON page of all metrics, a counting sink for
+// violated invariants, and a bounded ring of the decisions that the system took by
+// itself.
 package btmetric
 
 import (
@@ -16,7 +16,8 @@
 	"bilberrytide/core/btrequest"
 )
 
-// Prefixes of the counters that carry a reason: "refused.<reason>" and so on.
+// Prefixes of the counters that are named by reason or outcome: "refused.<reason>" and
+// so on.
 const (
 	PrefixRefused  = "refused."
 	PrefixRetried  = "retried."
@@ -25,14 +26,14 @@
 )
 
 const (
-	// sampleSize and sampleAlpha are the usual choice for an exponentially
-	// decaying sample: a relative error of about 5% at 99.9% confidence,
-	// weighted towards the last five minutes.
+	// sampleSize and sampleAlpha are the usual values for an exponentially decaying
+	// sample: a relative error of about 5% at 99.9% confidence, weighted towards the
+	// last five minutes.
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// Meter registers and finds metrics by name. It is safe for concurrent use.
+// Meter registers and returns metrics by name. It is safe for concurrent use.
 type Meter struct {
 	registry metrics.Registry
 }
@@ -45,15 +46,15 @@
 	return &Meter{registry: registry}
 }
 
-// Registry returns the registry, for packages that count by themselves.
+// Registry returns the registry, for packages that register their own metrics.
 func (m *Meter) Registry() metrics.Registry { return m.registry }
 
-// Counter returns the counter of that name.
+// Counter returns the counter with the name.
 func (m *Meter) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, m.registry)
 }
 
-// Gauge returns the gauge of that name.
+// Gauge returns the gauge with the name.
 func (m *Meter) Gauge(name string) metrics.Gauge {
 	return metrics.GetOrRegisterGauge(name, m.registry)
 }
@@ -73,27 +74,27 @@
 	m.Counter(PrefixOutcome + string(outcome)).Inc(1)
 }
 
-// Histogram returns the histogram of that name over a decaying sample. The
-// name ends in the unit, such as "first_token_us".
+// Histogram returns the histogram with the name, over a decaying sample. The name ends
+// in the unit, such as "first_token_us".
 func (m *Meter) Histogram(name string) metrics.Histogram {
-	fresh := func() metrics.Histogram {
+	newHistogram := func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}
-	return m.registry.GetOrRegister(name, fresh).(metrics.Histogram)
+	return m.registry.GetOrRegister(name, newHistogram).(metrics.Histogram)
 }
 
-// Duration adds a duration to the histogram of that name, in microseconds; the
-// name ends in "_us".
+// Duration adds a duration in microseconds to the histogram with the name, which ends in
+// "_us".
 func (m *Meter) Duration(name string, d time.Duration) {
 	m.Histogram(name).Update(d.Microseconds())
 }
 
-// ServeHTTP answers with every metric as one JSON object, by name.
+// ServeHTTP serves every metric as one JSON object, by name.
 func (m *Meter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// The caller that went away is the only error left.
+	// The only possible error is that the client disconnected.
 	_ = encoder.Encode(m.registry.GetAll())
 }
 
--- a/io/btmetric/decision.go
+++ b/io/btmetric/decision.go
@@ -11,27 +11,26 @@
 // DefaultDecisions is how many decisions a process keeps.
 const DefaultDecisions = 256
 
-// Decision is one act that the system took by itself, such as an ejection, a
-// drain or a change of expert map.
+// Decision is an action that the system took by itself, such as an ejection, a drain or
+// a change of expert map.
 type Decision struct {
-	// Number counts a process's decisions from 1, so that a gap shows what the
-	// ring no longer holds.
+	// Number numbers a process's decisions from 1, so that a gap shows what the ring no
+	// longer holds.
 	Number uint64    `json:"number"`
 	Time   time.Time `json:"time"`
-	// Act names what was done, in snake case.
+	// Act is the action, in snake case.
 	Act string `json:"act"`
-	// Subject is what it was done to: a target, a group, a bundle.
+	// Subject is what the action applies to: a target, a group, a bundle.
 	Subject string `json:"subject"`
-	// Cause is why, in a sentence.
+	// Cause is the reason, in a sentence.
 	Cause string `json:"cause"`
-	// Evidence holds the values that led to it.
+	// Evidence holds the values that led to the decision.
 	Evidence string `json:"evidence"`
-	// Expected is what the act should bring about.
+	// Expected is the intended effect.
 	Expected string `json:"expected"`
 }
 
-// Decisions is a bounded ring of the latest decisions. It is safe for
-// concurrent use.
+// Decisions is a bounded ring of the latest decisions. It is safe for concurrent use.
 type Decisions struct {
 	log  *slog.Logger
 	mu   sync.Mutex
@@ -39,13 +38,13 @@
 	next uint64
 }
 
-// NewDecisions returns a ring of so many decisions, at least one, that also
-// writes a line for each to the log.
+// NewDecisions returns a ring of the given size, at least one, that also logs each
+// decision.
 func NewDecisions(size int, log *slog.Logger) *Decisions {
 	return &Decisions{ring: make([]Decision, max(size, 1)), log: log}
 }
 
-// Add keeps the decision and sets its number.
+// Add numbers, stores and logs a decision.
 func (d *Decisions) Add(decision Decision) {
 	d.mu.Lock()
 	decision.Number = d.next + 1
@@ -56,7 +55,7 @@
 		"cause", decision.Cause, "evidence", decision.Evidence, "expected", decision.Expected)
 }
 
-// List returns the decisions that are still held, oldest first.
+// List returns the stored decisions, oldest first.
 func (d *Decisions) List() []Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +68,7 @@
 	return list
 }
 
-// ServeHTTP answers with the list as JSON.
+// ServeHTTP serves the list as JSON.
 func (d *Decisions) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(d.List())
--- a/io/btmetric/text.go
+++ b/io/btmetric/text.go
@@ -9,12 +9,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// textQuantiles are the quantiles of a histogram's lines.
+// textQuantiles are the quantiles written for a histogram, by the suffix of their names.
 var textQuantiles = map[string]float64{"p50": 0.5, "p95": 0.95, "p99": 0.99}
 
-// WriteText writes every metric as a line of its name and value, in order; a
-// histogram has a line for its count, its largest value and each quantile. Names
-// that end in "_us" are in microseconds.
+// WriteText writes every metric as a line of its name and value, sorted by name. A
+// histogram has a line for its count, its maximum and each quantile. Names that end in
+// "_us" are in microseconds.
 func (m *Meter) WriteText(w io.Writer) error {
 	lines := make(map[string]int64)
 	m.registry.Each(func(name string, metric any) {
@@ -49,7 +49,7 @@
 func (m *Meter) TextHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// The caller that went away is the only error.
+		// The only possible error is that the client disconnected.
 		_ = m.WriteText(w)
 	})
 }
--- a/io/btmetric/violation.go
+++ b/io/btmetric/violation.go
@@ -6,11 +6,11 @@
 	"bilberrytide/core/btassert"
 )
 
-// MetricViolations counts every violated invariant, whichever it was.
+// MetricViolations counts violated invariants of all names.
 const MetricViolations = "violations"
 
-// Violations is the production sink of violated invariants: it counts and logs
-// them, and the process goes on.
+// Violations is the sink of violated invariants in production: it counts and logs them,
+// and the process continues.
 type Violations struct {
 	meter *Meter
 	log   *slog.Logger
@@ -30,5 +30,5 @@
 	v.log.Error("invariant violated", "invariant", string(b.Name), "detail", b.Detail)
 }
 
-// Count returns how many violations there were.
+// Count returns the number of violations.
 func (v *Violations) Count() int64 { return v.meter.Counter(MetricViolations).Count() }
