--- a/io/bthttp/answer.go
+++ b/io/bthttp/answer.go
@@ -118,8 +118,8 @@
 }
 
 func hasEventStreamType(header http.Header) bool {
-	media, _, err := mime.ParseMediaType(header.Get("Content-Type"))
-	return err == nil && media == contentEventStream
+	mediaType, _, err := mime.ParseMediaType(header.Get("Content-Type"))
+	return err == nil && mediaType == contentEventStream
 }
 
 // Add adds data to the body. The error wraps ErrCallerGone.
