--- a/commands/btruncmd/btruncmd.go
+++ b/commands/btruncmd/btruncmd.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrSettings, err)
 	}
-	common := btprocess.Common{Host: s.Host, DataCentre: s.DataCentre, PeerListen: s.PeerListen, Tables: s.Tables}
+	common := btprocess.CommonSettings{Host: s.Host, DataCentre: s.DataCentre, PeerListen: s.PeerListen, Tables: s.Tables}
 	runtime, err := btprocess.NewRuntime(btkeys.Entry, common, c.logs)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrSettings, c.settings, err)
@@ -102,7 +102,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrSettings, err)
 	}
-	common := btprocess.Common{Host: s.Host, DataCentre: s.DataCentre, PeerListen: s.PeerListen, Tables: s.Tables}
+	common := btprocess.CommonSettings{Host: s.Host, DataCentre: s.DataCentre, PeerListen: s.PeerListen, Tables: s.Tables}
 	runtime, err := btprocess.NewRuntime(btkeys.Agent, common, c.logs)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrSettings, c.settings, err)
@@ -151,7 +151,7 @@
 		return p.Run(ctx)
 	})
 	group.Go(func() error {
-		pages := btprocess.Pages(runtime.Meter, p.Ready, p.Status)
+		pages := btprocess.StatusHandler(runtime.Meter, p.Ready, p.Status)
 		return runtime.ServeStatus(ctx, pages)
 	})
 	group.Go(func() error { return runtime.Keys.Run(ctx, 0) })
--- a/io/btagent/heartbeat.go
+++ b/io/btagent/heartbeat.go
@@ -117,8 +117,8 @@
 	if !found {
 		return wanted
 	}
-	plan := btprocess.PlanOf(h.approved)
-	for _, name := range plan.Watchers(btprocess.PlaceOf(target)) {
+	plan := btprocess.TopologyOf(h.approved)
+	for _, name := range plan.Watchers(btprocess.LocationOf(target)) {
 		if endpoint, found := btprocess.EntryEndpoint(x, name); found {
 			wanted[name] = endpoint
 		}
@@ -178,7 +178,7 @@
 		if err != nil {
 			return
 		}
-		h.options.Bundles.Heard(w.endpoint.Identity, a)
+		h.options.Bundles.ReceiveAnnouncement(w.endpoint.Identity, a)
 		h.hostStatus.update(w.endpoint.Identity, a.HostLeaving)
 	}
 }
--- a/io/btagent/quarantine.go
+++ b/io/btagent/quarantine.go
@@ -24,7 +24,7 @@
 	f := v.fingerprint()
 	a.isolation.RecordCrash(f, string(a.self.Target), p, "account", v.request.Account, "path", v.request.Path)
 	if to, found := v.entryEndpoint(); found {
-		a.isolation.Compare(ctx, to, btquarantine.Records{a.isolation.ExportRecord(f)})
+		a.isolation.Exchange(ctx, to, btquarantine.Records{a.isolation.ExportRecord(f)})
 	}
 }
 
@@ -42,7 +42,7 @@
 // target crashed.
 func (a *Agent) sendCrashRecords(ctx context.Context, to btpeer.Endpoint) {
 	if records := a.isolation.ExportIfChanged(0); len(records) > 0 {
-		a.isolation.Compare(ctx, to, records)
+		a.isolation.Exchange(ctx, to, records)
 	}
 }
 
--- a/io/btentry/btentry.go
+++ b/io/btentry/btentry.go
@@ -142,7 +142,7 @@
 	group.Go(func() error { e.summaries.run(ctx); return nil })
 	group.Go(func() error { e.limiter.run(ctx); return nil })
 	group.Go(func() error { e.isolation.Run(ctx); return nil })
-	group.Go(func() error { e.isolation.Rounds(ctx); return nil })
+	group.Go(func() error { e.isolation.RunExchanges(ctx); return nil })
 	group.Go(func() error { e.pollHostList(ctx); return nil })
 	group.Go(e.serve)
 	group.Go(func() error { e.runStop(ctx, cancel); return nil })
--- a/io/btentry/configure.go
+++ b/io/btentry/configure.go
@@ -90,7 +90,7 @@
 
 // setMembers updates the targets, the lease and the entries that summaries are sent to.
 func (f *fleet) setMembers(now time.Time, a *btbundle.Approved) {
-	plan := btprocess.PlanOf(a)
+	plan := btprocess.TopologyOf(a)
 	lease := a.Bundle.Timeouts.TargetLease.Duration
 	if !plan.FullMesh() {
 		lease = max(lease, minSummaryLease)
@@ -101,7 +101,7 @@
 	f.relay.Step(now, btmember.LinksUpdated{Links: f.links})
 	f.applyMemberEffects(f.member.Step(now, btmember.Configured{Lease: lease, ClockError: clockError}))
 	order := a.Revision()
-	f.applyMemberEffects(f.member.Step(now, btmember.Bundle{Version: order.Version, Digest: order.Digest, Targets: btprocess.PlacesOf(a)}))
+	f.applyMemberEffects(f.member.Step(now, btmember.Bundle{Version: order.Version, Digest: order.Digest, Targets: btprocess.LocationsOf(a)}))
 }
 
 // mergeSummary merges another entry's summary.
--- a/io/btentry/heartbeat.go
+++ b/io/btentry/heartbeat.go
@@ -43,7 +43,7 @@
 		}
 		e.fleet.handleHeartbeat(h)
 		order := btbundle.Revision{Version: h.BundleVersion, Digest: h.BundleDigest}
-		e.options.Bundles.Heard(from, btannounce.Announcement{Revision: order})
+		e.options.Bundles.ReceiveAnnouncement(from, btannounce.Announcement{Revision: order})
 		select {
 		case received <- struct{}{}:
 		default:
--- a/io/btprocess/bundles_test.go
+++ b/io/btprocess/bundles_test.go
@@ -246,8 +246,8 @@
 func TestPlanBoundsWatchers(t *testing.T) {
 	for _, c := range []struct{ entries, watchers int }{{8, 8}, {9, 3}, {380, 3}} {
 		approved := large(t, c.entries)
-		plan := btprocess.PlanOf(approved)
-		assert.Equal(t, len(plan.Watchers(btprocess.PlacesOf(approved)[0])), c.watchers)
+		plan := btprocess.TopologyOf(approved)
+		assert.Equal(t, len(plan.Watchers(btprocess.LocationsOf(approved)[0])), c.watchers)
 		assert.Equal(t, plan.FullMesh(), c.watchers == c.entries)
 	}
 }
--- a/io/btprocess/capacity_test.go
+++ b/io/btprocess/capacity_test.go
@@ -132,8 +132,8 @@
 	for _, e := range a.Bundle.Entries {
 		all[e.Name] = &entryLoad{peers: map[string]bool{}}
 	}
-	plan := btprocess.PlanOf(a)
-	for _, t := range btprocess.PlacesOf(a) {
+	plan := btprocess.TopologyOf(a)
+	for _, t := range btprocess.LocationsOf(a) {
 		for _, name := range plan.Watchers(t) {
 			e := all[name]
 			e.add(1, s.heartbeat, messageOverhead)
@@ -193,7 +193,7 @@
 			}
 			self := a.Bundle.Entries[0]
 			for b.Loop() {
-				plan := btprocess.PlanOf(a)
+				plan := btprocess.TopologyOf(a)
 				plan.Links(btmember.EntryLocation{Entry: self.Name, DataCentre: self.DataCentre})
 			}
 			entries := float64(f.entries)
@@ -242,7 +242,7 @@
 func BenchmarkViewSizes(b *testing.B) {
 	for _, targets := range []int{10, 100, 830} {
 		b.Run(fmt.Sprint("targets=", targets), func(b *testing.B) {
-			places := btprocess.PlacesOf(sizedBundle(10, targets, 0, 1))
+			places := btprocess.LocationsOf(sizedBundle(10, targets, 0, 1))
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			before := liveHeap()
 			m := btmember.New(btmember.DefaultSettings(), btassert.New(btassert.Panic()))
--- a/io/btprocess/isolation.go
+++ b/io/btprocess/isolation.go
@@ -65,7 +65,7 @@
 // tell tells the neighbours.
 func (i *Isolation) tell(ctx context.Context, n btquarantine.Update) {
 	for _, to := range i.neighbours() {
-		go i.Compare(ctx, to, n.Records)
+		go i.Exchange(ctx, to, n.Records)
 	}
 }
 
@@ -77,9 +77,9 @@
 	return Neighbours(current, i.bundles.self, i.bundles.options.DataCentre)
 }
 
-// Compare tells an entry of the records and hears what it knows besides. It returns when
+// Exchange tells an entry of the records and hears what it knows besides. It returns when
 // the entry has answered or the time for it is over.
-func (i *Isolation) Compare(ctx context.Context, to btpeer.Endpoint, records btquarantine.Records) {
+func (i *Isolation) Exchange(ctx context.Context, to btpeer.Endpoint, records btquarantine.Records) {
 	ctx, cancel := context.WithTimeout(ctx, isolationWait)
 	defer cancel()
 	o := i.bundles.options
@@ -95,8 +95,8 @@
 // Run tells the neighbours of news until the context ends.
 func (i *Isolation) Run(ctx context.Context) { i.Isolation.Run(ctx, i.tell) }
 
-// Rounds compares with one neighbour after the other until the context ends.
-func (i *Isolation) Rounds(ctx context.Context) {
+// RunExchanges compares with one neighbour after the other until the context ends.
+func (i *Isolation) RunExchanges(ctx context.Context) {
 	ticker := time.NewTicker(isolationEvery)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
@@ -106,7 +106,7 @@
 		case <-ticker.C:
 		}
 		if list := i.neighbours(); len(list) > 0 {
-			i.Compare(ctx, list[round%len(list)], nil)
+			i.Exchange(ctx, list[round%len(list)], nil)
 		}
 	}
 }
--- a/io/btprocess/plan.go
+++ b/io/btprocess/plan.go
@@ -5,16 +5,16 @@
 	"bilberrytide/core/btmember"
 )
 
-// PlaceOf returns where a target stands, as membership wants it.
-func PlaceOf(t *btbundle.Target) btmember.TargetLocation {
+// LocationOf returns the location of a target in the form that membership uses.
+func LocationOf(t *btbundle.Target) btmember.TargetLocation {
 	return btmember.TargetLocation{Target: t.Name, Host: t.Host, DataCentre: t.DataCentre}
 }
 
-// PlacesOf returns where all targets of a bundle stand.
-func PlacesOf(a *btbundle.Approved) []btmember.TargetLocation {
+// LocationsOf returns the locations of all targets of a bundle.
+func LocationsOf(a *btbundle.Approved) []btmember.TargetLocation {
 	places := make([]btmember.TargetLocation, 0, len(a.Bundle.Targets))
 	for i := range a.Bundle.Targets {
-		places = append(places, PlaceOf(&a.Bundle.Targets[i]))
+		places = append(places, LocationOf(&a.Bundle.Targets[i]))
 	}
 	return places
 }
@@ -34,12 +34,12 @@
 	return fanOut
 }
 
-// PlanOf returns who tells whom about targets, alike at every process that has
+// TopologyOf returns who tells whom about targets, alike at every process that has
 // the bundle in force.
-func PlanOf(a *btbundle.Approved) *btmember.Topology {
+func TopologyOf(a *btbundle.Approved) *btmember.Topology {
 	entries := make([]btmember.EntryLocation, 0, len(a.Bundle.Entries))
 	for _, e := range a.Bundle.Entries {
 		entries = append(entries, btmember.EntryLocation{Entry: e.Name, DataCentre: e.DataCentre})
 	}
-	return btmember.NewTopology(fanOutOf(len(entries)), entries, PlacesOf(a))
+	return btmember.NewTopology(fanOutOf(len(entries)), entries, LocationsOf(a))
 }
--- a/io/btprocess/runtime.go
+++ b/io/btprocess/runtime.go
@@ -24,8 +24,8 @@
 	"bilberrytide/io/btsettings"
 )
 
-// Common is what the settings of every process hold.
-type Common struct {
+// CommonSettings are what the settings of every process hold.
+type CommonSettings struct {
 	Host       btid.Host
 	DataCentre btid.DataCentre
 	PeerListen netip.AddrPort
@@ -52,7 +52,7 @@
 
 // NewRuntime builds a process of the role from its settings; log lines go to
 // logs. The error names what could not be had.
-func NewRuntime(role btkeys.Role, c Common, logs io.Writer) (*Runtime, error) {
+func NewRuntime(role btkeys.Role, c CommonSettings, logs io.Writer) (*Runtime, error) {
 	tuneMemory()
 	log := newLog(c.Log, logs)
 	meter := btmetric.New(nil)
@@ -98,7 +98,7 @@
 	return r, nil
 }
 
-func (r *Runtime) bundlesOptions(c Common) BundlesOptions {
+func (r *Runtime) bundlesOptions(c CommonSettings) BundlesOptions {
 	return BundlesOptions{
 		DataCentre: c.DataCentre,
 		Host:       c.Host,
--- a/io/btprocess/spread.go
+++ b/io/btprocess/spread.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Heard takes what a peer announced.
-func (b *Bundles) Heard(from btpeer.Identity, a btannounce.Announcement) {
+// ReceiveAnnouncement processes what a peer announced.
+func (b *Bundles) ReceiveAnnouncement(from btpeer.Identity, a btannounce.Announcement) {
 	b.hear(a)
 	b.loop.Post(btbundle.Announced{Version: a.Revision.Version, Digest: a.Revision.Digest, From: btbundle.Peer(from.String())})
 }
@@ -138,11 +138,11 @@
 		b.options.Meter.Refused(reasonAnnounceFailed)
 		return
 	}
-	b.Heard(to.Identity, a)
+	b.ReceiveAnnouncement(to.Identity, a)
 }
 
 func (b *Bundles) answerAnnounce(_ context.Context, from btpeer.Identity, a btannounce.Announcement) (btannounce.Announcement, error) {
-	b.Heard(from, a)
+	b.ReceiveAnnouncement(from, a)
 	return b.Announcement(), nil
 }
 
--- a/io/btprocess/status.go
+++ b/io/btprocess/status.go
@@ -149,8 +149,8 @@
 	return false
 }
 
-// Pages serves the pages for operators: /status, /metrics, /healthz, /readyz.
-func Pages(meter *btmetric.Meter, ready func() bool, status func() Status) http.Handler {
+// StatusHandler serves the pages for operators: /status, /metrics, /healthz, /readyz.
+func StatusHandler(meter *btmetric.Meter, ready func() bool, status func() Status) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", meter)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
