--- a/io/btprocess/spread.go
+++ b/io/btprocess/announce.go
@@ -13,27 +13,30 @@
 
 const (
 	reasonAnnounceFailed btrequest.Reason = "announce_failed"
-	// strangerRounds is how many rounds pass between two exchanges with an
-	// entry that is no neighbour, which joins a graph that fell apart.
-	strangerRounds = 30
+	// randomEntryRounds is the number of rounds between two exchanges with a random entry
+	// instead of a neighbour. They reconnect a graph of neighbours that has become
+	// partitioned.
+	randomEntryRounds = 30
 )
 
-// Announcement returns what this process tells others.
+// Announcement returns this process's announcement: the bundle in force and the latest
+// reads of the configuration service.
 func (b *Bundles) Announcement() btannounce.Announcement {
 	return btannounce.Announcement{
 		Revision: b.Current().Revision(),
-		Reads:    b.latest(),
+		Reads:    b.latestReads(),
 	}
 }
 
-// ReceiveAnnouncement processes what a peer announced.
+// ReceiveAnnouncement records the reads that a peer announced, and passes the announced
+// bundle to the register, which fetches it if it is newer.
 func (b *Bundles) ReceiveAnnouncement(from btpeer.Identity, a btannounce.Announcement) {
-	b.hear(a)
+	b.observeReads(a)
 	b.loop.Post(btbundle.Announced{Version: a.Revision.Version, Digest: a.Revision.Digest, From: btbundle.Peer(from.String())})
 }
 
-func (b *Bundles) hear(a btannounce.Announcement) {
-	entries := b.readers()
+func (b *Bundles) observeReads(a btannounce.Announcement) {
+	entries := b.localEntries()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.turns.Observe(b.options.Clock(), a)
@@ -42,16 +45,16 @@
 	}
 }
 
-// announce exchanges announcements with the neighbours: with one a round, and
-// with all at once when a bundle comes into force, which takes it through the
-// fleet in a number of hops that grows with the logarithm of its size.
-func (b *Bundles) announce(ctx context.Context) {
+// runAnnouncements exchanges announcements with one neighbour in each round, and with
+// all of them when a bundle comes into force. A bundle thereby reaches the fleet in a
+// number of hops that grows with the logarithm of the fleet's size.
+func (b *Bundles) runAnnouncements(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := b.Changed()
-		if to, found := b.next(); found {
+		if to, found := b.nextPeer(); found {
 			go b.exchange(ctx, to)
 		}
-		if b.pushed(ctx, changed) {
+		if b.awaitRound(ctx, changed) {
 			for _, e := range b.neighbours() {
 				go b.exchange(ctx, e)
 			}
@@ -59,10 +62,10 @@
 	}
 }
 
-// pushed waits for the next round and tells whether a bundle came into force
-// meanwhile.
-func (b *Bundles) pushed(ctx context.Context, changed <-chan struct{}) bool {
-	ctx, cancel := context.WithTimeout(ctx, announceEvery)
+// awaitRound waits until the next round is due or a bundle comes into force, and reports
+// whether the latter happened.
+func (b *Bundles) awaitRound(ctx context.Context, changed <-chan struct{}) bool {
+	ctx, cancel := context.WithTimeout(ctx, announceInterval)
 	defer cancel()
 	select {
 	case <-changed:
@@ -72,20 +75,20 @@
 	}
 }
 
-// next returns whom to exchange announcements with in this round. An agent that
-// the bundle lists needs no rounds: its heartbeats carry what it has in force,
-// and the answers to them what the entries have.
-func (b *Bundles) next() (btpeer.Endpoint, bool) {
+// nextPeer returns the peer to exchange announcements with in this round. An agent that
+// the bundle lists needs none: its heartbeats announce its bundle in force, and the
+// answers to them announce that of the entries.
+func (b *Bundles) nextPeer() (btpeer.Endpoint, bool) {
 	current := b.Current()
 	if current != nil && b.self.Role == btkeys.Agent && b.Listing() != Unlisted {
 		return btpeer.Endpoint{}, false
 	}
 	b.mu.Lock()
-	b.rounds++
-	round := b.rounds
+	b.round++
+	round := b.round
 	b.mu.Unlock()
-	if current != nil && round%strangerRounds == 0 {
-		return b.stranger(current)
+	if current != nil && round%randomEntryRounds == 0 {
+		return b.randomEntry(current)
 	}
 	list := b.neighbours()
 	if len(list) == 0 {
@@ -94,8 +97,8 @@
 	return list[round%len(list)], true
 }
 
-// stranger returns any other entry.
-func (b *Bundles) stranger(a *btbundle.Approved) (btpeer.Endpoint, bool) {
+// randomEntry returns a random entry of the bundle, and false if that is this process.
+func (b *Bundles) randomEntry(a *btbundle.Approved) (btpeer.Endpoint, bool) {
 	b.mu.Lock()
 	e := a.Bundle.Entries[b.random.IntN(len(a.Bundle.Entries))]
 	b.mu.Unlock()
@@ -103,8 +106,9 @@
 	return btpeer.Endpoint{Identity: identity, Address: e.Address}, identity != b.self
 }
 
-// neighbours returns whom this process tells: by the bundle in force; before
-// there is one, the seeds and the entries of the service's value.
+// neighbours returns the peers that this process exchanges announcements with. While no
+// bundle is in force, these are the seeds, and the neighbours in the bundle that the
+// configuration service returned.
 func (b *Bundles) neighbours() []btpeer.Endpoint {
 	if current := b.Current(); current != nil {
 		if b.self.Role == btkeys.Agent && b.Listing() != Unlisted {
@@ -118,20 +122,20 @@
 			list = append(list, e)
 		}
 	}
-	if boot := b.bootstrap(); boot != nil {
-		list = append(list, Neighbours(boot, b.self, b.options.DataCentre)...)
+	if bootstrap := b.bootstrapBundle(); bootstrap != nil {
+		list = append(list, Neighbours(bootstrap, b.self, b.options.DataCentre)...)
 	}
 	return list
 }
 
-func (b *Bundles) bootstrap() *btbundle.Approved {
+func (b *Bundles) bootstrapBundle() *btbundle.Approved {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.boot
+	return b.bootstrap
 }
 
 func (b *Bundles) exchange(ctx context.Context, to btpeer.Endpoint) {
-	ctx, cancel := context.WithTimeout(ctx, announceWait)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	a, err := btpeer.Call[btannounce.Announcement, btannounce.Announcement](ctx, b.options.Node, to, KindAnnounce, b.Announcement())
 	if err != nil {
@@ -141,14 +145,14 @@
 	b.ReceiveAnnouncement(to.Identity, a)
 }
 
-func (b *Bundles) answerAnnounce(_ context.Context, from btpeer.Identity, a btannounce.Announcement) (btannounce.Announcement, error) {
+func (b *Bundles) handleAnnounce(_ context.Context, from btpeer.Identity, a btannounce.Announcement) (btannounce.Announcement, error) {
 	b.ReceiveAnnouncement(from, a)
 	return b.Announcement(), nil
 }
 
-// fetch gets the signed file that a peer announced.
+// fetch requests the signed file that a peer announced and posts the result.
 func (b *Bundles) fetch(f btbundle.Fetch) {
-	raw, err := b.get(f)
+	raw, err := b.requestFile(f)
 	if err != nil {
 		b.loop.Post(btbundle.FetchFailed{From: f.From, Requested: f.Revision(), Err: err})
 		return
@@ -156,12 +160,12 @@
 	b.loop.Post(btbundle.Received{Raw: raw, Source: btbundle.Source{Peer: f.From}, Requested: f.Revision()})
 }
 
-func (b *Bundles) get(f btbundle.Fetch) ([]byte, error) {
+func (b *Bundles) requestFile(f btbundle.Fetch) ([]byte, error) {
 	to, found := b.endpoint(f.From)
 	if !found {
 		return nil, fmt.Errorf("no address for %s", f.From)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), fetchWait)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	file, err := btpeer.Call[btannounce.Ask, btannounce.File](ctx, b.options.Node, to, KindBundle, btannounce.Ask{Revision: f.Revision()})
 	if err != nil {
@@ -171,20 +175,20 @@
 	return file.Unpack()
 }
 
-func (b *Bundles) answerFetch(context.Context, btpeer.Identity, btannounce.Ask) (btannounce.File, error) {
-	now := b.current.Load()
-	if now == nil {
+func (b *Bundles) handleFetch(context.Context, btpeer.Identity, btannounce.Ask) (btannounce.File, error) {
+	installed := b.current.Load()
+	if installed == nil {
 		return btannounce.File{}, nil
 	}
-	file := now.file()
+	file := installed.file()
 	b.options.Meter.Counter("bundle.served_bytes").Inc(int64(len(file.Gzip)))
 	return file, nil
 }
 
-// endpoint returns where a peer is reached, by the first of: the bundle in
-// force, the service's value, the seeds.
+// endpoint returns the endpoint of a peer. It looks in the bundle in force, then in the
+// bundle that the configuration service returned, then among the seeds.
 func (b *Bundles) endpoint(peer btbundle.Peer) (btpeer.Endpoint, bool) {
-	for _, known := range []*btbundle.Approved{b.Current(), b.bootstrap()} {
+	for _, known := range []*btbundle.Approved{b.Current(), b.bootstrapBundle()} {
 		if known == nil {
 			continue
 		}
--- a/io/btprocess/capacity_test.go
+++ b/io/btprocess/bench_test.go
@@ -21,29 +21,30 @@
 )
 
 const (
-	// levelChanges is how often a second a target's quantised load changes.
-	levelChanges = 0.1
-	// ackRate is how many of an agent's heartbeats are answered.
+	// levelChangeRate is how often per second a target's quantised load changes.
+	levelChangeRate = 0.1
+	// ackRate is the fraction of an agent's heartbeats that are acknowledged.
 	ackRate = 0.25
-	// cacheEvents and cacheBatches are the most that an agent sends a second to
-	// each entry that watches it.
-	cacheEvents  = 8.0
-	cacheBatches = 2.0
+	// cacheEventRate and cacheBatchRate are the most cache events and batches of them per
+	// second that an agent sends to each entry that watches it.
+	cacheEventRate = 8.0
+	cacheBatchRate = 2.0
 )
 
-// The bytes that the transport adds to a message sent alone, to a call, and to
-// each connection in a second, both ways, with the headers of UDP and IPv4, as
-// BenchmarkLone and BenchmarkIdle of io/btpeer give them.
+// The bytes that the transport adds to a message that is sent alone, to a call, and per
+// second to each connection, in both directions and with the headers of UDP and IPv4, as
+// measured by BenchmarkLone and BenchmarkIdle of io/btpeer.
 const (
 	messageOverhead    = 125
 	callOverhead       = 283
 	connectionOverhead = 117
 )
 
-// sizedBundle is a fleet of that size, spread evenly.
+// sizedBundle returns a bundle for a fleet of this size, spread evenly over the data
+// centres.
 func sizedBundle(entries, targets, accounts, centres int) *btbundle.Approved {
 	centre := func(i int) btid.DataCentre { return btid.DataCentre(fmt.Sprintf("dc-%d", i%centres)) }
-	b := draft()
+	b := testBundle()
 	b.Targets = nil
 	for i := range entries {
 		b.Entries = append(b.Entries, btbundle.Entry{
@@ -64,8 +65,8 @@
 	return &btbundle.Approved{Bundle: &b, Index: btbundle.NewIndex(&b)}
 }
 
-// traffic is what a process sends and receives a second: messages, their encoded
-// bytes, and those with the transport's, keep-alives apart.
+// traffic is what a process sends and receives per second: the number of messages, their
+// encoded bytes, and the bytes with the transport's overhead but without keep-alives.
 type traffic struct{ messages, bytes, wire float64 }
 
 func (t *traffic) add(rate, size, overhead float64) {
@@ -74,11 +75,11 @@
 	t.wire += rate * (size + overhead)
 }
 
-// entryLoad is one entry's control traffic, both ways, and whom it has a
-// connection with for it.
-type entryLoad struct {
+// entryTraffic is the control traffic of one entry in both directions, and the peers
+// that it needs connections with for it.
+type entryTraffic struct {
 	traffic
-	// cache is the part that tells of prefix caches, at its bound.
+	// cache is the traffic of cache events at its highest rate; it isn't part of traffic.
 	cache traffic
 	peers map[string]bool
 }
@@ -90,7 +91,7 @@
 	return float64(len(data))
 }
 
-// sizes are the encoded sizes of the messages.
+// sizes are the encoded sizes of the messages, in bytes.
 type sizes struct{ heartbeat, ack, summary, level, exchange, batch, event float64 }
 
 func messageSizes(b *testing.B) sizes {
@@ -126,19 +127,19 @@
 	}
 }
 
-// loads works out what every entry sends and receives, by the plan in use.
-func loads(a *btbundle.Approved, s sizes) map[btid.Entry]*entryLoad {
-	all := map[btid.Entry]*entryLoad{}
+// entryLoads computes what every entry sends and receives, by the topology in use.
+func entryLoads(a *btbundle.Approved, s sizes) map[btid.Entry]*entryTraffic {
+	all := map[btid.Entry]*entryTraffic{}
 	for _, e := range a.Bundle.Entries {
-		all[e.Name] = &entryLoad{peers: map[string]bool{}}
+		all[e.Name] = &entryTraffic{peers: map[string]bool{}}
 	}
-	plan := btprocess.TopologyOf(a)
+	topology := btprocess.TopologyOf(a)
 	for _, t := range btprocess.LocationsOf(a) {
-		for _, name := range plan.Watchers(t) {
+		for _, name := range topology.Watchers(t) {
 			e := all[name]
 			e.add(1, s.heartbeat, messageOverhead)
 			e.add(ackRate, s.ack, messageOverhead)
-			e.cache.add(cacheBatches, s.batch+cacheEvents/cacheBatches*s.event, messageOverhead)
+			e.cache.add(cacheBatchRate, s.batch+cacheEventRate/cacheBatchRate*s.event, messageOverhead)
 			e.peers["agent/"+string(t.Target)] = true
 		}
 	}
@@ -149,10 +150,10 @@
 		all[to].peers["entry/"+string(from)] = true
 	}
 	for _, e := range a.Bundle.Entries {
-		for _, l := range plan.Links(btmember.EntryLocation{Entry: e.Name, DataCentre: e.DataCentre}) {
-			both(e.Name, l.To, 1, s.summary+levelChanges*float64(len(l.Targets))*s.level, messageOverhead)
+		for _, l := range topology.Links(btmember.EntryLocation{Entry: e.Name, DataCentre: e.DataCentre}) {
+			both(e.Name, l.To, 1, s.summary+levelChangeRate*float64(len(l.Targets))*s.level, messageOverhead)
 		}
-		// One call a round, whose answer is as large.
+		// One call in each round, whose answer is as large as the request.
 		near := btprocess.Neighbours(a, btprocess.EntryIdentity(e.Name), e.DataCentre)
 		for _, n := range near {
 			both(e.Name, btid.Entry(n.Identity.Name), 2/float64(len(near)), s.exchange, callOverhead/2)
@@ -161,17 +162,17 @@
 	return all
 }
 
-// fleetSizes are those that scripts/scale.sh runs as processes, in one data
-// centre and without load, from there to the size to come, and that with fewer
-// entries.
+// fleetSizes are the fleets that scripts/scale.sh runs as processes, in one data centre
+// and without load; then sizes up to the largest planned fleet; then that fleet with
+// fewer entries.
 var fleetSizes = []struct{ entries, targets, accounts, centres int }{
 	{2, 4, 1, 1}, {10, 48, 1, 1}, {24, 96, 1, 1}, {40, 90, 73, 7}, {120, 260, 218, 7}, {380, 830, 690, 7},
 	{12, 830, 690, 7}, {40, 830, 690, 7}, {120, 830, 690, 7},
 }
 
-// BenchmarkFleetPlan works out the control traffic of entries at several sizes
-// from the plan in use and the encoded sizes of its messages, and measures the
-// time in which an entry makes its part of the plan.
+// BenchmarkFleetPlan computes the control traffic of entries at several fleet sizes from
+// the topology in use and the encoded sizes of the messages. It measures the time in
+// which an entry computes the topology and its links.
 func BenchmarkFleetPlan(b *testing.B) {
 	s := messageSizes(b)
 	fmt.Printf("encoded bytes: %+v\n", s)
@@ -180,7 +181,7 @@
 			a := sizedBundle(f.entries, f.targets, f.accounts, f.centres)
 			var sum, most, cache traffic
 			var peers, mostPeers int
-			for _, e := range loads(a, s) {
+			for _, e := range entryLoads(a, s) {
 				sum.messages += e.messages
 				sum.bytes += e.bytes
 				cache.wire += e.cache.wire
@@ -193,8 +194,8 @@
 			}
 			self := a.Bundle.Entries[0]
 			for b.Loop() {
-				plan := btprocess.TopologyOf(a)
-				plan.Links(btmember.EntryLocation{Entry: self.Name, DataCentre: self.DataCentre})
+				topology := btprocess.TopologyOf(a)
+				topology.Links(btmember.EntryLocation{Entry: self.Name, DataCentre: self.DataCentre})
 			}
 			entries := float64(f.entries)
 			b.ReportMetric(sum.messages/entries, "mean_messages/s")
@@ -209,8 +210,8 @@
 	}
 }
 
-// BenchmarkHomesPlan gives how many accounts one entry is the home of, the mean
-// and the most, and the time in which a home is found.
+// BenchmarkHomesPlan reports the mean and the highest number of client accounts whose
+// home is one entry, and measures the time in which a home is found.
 func BenchmarkHomesPlan(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(fmt.Sprintf("entries=%d/accounts=%d", f.entries, f.accounts), func(b *testing.B) {
@@ -237,8 +238,8 @@
 	}
 }
 
-// BenchmarkViewSizes measures an entry's tick over its targets, and the memory
-// of one, by how many it knows.
+// BenchmarkViewSizes measures the time of an entry's tick and the memory for each target,
+// by the number of targets.
 func BenchmarkViewSizes(b *testing.B) {
 	for _, targets := range []int{10, 100, 830} {
 		b.Run(fmt.Sprint("targets=", targets), func(b *testing.B) {
--- a/io/btprocess/bundles.go
+++ b/io/btprocess/bundles.go
@@ -23,20 +23,21 @@
 )
 
 const (
-	registerTick  = 250 * time.Millisecond
-	announceEvery = time.Second
-	announceWait  = time.Second
-	fetchWait     = time.Second
+	registerTickInterval = 250 * time.Millisecond
+	announceInterval     = time.Second
+	announceTimeout      = time.Second
+	fetchTimeout         = time.Second
 )
 
-// Bundles keeps the bundle in force in one process: it reads the configuration
-// service when it is this process's turn, hears from peers, and tells them.
+// Bundles keeps the bundle in force in one process up to date. It reads the
+// configuration service when it is this process's turn, and exchanges announcements
+// with peers. It is safe for concurrent use.
 type Bundles struct {
 	options  BundlesOptions
 	self     btpeer.Identity
 	watcher  *btplatform.Watcher
 	loop     *btloop.Loop[btbundle.RegisterEvent, btbundle.RegisterEffect]
-	current  atomic.Pointer[inForce]
+	current  atomic.Pointer[installedBundle]
 	onChange []func(*btbundle.Approved)
 	started  time.Time
 
@@ -44,19 +45,21 @@
 	random *rand.Rand
 	// changed is closed, and replaced, when a bundle comes into force.
 	changed chan struct{}
-	// lastRefusal is the last refused bundle told; the register's loop owns it.
+	// lastRefusal is the cause of the last refusal that was recorded as a decision. Only
+	// the register's loop uses it.
 	lastRefusal string
-	// boot is the service's first value, whose entries are asked before it is
-	// believed.
-	boot *btbundle.Approved
-	// turns decides who reads the configuration service.
+	// bootstrap is the bundle that the configuration service returned while none was in
+	// force. Its entries are asked for a newer one before it comes into force.
+	bootstrap *btbundle.Approved
+	// turns decides whether this process reads the configuration service.
 	turns *btreader.Selector
-	// rounds counts the rounds of announcements.
-	rounds int
+	// round is the number of the current round of announcements.
+	round int
 }
 
-// inForce is a bundle, its compressed file and how it lists this process.
-type inForce struct {
+// installedBundle is the bundle in force, its file, compressed on first use, and how it
+// lists this process.
+type installedBundle struct {
 	approved *btbundle.Approved
 	file     func() btannounce.File
 	listing  Listing
@@ -65,14 +68,14 @@
 // BundlesOptions are the dependencies of Bundles.
 type BundlesOptions struct {
 	DataCentre btid.DataCentre
-	// Host is the host that the process runs on, as its settings have it.
+	// Host is the host on which the process runs, from its settings.
 	Host     btid.Host
 	Node     *btpeer.Node
 	Platform *btplatform.Client
 	// Key is the configuration key under which the bundle is published.
 	Key       string
 	Approvers btbundle.Approvers
-	// Seeds are the entries to ask while nothing is in force.
+	// Seeds are the entries to ask while no bundle is in force.
 	Seeds     []btpeer.Endpoint
 	Meter     *btmetric.Meter
 	Decisions *btmetric.Decisions
@@ -82,8 +85,8 @@
 	Random    *rand.Rand
 }
 
-// NewBundles returns bundles with nothing in force and sets the node's
-// handlers.
+// NewBundles returns a Bundles with no bundle in force and registers its handlers with
+// the node.
 func NewBundles(o BundlesOptions) *Bundles {
 	b := &Bundles{
 		options: o,
@@ -92,56 +95,56 @@
 		changed: make(chan struct{}),
 		started: o.Clock(),
 	}
-	b.turns = btreader.New(btbundle.Peer(b.self.String()), peersOf(o.Seeds), b.started, o.Random)
-	register := btbundle.NewRegister(btbundle.DefaultRegisterConfig(o.Approvers), o.Assert, fork(o.Random))
+	b.turns = btreader.New(btbundle.Peer(b.self.String()), peersFrom(o.Seeds), b.started, o.Random)
+	register := btbundle.NewRegister(btbundle.DefaultRegisterConfig(o.Approvers), o.Assert, forkRandom(o.Random))
 	b.loop = btloop.New(register, o.Clock, b.apply)
 	b.watcher = btplatform.NewWatcher(btplatform.WatcherOptions{
 		Client:   o.Platform,
 		Key:      o.Key,
-		Deliver:  b.offer,
+		Deliver:  b.deliver,
 		Registry: o.Meter.Registry(),
 		Log:      o.Log,
 		Wait:     btreader.WatchTimeout,
 	})
-	o.Node.Handle(KindAnnounce, btpeer.Answer(b.answerAnnounce))
-	o.Node.Handle(KindBundle, btpeer.Answer(b.answerFetch))
+	o.Node.Handle(KindAnnounce, btpeer.Answer(b.handleAnnounce))
+	o.Node.Handle(KindBundle, btpeer.Answer(b.handleFetch))
 	return b
 }
 
-// fork returns a source that another goroutine may use.
-func fork(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
+// forkRandom returns a new source, seeded from r, for use by another goroutine.
+func forkRandom(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
 
 // Current returns the bundle in force, or nil.
 func (b *Bundles) Current() *btbundle.Approved {
-	if now := b.current.Load(); now != nil {
-		return now.approved
+	if installed := b.current.Load(); installed != nil {
+		return installed.approved
 	}
 	return nil
 }
 
-// OnChange has f called with each bundle that comes into force, one at a time.
-// It is called before Run.
+// OnChange registers f, which is called with each bundle that comes into force, one
+// call at a time. It must be called before Run.
 func (b *Bundles) OnChange(f func(*btbundle.Approved)) { b.onChange = append(b.onChange, f) }
 
-// Changed returns a channel that is closed when the next bundle is in force.
+// Changed returns a channel that is closed when the next bundle comes into force.
 func (b *Bundles) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// Run keeps the bundle up to date until the context ends.
+// Run keeps the bundle up to date until the context ends. It returns nil.
 func (b *Bundles) Run(ctx context.Context) error {
 	if len(b.options.Seeds) > 0 {
-		b.loop.Post(btbundle.Started{Peers: peersOf(b.options.Seeds)})
+		b.loop.Post(btbundle.Started{Peers: peersFrom(b.options.Seeds)})
 	}
-	go b.loop.Every(ctx, registerTick, func() btbundle.RegisterEvent { return btbundle.Tick{} })
-	go b.announce(ctx)
-	b.read(ctx)
+	go b.loop.Every(ctx, registerTickInterval, func() btbundle.RegisterEvent { return btbundle.Tick{} })
+	go b.runAnnouncements(ctx)
+	b.runReads(ctx)
 	return nil
 }
 
-func peersOf(endpoints []btpeer.Endpoint) []btbundle.Peer {
+func peersFrom(endpoints []btpeer.Endpoint) []btbundle.Peer {
 	var peers []btbundle.Peer
 	for _, e := range endpoints {
 		peers = append(peers, btbundle.Peer(e.Identity.String()))
@@ -149,30 +152,31 @@
 	return peers
 }
 
-// apply carries out one effect of the register.
+// apply executes one effect of the register.
 func (b *Bundles) apply(effect btbundle.RegisterEffect) {
 	o := b.options
 	switch e := effect.(type) {
 	case btbundle.InForce:
-		b.inForce(e)
+		b.install(e)
 	case btbundle.Fetch:
 		go b.fetch(e)
 	case btbundle.Refused:
-		b.refused(e)
+		b.recordRefusal(e)
 	case btbundle.Conflict:
-		b.conflict(e)
+		b.recordConflict(e)
 	case btbundle.Deferred:
 		o.Log.Info("bundle held until peers answer", "bundle_version", e.Revision.Version)
 	}
 }
 
-func (b *Bundles) inForce(e btbundle.InForce) {
+func (b *Bundles) install(e btbundle.InForce) {
 	raw := e.Approved.Raw
 	file := sync.OnceValue(func() btannounce.File { return btannounce.Pack(raw) })
-	b.tell(e)
-	listing := b.list(e.Approved)
-	// Whoever sees the bundle also sees the listing and the decisions on it.
-	b.current.Store(&inForce{approved: e.Approved, file: file, listing: listing})
+	b.recordInstall(e)
+	listing := b.updateListing(e.Approved)
+	// The store comes after the listing and the decisions are recorded, so that a reader
+	// that sees the new bundle sees them too.
+	b.current.Store(&installedBundle{approved: e.Approved, file: file, listing: listing})
 	for _, f := range b.onChange {
 		f(e.Approved)
 	}
@@ -182,8 +186,9 @@
 	b.mu.Unlock()
 }
 
-// tell counts and logs a bundle that came into force.
-func (b *Bundles) tell(e btbundle.InForce) {
+// recordInstall updates the metric, the log and the decisions for a bundle that comes
+// into force.
+func (b *Bundles) recordInstall(e btbundle.InForce) {
 	o := b.options
 	order := e.Approved.Revision()
 	o.Meter.Gauge("bundle.version").Update(int64(order.Version))
@@ -198,10 +203,10 @@
 	})
 }
 
-// refused counts and logs a refused bundle. An operator's fault leaves a line
-// among the decisions, once until another comes; what races and restarts bring
-// about does not.
-func (b *Bundles) refused(e btbundle.Refused) {
+// recordRefusal counts and logs a refused bundle. A refusal that an operator has to
+// resolve is also recorded as a decision, unless it repeats the last one. Refusals that
+// races and restarts cause are not.
+func (b *Bundles) recordRefusal(e btbundle.Refused) {
 	o := b.options
 	o.Meter.Refused(e.Reason)
 	o.Log.Warn("bundle refused", "reason", e.Reason, "source", e.Source, "error", e.Err)
@@ -223,14 +228,14 @@
 	})
 }
 
-// operatorFaults are the refusals that a person has to see to.
+// operatorFaults are the reasons for refusal that an operator has to resolve.
 var operatorFaults = []btrequest.Reason{
 	btbundle.ReasonTooLarge,
 	btbundle.ReasonSignature,
 	btbundle.ReasonMalformed,
 }
 
-func (b *Bundles) conflict(e btbundle.Conflict) {
+func (b *Bundles) recordConflict(e btbundle.Conflict) {
 	o := b.options
 	o.Meter.Counter("bundle.conflicts").Inc(1)
 	o.Log.Error("two approved bundles have one version", "bundle_version", e.Version, "kept", e.Kept, "lost", e.Lost, "source", e.Source)
@@ -244,7 +249,7 @@
 	})
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/io/btprocess/bundles_test.go
+++ b/io/btprocess/bundles_test.go
@@ -24,12 +24,12 @@
 	"bilberrytide/io/btstandin/btinprocess"
 )
 
-// fleet is processes that do nothing but keep the bundle, and a platform.
+// fleet runs processes that only keep the bundle up to date, and a platform.
 type fleet struct {
 	*btinprocess.Fleet
 }
 
-// process is one of them.
+// process is one process of a fleet.
 type process struct {
 	*btprocess.Bundles
 	*btinprocess.Process
@@ -37,12 +37,12 @@
 
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{Fleet: btinprocess.New(t)}
-	f.Bundle = draft()
+	f.Bundle = testBundle()
 	return f
 }
 
-// draft returns a bundle of one target, whose agent isn't there.
-func draft() btbundle.Bundle {
+// testBundle returns a bundle with one target, whose agent doesn't run.
+func testBundle() btbundle.Bundle {
 	b := btinprocess.Draft()
 	b.Timeouts.Heartbeat.Duration = time.Second
 	b.Ejection.SlowFactor = 5
@@ -56,8 +56,8 @@
 	return b
 }
 
-// process makes a process that has not started; entries come into the bundle.
-func (f *fleet) process(id btpeer.Identity, seeds ...btpeer.Endpoint) *process {
+// newProcess returns a process that isn't running yet. It adds entries to the bundle.
+func (f *fleet) newProcess(id btpeer.Identity, seeds ...btpeer.Endpoint) *process {
 	made := f.Process(f.Node(id), seeds...)
 	if id.Role == btkeys.Entry {
 		f.AddEntry(btid.Entry(id.Name), made.Node.Address())
@@ -78,7 +78,7 @@
 	return btpeer.Endpoint{Identity: p.Node.Identity(), Address: p.Node.Address()}
 }
 
-func await(t *testing.T, p *process, version btid.BundleVersion) {
+func awaitVersion(t *testing.T, p *process, version btid.BundleVersion) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if p.Current().Revision().Version == version {
@@ -88,29 +88,30 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
 }
 
-// TestSeedsTakeThePlaceOfTheService: processes that start while the service is
-// down get the bundle from a seed, without a call, and the next version too.
-func TestSeedsTakeThePlaceOfTheService(t *testing.T) {
+// TestSeedsReplaceConfigurationService guards against processes that depend on the
+// configuration service when they start: those that start while it is down must get the
+// bundle and its next version from a seed, without one call to the service.
+func TestSeedsReplaceConfigurationService(t *testing.T) {
 	f := newFleet(t)
-	seed := f.process(btprocess.EntryIdentity("e1"))
+	seed := f.newProcess(btprocess.EntryIdentity("e1"))
 	f.Publish(1)
 	f.run(seed)
-	await(t, seed, 1)
+	awaitVersion(t, seed, 1)
 	assert.NilError(t, f.Store.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformDown}))
 	var late []*process
 	for i := range 6 {
-		late = append(late, f.process(btprocess.AgentIdentity(btid.Target(fmt.Sprintf("late-%d", i))), seed.endpoint()))
+		late = append(late, f.newProcess(btprocess.AgentIdentity(btid.Target(fmt.Sprintf("late-%d", i))), seed.endpoint()))
 	}
 	for _, p := range late {
 		f.run(p)
 	}
 	for _, p := range late {
-		await(t, p, 1)
+		awaitVersion(t, p, 1)
 	}
 	assert.NilError(t, f.Store.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformSound}))
 	f.Publish(2)
 	for _, p := range late {
-		await(t, p, 2)
+		awaitVersion(t, p, 2)
 		assert.Equal(t, p.Readers().Calls, int64(0))
 		assert.Equal(t, p.Listing(), btprocess.Unlisted)
 		assert.Equal(t, p.Decisions.List()[1].Act, "process_unlisted")
@@ -119,25 +120,26 @@
 	assert.Assert(t, seed.Readers().Reads)
 }
 
-// TestServiceIsReadByFew: with all entries up, two call the service and the
-// others hear from them.
-func TestServiceIsReadByFew(t *testing.T) {
+// TestTwoEntriesReadService guards against load on the configuration service that grows
+// with the fleet: with all eight entries up, two read it, and the others get the bundle
+// from peers.
+func TestTwoEntriesReadService(t *testing.T) {
 	f := newFleet(t)
 	var entries []*process
 	for i := range 8 {
-		entries = append(entries, f.process(btprocess.EntryIdentity(btid.Entry(fmt.Sprintf("e%d", i)))))
+		entries = append(entries, f.newProcess(btprocess.EntryIdentity(btid.Entry(fmt.Sprintf("e%d", i)))))
 	}
 	f.Publish(1)
 	for _, p := range entries {
 		f.run(p)
 	}
 	for _, p := range entries {
-		await(t, p, 1)
+		awaitVersion(t, p, 1)
 	}
 	f.Publish(2)
 	reading := 0
 	for _, p := range entries {
-		await(t, p, 2)
+		awaitVersion(t, p, 2)
 		assert.Equal(t, p.Listing(), btprocess.Listed)
 		if p.Readers().Reads {
 			reading++
@@ -146,8 +148,8 @@
 	assert.Equal(t, reading, 2)
 }
 
-// large returns a bundle of so many entries in seven data centres.
-func large(t *testing.T, entries int) *btbundle.Approved {
+// largeFleet returns a bundle with this number of entries in seven data centres.
+func largeFleet(t *testing.T, entries int) *btbundle.Approved {
 	f := newFleet(t)
 	for i := range 7 {
 		f.Bundle.DataCentres = append(f.Bundle.DataCentres, btbundle.DataCentre{Name: btid.DataCentre(fmt.Sprintf("dc-%d", i)), Region: fmt.Sprint(i % 2)})
@@ -163,10 +165,12 @@
 	return approved
 }
 
-// TestNewsReachesAll: when entries tell their neighbours at once, all 380 have
-// a bundle in few hops, also with any one data centre or either region lost.
-func TestNewsReachesAll(t *testing.T) {
-	approved := large(t, 380)
+// TestAnnouncementsReachAllEntries guards against a graph of neighbours that is
+// partitioned or has long paths: when entries announce a bundle to their neighbours at
+// once, all 380 get it within 8 hops, also when any one data centre or either region is
+// lost.
+func TestAnnouncementsReachAllEntries(t *testing.T) {
+	approved := largeFleet(t, 380)
 	links := map[btpeer.Identity][]btpeer.Identity{}
 	for _, e := range approved.Bundle.Entries {
 		self := btprocess.EntryIdentity(e.Name)
@@ -182,24 +186,24 @@
 	}
 	worst := 0
 	for _, lost := range []string{"", "dc-0", "dc-1", "dc-2", "dc-3", "dc-4", "dc-5", "dc-6", "dc-0 dc-2 dc-4 dc-6", "dc-1 dc-3 dc-5"} {
-		worst = max(worst, hops(t, approved, links, func(id btpeer.Identity) bool { return strings.Contains(lost, centres[id]) }))
+		worst = max(worst, maxHops(t, approved, links, func(id btpeer.Identity) bool { return strings.Contains(lost, centres[id]) }))
 	}
 	t.Logf("at most %d hops", worst)
 	assert.Assert(t, worst <= 8)
 }
 
-// hops returns how many times news is handed on, over links that carry it from
-// the one that made them or, as each side asks at times, back.
-func hops(t *testing.T, approved *btbundle.Approved, links map[btpeer.Identity][]btpeer.Identity, lost func(btpeer.Identity) bool) int {
+// maxHops returns the number of hops after which an announcement has reached all entries
+// that aren't lost. Links carry it both ways, since each side also asks in its rounds.
+func maxHops(t *testing.T, approved *btbundle.Approved, links map[btpeer.Identity][]btpeer.Identity, lost func(btpeer.Identity) bool) int {
 	both := map[btpeer.Identity][]btpeer.Identity{}
-	live := 0
+	alive := 0
 	var first btpeer.Identity
 	for _, e := range approved.Bundle.Entries {
 		from := btprocess.EntryIdentity(e.Name)
 		if lost(from) {
 			continue
 		}
-		live++
+		alive++
 		first = from
 		for _, to := range links[from] {
 			if !lost(to) {
@@ -223,58 +227,60 @@
 		}
 		round = next
 	}
-	assert.Equal(t, len(has), live, "news stops short")
+	assert.Equal(t, len(has), alive, "the announcement doesn't reach all entries")
 	return count - 1
 }
 
-// TestMisplacedSaysSo: an agent whose settings name another host than the bundle
-// works, and says so; a seed that has nothing yet is asked again.
-func TestMisplacedSaysSo(t *testing.T) {
+// TestMisplacedAgentGetsBundle checks that an agent whose settings name another host
+// than the bundle gets the bundle and reports itself as misplaced. It also guards against
+// an agent that gives up on a seed that has no bundle yet.
+func TestMisplacedAgentGetsBundle(t *testing.T) {
 	f := newFleet(t)
-	seed := f.process(btprocess.EntryIdentity("e1"))
+	seed := f.newProcess(btprocess.EntryIdentity("e1"))
 	f.run(seed)
-	late := f.process(btprocess.AgentIdentity("t1"), seed.endpoint())
+	late := f.newProcess(btprocess.AgentIdentity("t1"), seed.endpoint())
 	f.run(late)
 	f.Publish(1)
-	await(t, seed, 1)
-	await(t, late, 1)
+	awaitVersion(t, seed, 1)
+	awaitVersion(t, late, 1)
 	assert.Equal(t, late.Listing(), btprocess.Misplaced)
 }
 
-// TestPlanBoundsWatchers: a small fleet is a mesh; in a large one few entries
-// hear an agent, and an entry hears few agents.
-func TestPlanBoundsWatchers(t *testing.T) {
+// TestTopologyBoundsWatchers guards against heartbeat traffic that grows with the number
+// of entries: up to eight entries form a full mesh, and in larger fleets three entries
+// receive a target's heartbeats.
+func TestTopologyBoundsWatchers(t *testing.T) {
 	for _, c := range []struct{ entries, watchers int }{{8, 8}, {9, 3}, {380, 3}} {
-		approved := large(t, c.entries)
-		plan := btprocess.TopologyOf(approved)
-		assert.Equal(t, len(plan.Watchers(btprocess.LocationsOf(approved)[0])), c.watchers)
-		assert.Equal(t, plan.FullMesh(), c.watchers == c.entries)
+		approved := largeFleet(t, c.entries)
+		topology := btprocess.TopologyOf(approved)
+		assert.Equal(t, len(topology.Watchers(btprocess.LocationsOf(approved)[0])), c.watchers)
+		assert.Equal(t, topology.FullMesh(), c.watchers == c.entries)
 	}
 }
 
-// TestStopTakesItsSteps: a stop with nothing in flight takes its steps without a
-// further event.
-func TestStopTakesItsSteps(t *testing.T) {
+// TestStopRunsStepsInOrder guards against a stop that hangs when no request is in
+// flight: it must run all its steps in order without a further event.
+func TestStopRunsStepsInOrder(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	stop := btprocess.NewStop(btmember.DrainSettings{ReadinessLag: 100 * time.Millisecond}, time.Now, btassert.New(btassert.Panic()), log)
 	var steps []string
-	note := func(step string) func() { return func() { steps = append(steps, step) } }
+	record := func(step string) func() { return func() { steps = append(steps, step) } }
 	stop.Terminate()
 	stop.Terminate()
 	stop.Run(t.Context(), btprocess.StopSteps{
-		Unready: note("unready"), CloseListener: note("close"), Goodbye: note("goodbye"), Exit: note("exit"),
+		Unready: record("unready"), CloseListener: record("close"), Goodbye: record("goodbye"), Exit: record("exit"),
 	})
 	assert.DeepEqual(t, steps, []string{"unready", "close", "goodbye", "exit"})
 }
 
-// TestRefusedBundleLeavesALine: an operator sees why what was published is not
-// in force.
-func TestRefusedBundleLeavesALine(t *testing.T) {
+// TestRefusedBundleRecordsDecision guards against a refused bundle that operators can't
+// explain: a decision must name the reason and the version that stays in force.
+func TestRefusedBundleRecordsDecision(t *testing.T) {
 	f := newFleet(t)
-	p := f.process(btprocess.EntryIdentity("e1"))
+	p := f.newProcess(btprocess.EntryIdentity("e1"))
 	f.Publish(1)
 	f.run(p)
-	await(t, p, 1)
+	awaitVersion(t, p, 1)
 	f.Bundle.Version = 2
 	unsigned := btbundle.Signed{Document: f.Sign().Document}
 	f.PublishRaw(unsigned.Bytes())
--- a/io/btprocess/endpoint.go
+++ b/io/btprocess/endpoint.go
@@ -17,8 +17,8 @@
 	return btpeer.Identity{Role: btpeer.Agent, Name: string(name)}
 }
 
-// EntryEndpoint returns where an entry listens, false where the bundle lists
-// none of that name.
+// EntryEndpoint returns the endpoint of an entry, and false if the bundle doesn't list
+// it.
 func EntryEndpoint(x *btbundle.Index, name btid.Entry) (btpeer.Endpoint, bool) {
 	e, found := x.Entry(name)
 	if !found {
@@ -27,8 +27,8 @@
 	return btpeer.Endpoint{Identity: EntryIdentity(name), Address: e.Address}, true
 }
 
-// AgentEndpoint returns where a target's agent listens, false where the bundle
-// lists none of that name.
+// AgentEndpoint returns the endpoint of a target's agent, and false if the bundle
+// doesn't list the target.
 func AgentEndpoint(x *btbundle.Index, name btid.Target) (btpeer.Endpoint, bool) {
 	t, found := x.Target(name)
 	if !found {
@@ -37,8 +37,8 @@
 	return btpeer.Endpoint{Identity: AgentIdentity(name), Address: t.Address}, true
 }
 
-// EndpointOf returns where a peer listens, false where the bundle lists none of
-// that identity.
+// EndpointOf returns the endpoint of a peer, and false if the identity is malformed or
+// the bundle doesn't list it.
 func EndpointOf(x *btbundle.Index, peer btbundle.Peer) (btpeer.Endpoint, bool) {
 	identity, err := btkeys.ParseIdentity(string(peer))
 	if err != nil {
--- a/io/btprocess/isolation.go
+++ b/io/btprocess/isolation.go
@@ -11,61 +11,64 @@
 )
 
 const (
-	// isolationEvery is how often an entry compares what it knows with a neighbour, so
-	// that one which was away or started anew hears all within some seconds.
-	isolationEvery = time.Second
-	// isolationWait bounds one comparison. An agent waits for it before it has a
-	// request that broke off tried elsewhere.
-	isolationWait = 200 * time.Millisecond
+	// isolationInterval is the interval at which an entry exchanges records with one of
+	// its neighbours, so that an entry that was unreachable or has restarted has all
+	// records within some seconds.
+	isolationInterval = time.Second
+	// isolationTimeout limits one exchange. An agent waits for it before it reports that
+	// an answer broke off, which delays the entry's next attempt.
+	isolationTimeout = 200 * time.Millisecond
 
 	reasonIsolationFailed btrequest.Reason = "quarantine_telling_failed"
 )
 
-// Isolated tells what a process knows of requests that end targets.
+// Isolated is the message by which a process sends its records of requests that crash
+// targets.
 type Isolated struct {
-	// Digest identifies all that the sender knows.
+	// Digest identifies all records that the sender has.
 	Digest uint64 `cbor:"digest"`
-	// Records are the news, or in an answer what the asking process may lack.
+	// Records are new records; in an answer, those that the asking process may lack.
 	Records btquarantine.Records `cbor:"records,omitempty"`
-	// Suspects are the requests that one end alone holds for a while.
+	// Suspects are the requests that a single crash puts on hold for a limited time.
 	Suspects btquarantine.Suspects `cbor:"suspects,omitempty"`
 }
 
-// news is what it tells.
-func (i Isolated) news() btquarantine.Update {
+// update returns the records and suspects of the message.
+func (i Isolated) update() btquarantine.Update {
 	return btquarantine.Update{Records: i.Records, Suspects: i.Suspects}
 }
 
-// Validate reports records that can't hold.
-func (i Isolated) Validate() error { return i.news().Validate() }
+// Validate returns an error if the records or suspects are invalid.
+func (i Isolated) Validate() error { return i.update().Validate() }
 
-// Isolation is what a process of the fleet knows of requests that end targets, and how
-// it tells others.
+// Isolation holds a process's records of requests that crash targets and exchanges them
+// with other processes.
 type Isolation struct {
 	*btisolation.Isolation
 	bundles *Bundles
 }
 
-// NewIsolation returns one for the process that has the bundles, and sets the node's
-// handler.
+// NewIsolation returns the Isolation of the process that b belongs to, and registers its
+// handler with the node.
 func NewIsolation(b *Bundles) *Isolation {
 	i := &Isolation{Isolation: btisolation.New(btquarantine.DefaultPolicy(), b.options.Clock, b.options.Log), bundles: b}
-	b.options.Node.Handle(KindIsolation, btpeer.Answer(i.answer))
+	b.options.Node.Handle(KindIsolation, btpeer.Answer(i.handle))
 	return i
 }
 
-// answer takes another process's news in, and passes on what is new.
-func (i *Isolation) answer(_ context.Context, from btpeer.Identity, heard Isolated) (Isolated, error) {
-	if i.Merge(heard.news(), from.String()) {
-		i.Forward(heard.news())
+// handle merges the records of another process, forwards them if any was new, and
+// answers with those that the other may lack.
+func (i *Isolation) handle(_ context.Context, from btpeer.Identity, received Isolated) (Isolated, error) {
+	if i.Merge(received.update(), from.String()) {
+		i.Forward(received.update())
 	}
-	return Isolated{Digest: i.Digest(), Records: i.ExportIfChanged(heard.Digest), Suspects: i.ExportSuspects()}, nil
+	return Isolated{Digest: i.Digest(), Records: i.ExportIfChanged(received.Digest), Suspects: i.ExportSuspects()}, nil
 }
 
-// tell tells the neighbours.
-func (i *Isolation) tell(ctx context.Context, n btquarantine.Update) {
+// send sends the update's records to all neighbours, each in its own goroutine.
+func (i *Isolation) send(ctx context.Context, u btquarantine.Update) {
 	for _, to := range i.neighbours() {
-		go i.Exchange(ctx, to, n.Records)
+		go i.Exchange(ctx, to, u.Records)
 	}
 }
 
@@ -77,10 +80,10 @@
 	return Neighbours(current, i.bundles.self, i.bundles.options.DataCentre)
 }
 
-// Exchange tells an entry of the records and hears what it knows besides. It returns when
-// the entry has answered or the time for it is over.
+// Exchange sends the records to an entry and merges those of its answer. It returns when
+// the entry has answered or after isolationTimeout; a failure is only counted.
 func (i *Isolation) Exchange(ctx context.Context, to btpeer.Endpoint, records btquarantine.Records) {
-	ctx, cancel := context.WithTimeout(ctx, isolationWait)
+	ctx, cancel := context.WithTimeout(ctx, isolationTimeout)
 	defer cancel()
 	o := i.bundles.options
 	message := Isolated{Digest: i.Digest(), Records: records, Suspects: i.ExportSuspects()}
@@ -89,15 +92,16 @@
 		o.Meter.Refused(reasonIsolationFailed)
 		return
 	}
-	i.Merge(answer.news(), to.Identity.String())
+	i.Merge(answer.update(), to.Identity.String())
 }
 
-// Run tells the neighbours of news until the context ends.
-func (i *Isolation) Run(ctx context.Context) { i.Isolation.Run(ctx, i.tell) }
+// Run sends new records to the neighbours until the context ends.
+func (i *Isolation) Run(ctx context.Context) { i.Isolation.Run(ctx, i.send) }
 
-// RunExchanges compares with one neighbour after the other until the context ends.
+// RunExchanges exchanges records with the neighbours in turn, one at each interval,
+// until the context ends.
 func (i *Isolation) RunExchanges(ctx context.Context) {
-	ticker := time.NewTicker(isolationEvery)
+	ticker := time.NewTicker(isolationInterval)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
 		select {
--- a/io/btprocess/listing.go
+++ b/io/btprocess/listing.go
@@ -15,19 +15,21 @@
 
 // The ways in which a bundle lists a process.
 const (
-	// Listed: by its name, at the host of its settings.
+	// Listed: the bundle has the process, on the host and in the data centre of its
+	// settings.
 	Listed Listing = "listed"
-	// Unlisted: not at all; an agent gets no work, an entry refuses its callers.
+	// Unlisted: the bundle doesn't have the process. An agent gets no work, and an entry
+	// refuses its callers.
 	Unlisted Listing = "unlisted"
-	// Misplaced: by its name, but at another host or data centre than its
-	// settings say.
+	// Misplaced: the bundle has the process, but on another host or in another data
+	// centre than its settings.
 	Misplaced Listing = "misplaced"
 )
 
-// ListingOf returns how the bundle lists a process of that identity and place,
-// and what differs.
+// ListingOf returns how the bundle lists a process with this identity, host and data
+// centre, and a description of the difference, empty for Listed.
 func ListingOf(x *btbundle.Index, self btpeer.Identity, host btid.Host, centre btid.DataCentre) (Listing, string) {
-	listedHost, listedCentre, found := placeOf(x, self)
+	listedHost, listedCentre, found := listedLocation(x, self)
 	if !found {
 		return Unlisted, fmt.Sprintf("the bundle has no %s", self)
 	}
@@ -40,7 +42,7 @@
 	return Listed, ""
 }
 
-func placeOf(x *btbundle.Index, self btpeer.Identity) (btid.Host, btid.DataCentre, bool) {
+func listedLocation(x *btbundle.Index, self btpeer.Identity) (btid.Host, btid.DataCentre, bool) {
 	if self.Role == btkeys.Entry {
 		e, found := x.Entry(btid.Entry(self.Name))
 		if !found {
@@ -55,18 +57,19 @@
 	return t.Host, t.DataCentre, true
 }
 
-// Listing returns how the bundle in force lists this process; empty while
-// nothing is in force.
+// Listing returns how the bundle in force lists this process; empty while no bundle is
+// in force.
 func (b *Bundles) Listing() Listing {
-	if now := b.current.Load(); now != nil {
-		return now.listing
+	if installed := b.current.Load(); installed != nil {
+		return installed.listing
 	}
 	return ""
 }
 
-// list returns how a bundle that comes into force lists this process, and says so where
-// it isn't as its settings have it.
-func (b *Bundles) list(a *btbundle.Approved) Listing {
+// updateListing returns how a bundle that comes into force lists this process. A change
+// is logged and recorded as a decision, unless the first bundle lists the process as its
+// settings do.
+func (b *Bundles) updateListing(a *btbundle.Approved) Listing {
 	o := b.options
 	listing, evidence := ListingOf(a.Index, b.self, o.Host, o.DataCentre)
 	before := b.Listing()
@@ -80,13 +83,13 @@
 		Subject:  b.self.String(),
 		Cause:    fmt.Sprintf("bundle %d came into force", a.Bundle.Version),
 		Evidence: evidence,
-		Expected: expected(listing, b.self.Role),
+		Expected: expectedEffect(listing, b.self.Role),
 	})
 	return listing
 }
 
-// expected tells operators what follows from a listing.
-func expected(listing Listing, role btkeys.Role) string {
+// expectedEffect describes for operators what follows from a listing.
+func expectedEffect(listing Listing, role btkeys.Role) string {
 	switch {
 	case listing == Listed:
 		return "it takes its part of the work"
--- a/io/btprocess/memory.go
+++ b/io/btprocess/memory.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// gcPercent lets the heap grow to five times what is live before it is
-	// collected. Live heaps are a few megabytes, which at the usual 100 are
-	// collected so often that it takes a fifth of the processor time.
+	// gcPercent lets the heap grow to five times its live size between collections. Live
+	// heaps are a few megabytes; at the default of 100 they are collected so often that
+	// collection takes a fifth of the processor time.
 	gcPercent = 400
-	// memoryLimit makes the collector work harder well before a process reaches
-	// the 256 MB that a node may use.
+	// memoryLimit, in bytes, makes the collector run more often well before a process
+	// reaches the 256 MB that a node may use.
 	memoryLimit = 200 << 20
 )
 
-// tuneMemory sets the collector for a process with a small live heap, unless
-// the environment says otherwise.
-func tuneMemory() {
+// configureGC sets the garbage collector for a process with a small live heap. GOGC and
+// GOMEMLIMIT in the environment take precedence.
+func configureGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
--- a/io/btprocess/neighbours.go
+++ b/io/btprocess/neighbours.go
@@ -9,21 +9,21 @@
 	"bilberrytide/io/btpeer"
 )
 
-// neighbourCount is how many entries a process keeps exchanging announcements
-// with: a bound on its connections that doesn't grow with the fleet. A random
-// graph of that many links a node stays connected when a data centre is lost.
+// neighbourCount is how many entries a process exchanges announcements with. It limits
+// the connections of a process independently of the fleet's size. A random graph with
+// three links from each node stays connected when a data centre is lost.
 const neighbourCount = 3
 
-// Neighbours returns the entries that a process exchanges announcements with:
-// one of its own data centre first, the others from anywhere, in an order that
-// differs from process to process and moves little when the fleet changes.
-func Neighbours(a *btbundle.Approved, self btpeer.Identity, place btid.DataCentre) []btpeer.Endpoint {
+// Neighbours returns the entries that a process exchanges announcements with: first one
+// of its own data centre, if it has one, then others of any data centre. Rendezvous
+// hashing gives each process its own order, which changes little when the fleet changes.
+func Neighbours(a *btbundle.Approved, self btpeer.Identity, centre btid.DataCentre) []btpeer.Endpoint {
 	var near, all []btid.Entry
 	for _, e := range a.Bundle.Entries {
 		if EntryIdentity(e.Name) == self {
 			continue
 		}
-		if e.DataCentre == place {
+		if e.DataCentre == centre {
 			near = append(near, e.Name)
 		}
 		all = append(all, e.Name)
--- a/io/btprocess/runtime.go
+++ b/io/btprocess/runtime.go
@@ -24,7 +24,7 @@
 	"bilberrytide/io/btsettings"
 )
 
-// CommonSettings are what the settings of every process hold.
+// CommonSettings are the settings that entries and agents share.
 type CommonSettings struct {
 	Host       btid.Host
 	DataCentre btid.DataCentre
@@ -32,7 +32,7 @@
 	btsettings.Tables
 }
 
-// Runtime is what every process is made of, built from its settings.
+// Runtime holds the components that every process has, built from its settings.
 type Runtime struct {
 	Keys      *btkeys.Source
 	Node      *btpeer.Node
@@ -42,18 +42,18 @@
 	Decisions *btmetric.Decisions
 	Log       *slog.Logger
 	Clock     btloop.Clock
-	// Elapsed tells the time that passes, also while the host is suspended.
+	// Elapsed is a clock that also advances while the host is suspended.
 	Elapsed btloop.Clock
 	Assert  *btassert.Asserter
 	Random  *rand.Rand
-	// StatusListener serves the pages for operators.
+	// StatusListener accepts connections to the operators' HTTP endpoints.
 	StatusListener net.Listener
 }
 
-// NewRuntime builds a process of the role from its settings; log lines go to
-// logs. The error names what could not be had.
+// NewRuntime builds the runtime of a process with this role from its settings. It writes
+// log lines to logs. The error names the setting that failed.
 func NewRuntime(role btkeys.Role, c CommonSettings, logs io.Writer) (*Runtime, error) {
-	tuneMemory()
+	configureGC()
 	log := newLog(c.Log, logs)
 	meter := btmetric.New(nil)
 	keys, err := btkeys.New(btkeys.Options{
@@ -75,8 +75,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("status.listen: %w", err)
 	}
-	clock, err := btclock.New(btclock.NewSystem(), time.Now(), func(slept time.Duration) {
-		log.Warn("host was suspended", "for_ms", slept.Milliseconds())
+	clock, err := btclock.New(btclock.NewSystem(), time.Now(), func(suspended time.Duration) {
+		log.Warn("host was suspended", "for_ms", suspended.Milliseconds())
 	})
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	return BundlesOptions{
 		DataCentre: c.DataCentre,
 		Host:       c.Host,
-		Seeds:      seedsOf(c.Peers),
+		Seeds:      seedEndpoints(c.Peers),
 		Node:       r.Node,
 		Platform:   r.Platform,
 		Key:        c.Platform.BundleKey,
@@ -112,12 +112,13 @@
 		Log:        r.Log,
 		Clock:      r.Clock,
 		Assert:     r.Assert,
-		Random:     fork(r.Random),
+		Random:     forkRandom(r.Random),
 	}
 }
 
-// seedsOf returns the entries that the settings name; their check has passed.
-func seedsOf(peers []btsettings.Peer) []btpeer.Endpoint {
+// seedEndpoints returns the endpoints of the peers in the settings, whose names have
+// been checked.
+func seedEndpoints(peers []btsettings.Peer) []btpeer.Endpoint {
 	var seeds []btpeer.Endpoint
 	for _, p := range peers {
 		if identity, err := btkeys.ParseIdentity(p.Name); err == nil {
@@ -127,9 +128,9 @@
 	return seeds
 }
 
-// ServeStatus serves the pages for operators until the context ends.
-func (r *Runtime) ServeStatus(ctx context.Context, pages http.Handler) error {
-	server := &http.Server{Handler: pages, ReadHeaderTimeout: statusHeaderWait}
+// ServeStatus serves the operators' HTTP endpoints until the context ends.
+func (r *Runtime) ServeStatus(ctx context.Context, handler http.Handler) error {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: statusHeaderTimeout}
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
@@ -141,14 +142,15 @@
 }
 
 const (
-	statusHeaderWait = 5 * time.Second
-	// closeWait bounds the last messages of a process that ends.
-	closeWait = time.Second
+	statusHeaderTimeout = 5 * time.Second
+	// closeTimeout limits how long a process that exits waits for its last messages to be
+	// received.
+	closeTimeout = time.Second
 )
 
-// Close ends the connections to other processes.
+// Close closes the connections to other processes gracefully, within closeTimeout.
 func (r *Runtime) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = r.Node.Close(ctx)
 }
@@ -161,7 +163,7 @@
 	return slog.New(slog.NewTextHandler(logs, options))
 }
 
-// newRandom returns a source seeded by the operating system.
+// newRandom returns a source that is seeded by the operating system.
 func newRandom() *rand.Rand {
 	var seed [16]byte
 	_, _ = crand.Read(seed[:])
--- a/io/btprocess/status.go
+++ b/io/btprocess/status.go
@@ -20,7 +20,7 @@
 	"bilberrytide/io/btpeer"
 )
 
-// Status is the page on which a process says how it is.
+// Status is a process's answer on /status.
 type Status struct {
 	Process     string           `json:"process"`
 	Incarnation btid.Incarnation `json:"incarnation"`
@@ -29,14 +29,14 @@
 	Ready       bool             `json:"ready"`
 	Stopping    bool             `json:"stopping"`
 	Bundle      BundleStatus     `json:"bundle"`
-	// Readers tells who reads the configuration service.
+	// Readers shows which processes read the configuration service.
 	Readers Readers `json:"readers"`
-	// Peers is what the connections to other processes amount to.
+	// Peers sums up the connections to other processes.
 	Peers btpeer.Stats `json:"peers"`
-	// CertificateDays is how many whole days this process's certificate is good
-	// for.
+	// CertificateDays is the number of whole days until this process's certificate
+	// expires.
 	CertificateDays int64 `json:"certificate_days"`
-	// Targets is what an entry knows of the targets.
+	// Targets are the targets as an entry sees them.
 	Targets []TargetStatus `json:"targets,omitempty"`
 	// Limits is an entry's share of the client accounts' limits.
 	Limits []btlimit.View `json:"limits,omitempty"`
@@ -44,18 +44,18 @@
 	Home *btclaim.Status `json:"home,omitempty"`
 	// Group is set at an agent whose target is a rank of a group.
 	Group *GroupStatus `json:"group,omitempty"`
-	// Counters lists refusals, retries, unusual picks and outcomes that have
-	// happened.
+	// Counters are the counters of refusals, retries, unusual picks, outcomes and
+	// violated invariants that aren't zero.
 	Counters  []CounterStatus     `json:"counters"`
 	Decisions []btmetric.Decision `json:"decisions"`
 }
 
-// BundleStatus is the bundle in force; version 0 for none.
+// BundleStatus describes the bundle in force. Version 0 means none.
 type BundleStatus struct {
 	Version   btid.BundleVersion `json:"version"`
 	Digest    btbundle.Digest    `json:"digest"`
 	Approvers []string           `json:"approvers"`
-	// Listing is how the bundle lists this process; empty for no bundle.
+	// Listing is how the bundle lists this process; empty if there is no bundle.
 	Listing Listing `json:"listing"`
 }
 
@@ -64,20 +64,21 @@
 	Target   btid.Target  `json:"target"`
 	Service  btid.Service `json:"service"`
 	Eligible bool         `json:"eligible"`
-	// Cause says why a target that is not eligible gets no work.
+	// Cause is why a target that is not eligible gets no work.
 	Cause    string    `json:"cause,omitempty"`
 	LeaseEnd time.Time `json:"lease_end"`
 	Running  int       `json:"running"`
 	Waiting  int       `json:"waiting"`
-	// Draining tells that the agent takes no new work for now, as while its
-	// engine is gone.
+	// Draining tells that the agent accepts no new work for now, for example while its
+	// engine is down.
 	Draining bool `json:"draining"`
-	// ReportAge is how old the load is.
+	// ReportAge is the age of the load report.
 	ReportAge time.Duration `json:"report_age"`
 	StepTime  time.Duration `json:"step_time"`
-	// CachedPrefixes is how many prefixes the target is believed to have cached.
+	// CachedPrefixes is the number of prefixes that the entry's model of the target's
+	// cache holds.
 	CachedPrefixes int `json:"cached_prefixes"`
-	// Ejected is set while the target is out of rotation.
+	// Ejected is set while the target is ejected from routing.
 	Ejected *btroute.Ejected `json:"ejected,omitempty"`
 }
 
@@ -89,7 +90,7 @@
 	Step  uint64     `json:"step"`
 	Held  bool       `json:"held"`
 	Leads bool       `json:"leads"`
-	// Skew is the slowest rank's step over the mean, minus 1, as the lead last
+	// Skew is the slowest rank's step time divided by the mean, minus 1, as the lead last
 	// measured it.
 	Skew float64 `json:"skew"`
 }
@@ -100,7 +101,7 @@
 	Count int64  `json:"count"`
 }
 
-// StatusOf fills in what every process knows.
+// StatusOf returns a Status with the fields that entries and agents share.
 func StatusOf(identity btpeer.Identity, bundles *Bundles, meter *btmetric.Meter, decisions *btmetric.Decisions) Status {
 	s := Status{
 		Process:   identity.String(),
@@ -123,12 +124,12 @@
 	return s
 }
 
-// counters returns the counters by reason that are not zero, by name.
+// counters returns the non-zero counters for the status, sorted by name.
 func counters(registry metrics.Registry) []CounterStatus {
 	found := []CounterStatus{}
 	registry.Each(func(name string, metric any) {
 		counter, ok := metric.(metrics.Counter)
-		if !ok || counter.Count() == 0 || !byReason(name) {
+		if !ok || counter.Count() == 0 || !isStatusCounter(name) {
 			return
 		}
 		found = append(found, CounterStatus{Name: name, Count: counter.Count()})
@@ -140,7 +141,7 @@
 // PrefixPicked is the prefix of the counters of unusual picks of a target.
 const PrefixPicked = "picked."
 
-func byReason(name string) bool {
+func isStatusCounter(name string) bool {
 	for _, prefix := range []string{PrefixPicked, btmetric.PrefixRefused, btmetric.PrefixRetried, btmetric.PrefixOutcome, btmetric.PrefixViolated} {
 		if strings.HasPrefix(name, prefix) {
 			return true
@@ -149,7 +150,8 @@
 	return false
 }
 
-// StatusHandler serves the pages for operators: /status, /metrics, /healthz, /readyz.
+// StatusHandler returns the handler of the operators' HTTP endpoints: /status, /metrics,
+// /healthz and /readyz.
 func StatusHandler(meter *btmetric.Meter, ready func() bool, status func() Status) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", meter)
--- a/io/btprocess/plan.go
+++ b/io/btprocess/topology.go
@@ -12,30 +12,31 @@
 
 // LocationsOf returns the locations of all targets of a bundle.
 func LocationsOf(a *btbundle.Approved) []btmember.TargetLocation {
-	places := make([]btmember.TargetLocation, 0, len(a.Bundle.Targets))
+	locations := make([]btmember.TargetLocation, 0, len(a.Bundle.Targets))
 	for i := range a.Bundle.Targets {
-		places = append(places, LocationOf(&a.Bundle.Targets[i]))
+		locations = append(locations, LocationOf(&a.Bundle.Targets[i]))
 	}
-	return places
+	return locations
 }
 
-// largeWatchers is how many entries hear an agent in a fleet that is no mesh.
-// The others hear by summaries, which cost an entry less than heartbeats do: at
-// 380 entries and 830 targets, eight watchers' heartbeats alone would take more
-// than the traffic that an entry may have. Three outlast two lost entries.
-const largeWatchers = 3
+// maxWatchersLargeFleet is how many entries receive an agent's heartbeats in a fleet
+// that is too large for a full mesh. The others receive summaries, which cost an entry
+// less: at 380 entries and 830 targets, the heartbeats of eight watchers alone would
+// exceed the control traffic that an entry may have. With three watchers, one is left
+// when two entries are lost.
+const maxWatchersLargeFleet = 3
 
-// fanOutOf returns the bounds for a fleet of so many entries.
+// fanOutOf returns the fan-out limits for a fleet with this number of entries.
 func fanOutOf(entries int) btmember.FanOut {
 	fanOut := btmember.DefaultFanOut()
 	if entries > fanOut.Watchers {
-		fanOut.Watchers = largeWatchers
+		fanOut.Watchers = maxWatchersLargeFleet
 	}
 	return fanOut
 }
 
-// TopologyOf returns who tells whom about targets, alike at every process that has
-// the bundle in force.
+// TopologyOf returns which entries receive a target's heartbeats and which entries they
+// send summaries to. All processes that have the bundle in force get the same result.
 func TopologyOf(a *btbundle.Approved) *btmember.Topology {
 	entries := make([]btmember.EntryLocation, 0, len(a.Bundle.Entries))
 	for _, e := range a.Bundle.Entries {
