--- a/io/btpeer/accept.go
+++ b/io/btpeer/accept.go
@@ -14,10 +14,9 @@
 	"bilberrytide/io/btkeys"
 )
 
-// The control stream is the one that the accepting side opens on a connection.
-// Its first byte is the greeting. Its end is the goodbye: the accepting side
-// takes no more streams, and the dialling side closes the connection when
-// those in flight are done.
+// The accepting side of a connection opens one stream on it, the control stream. Its
+// first byte is the greeting. Its end is the goodbye: the accepting side accepts no more
+// streams, and the dialling side closes the connection when those in flight have ended.
 const greeting byte = 'b'
 
 func readGreeting(control *quic.ReceiveStream) error {
@@ -31,19 +30,21 @@
 	return nil
 }
 
-// accepted is a connection that a peer has dialled.
-type accepted struct {
-	node    *Node
-	conn    *quic.Conn
-	peer    Endpoint
-	control *quic.SendStream
-	goodbye sync.Once
+// inboundConn is a connection that a peer has dialled.
+type inboundConn struct {
+	node        *Node
+	conn        *quic.Conn
+	peer        Endpoint
+	control     *quic.SendStream
+	goodbyeOnce sync.Once
 }
 
-func (a *accepted) sayGoodbye() { a.goodbye.Do(func() { _ = a.control.Close() }) }
+func (ic *inboundConn) sendGoodbye() { ic.goodbyeOnce.Do(func() { _ = ic.control.Close() }) }
 
-// admit takes a connection whose certificate the handshake has verified.
-func (n *Node) admit(conn *quic.Conn) {
+// acceptConn registers a connection whose certificate the handshake has verified, greets
+// the peer and serves its streams. It closes the connection if the node is closing or has
+// MaxConnections.
+func (n *Node) acceptConn(conn *quic.Conn) {
 	id, err := btkeys.PeerIdentity(tlsState(conn))
 	if err != nil {
 		n.counters.identity.Inc(1)
@@ -55,91 +56,92 @@
 		_ = conn.CloseWithError(closeProtocol, "control stream")
 		return
 	}
-	a := &accepted{node: n, conn: conn, control: control, peer: Endpoint{Identity: id, Address: remoteAddress(conn)}}
-	if !n.register(a) {
+	ic := &inboundConn{node: n, conn: conn, control: control, peer: Endpoint{Identity: id, Address: remoteAddress(conn)}}
+	if !n.register(ic) {
 		n.counters.connRefused.Inc(1)
 		_ = conn.CloseWithError(closeRefused, "no room")
 		return
 	}
 	n.counters.accepted.Inc(1)
 	_, _ = control.Write([]byte{greeting})
-	go a.serve()
+	go ic.serve()
 }
 
-func (n *Node) register(a *accepted) bool {
+func (n *Node) register(ic *inboundConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.closing || len(n.accepted) >= n.options.MaxConnections {
+	if n.closing || len(n.inbound) >= n.options.MaxConnections {
 		return false
 	}
-	n.accepted[a] = struct{}{}
-	n.connections.add(1)
+	n.inbound[ic] = struct{}{}
+	n.inboundCount.add(1)
 	return true
 }
 
-func (n *Node) unregister(a *accepted) {
+func (n *Node) unregister(ic *inboundConn) {
 	n.mu.Lock()
-	delete(n.accepted, a)
+	delete(n.inbound, ic)
 	n.mu.Unlock()
-	n.connections.add(-1)
+	n.inboundCount.add(-1)
 }
 
-// serve runs until the connection ends.
-func (a *accepted) serve() {
-	defer a.node.unregister(a)
+// serve accepts and serves streams until the connection or the node is closed.
+func (ic *inboundConn) serve() {
+	defer ic.node.unregister(ic)
 	for {
-		raw, err := a.conn.AcceptStream(a.node.ctx)
+		raw, err := ic.conn.AcceptStream(ic.node.ctx)
 		if err != nil {
-			_ = a.conn.CloseWithError(closeNormal, "")
+			_ = ic.conn.CloseWithError(closeNormal, "")
 			return
 		}
-		if !a.node.begin() {
-			a.node.counters.streamRefused.Inc(1)
+		if !ic.node.beginHandler() {
+			ic.node.counters.streamRefused.Inc(1)
 			raw.CancelRead(codeRefused)
 			raw.CancelWrite(codeRefused)
 			continue
 		}
-		go a.serveStream(raw)
+		go ic.serveStream(raw)
 	}
 }
 
-// begin counts a handler in, unless the node is closing.
-func (n *Node) begin() bool {
+// beginHandler counts one more handler in flight and returns true, unless the node is
+// closing.
+func (n *Node) beginHandler() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closing {
 		return false
 	}
-	n.work.add(1)
+	n.inFlight.add(1)
 	return true
 }
 
-func (a *accepted) serveStream(raw *quic.Stream) {
-	defer a.node.work.add(-1)
-	ctx, cancel := context.WithCancelCause(a.node.ctx)
+func (ic *inboundConn) serveStream(raw *quic.Stream) {
+	defer ic.node.inFlight.add(-1)
+	ctx, cancel := context.WithCancelCause(ic.node.ctx)
 	defer cancel(nil)
-	detach := context.AfterFunc(raw.Context(), func() { cancelHandler(raw, cancel) })
-	defer detach()
-	s := &Stream{node: a.node, stream: raw, peer: a.peer, ctx: ctx, accepted: true}
+	stop := context.AfterFunc(raw.Context(), func() { cancelHandler(raw, cancel) })
+	defer stop()
+	s := &Stream{node: ic.node, stream: raw, peer: ic.peer, ctx: ctx, accepted: true}
 	handler, ok := s.readOpening()
 	if !ok {
 		return
 	}
-	a.node.counters.served.Inc(1)
-	if err := s.run(handler); err != nil {
-		a.node.counters.failed.Inc(1)
-		a.node.options.Log.Debug("handler failed", "peer", a.peer.String(), "kind", string(s.kind), "error", err)
+	ic.node.counters.served.Inc(1)
+	if err := s.callHandler(handler); err != nil {
+		ic.node.counters.failed.Inc(1)
+		ic.node.options.Log.Debug("handler failed", "peer", ic.peer.String(), "kind", string(s.kind), "error", err)
 		s.reset(codeFailed)
 		return
 	}
 	_ = raw.Close()
-	if !s.ended.Load() {
+	if !s.peerEnded.Load() {
 		raw.CancelRead(codeFinished)
 	}
 }
 
-// cancelHandler ends a handler's context when the peer has cancelled the
-// stream or is gone, but not when the handler has ended its own direction.
+// cancelHandler cancels a handler's context if the peer has cancelled the stream or the
+// connection is lost, but not if the handler has ended its own direction.
 func cancelHandler(raw *quic.Stream, cancel context.CancelCauseFunc) {
 	cause := context.Cause(raw.Context())
 	var reset *quic.StreamError
@@ -150,8 +152,8 @@
 }
 
 func (s *Stream) readOpening() (Handler, bool) {
-	b := takeBuffer()
-	defer giveBuffer(b)
+	b := getBuffer()
+	defer putBuffer(b)
 	first, err := receive[opening](s, b)
 	if err != nil {
 		s.countMalformed(err)
@@ -169,9 +171,9 @@
 	return handler, true
 }
 
-// run calls the handler; a panic becomes an error, so that one request can't
-// end the process.
-func (s *Stream) run(handler Handler) (err error) {
+// callHandler calls the handler and turns a panic into an error, so that one request
+// can't crash the process.
+func (s *Stream) callHandler(handler Handler) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			s.node.counters.panicked.Inc(1)
--- a/io/btpeer/bench_test.go
+++ b/io/btpeer/bench_test.go
@@ -17,12 +17,12 @@
 	"bilberrytide/io/btpeer"
 )
 
-// The baseline of every comparison here is plain net/http over loopback TCP:
-// no encryption, no identity, one connection reused.
+// The benchmarks compare with plain net/http over loopback TCP: no encryption, no
+// identity, and connections are reused.
 
 const streamFrames = 1000
 
-// token is about the size of one streamed event of an engine.
+// token is about as large as one streamed event of an engine.
 var token = text{Text: strings.Repeat("t", 100)}
 
 func sendFrames(_ context.Context, _ btpeer.Identity, s *btpeer.Stream) error {
@@ -80,7 +80,7 @@
 	assert.NilError(b, err)
 }
 
-// BenchmarkCall makes calls one after another, then with 16 in flight for each
+// BenchmarkCall measures calls one after another, and then with 16 in flight for each
 // processor, which gives the throughput of one node.
 func BenchmarkCall(b *testing.B) {
 	const inFlight = 16
@@ -111,8 +111,8 @@
 	}
 }
 
-// BenchmarkFrozen reports how long a peer whose packets stop goes unnoticed,
-// with the default timeouts. Run it with -benchtime 5x.
+// BenchmarkFrozen reports the longest time until the loss of a peer whose packets stop is
+// detected, with the default timeouts. Run it with -benchtime 5x.
 func BenchmarkFrozen(b *testing.B) {
 	var waited time.Duration
 	for b.Loop() {
@@ -129,7 +129,7 @@
 	b.ReportMetric(waited.Seconds(), "longest-s")
 }
 
-// BenchmarkStream streams 1,000 frames of 100 bytes, each written at once.
+// BenchmarkStream streams 1,000 frames of 100 bytes, each written without delay.
 func BenchmarkStream(b *testing.B) {
 	b.Run("peer", func(b *testing.B) {
 		entry, agent := pair(b, map[btpeer.Kind]btpeer.Handler{"stream": sendFrames})
@@ -162,8 +162,8 @@
 	})
 }
 
-// BenchmarkDial calls two peers in turn with room for one connection, so that
-// each call makes a new one: handshake, greeting, call.
+// BenchmarkDial calls two peers in turn with a pool of one connection, so that each call
+// needs a new one: handshake, greeting, call.
 func BenchmarkDial(b *testing.B) {
 	f := newFleet(b)
 	entry := f.node(entryID, func(o *btpeer.Options) { o.MaxPooled = 1 })
@@ -184,9 +184,8 @@
 	assert.Equal(b, entry.count(btpeer.MetricDialled), int64(i))
 }
 
-// BenchmarkIdle reports what one idle connection costs, both of its ends
-// together, over a window of ten seconds that starts when the search for the
-// path's packet size is over. Run it with -benchtime 1x.
+// BenchmarkIdle reports the cost of one idle connection, for both ends together, over a
+// window of ten seconds that starts after path MTU discovery. Run it with -benchtime 1x.
 func BenchmarkIdle(b *testing.B) {
 	const window = 10 * time.Second
 	for _, side := range []int{3, 10, 20} {
--- a/io/btpeer/btbackoff/btbackoff.go
+++ b/io/btpeer/btbackoff/btbackoff.go
@@ -1,4 +1,4 @@
-// Package btbackoff spaces out attempts that keep failing.
+// Package btbackoff computes the waits between attempts that keep failing.
 package btbackoff
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Policy is an exponential backoff with jitter: each wait is drawn evenly from
-// the upper half of a span that doubles from First up to Last.
+// Policy is an exponential backoff with jitter: each wait is drawn uniformly from the
+// upper half of a span that doubles with each failure, from First up to Last.
 type Policy struct {
 	// First is the span after one failure.
 	First time.Duration
@@ -15,8 +15,8 @@
 	Last time.Duration
 }
 
-// Wait returns the wait after so many failures in a row, counted from 1. The
-// source of randomness may be nil for the process's own.
+// Wait returns the wait after this number of consecutive failures, which is at least 1.
+// If random is nil, the process's global source is used.
 func (p Policy) Wait(failures int, random *rand.Rand) time.Duration {
 	span := p.First
 	for i := 1; i < failures && span < p.Last; i++ {
--- a/io/btpeer/btbackoff/btbackoff_test.go
+++ b/io/btpeer/btbackoff/btbackoff_test.go
@@ -10,7 +10,9 @@
 	"bilberrytide/io/btpeer/btbackoff"
 )
 
-func TestWaitDoublesUpToTheLast(t *testing.T) {
+// TestWaitDoublesUpToLast guards against waits outside the upper half of the span, and
+// against an overflow after many failures.
+func TestWaitDoublesUpToLast(t *testing.T) {
 	p := btbackoff.Policy{First: 100 * time.Millisecond, Last: time.Second}
 	random := rand.New(rand.NewPCG(1, 2))
 	spans := []time.Duration{100, 200, 400, 800, 1000, 1000}
--- a/io/btpeer/btpeer_test.go
+++ b/io/btpeer/btpeer_test.go
@@ -12,6 +12,8 @@
 	"bilberrytide/io/btpeer"
 )
 
+// TestCallAndStream checks that a call gets its answer and that a stream delivers all
+// messages in order, over one connection.
 func TestCallAndStream(t *testing.T) {
 	const frames = 100
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{
@@ -42,6 +44,8 @@
 	assert.Equal(t, entry.count(btpeer.MetricDialled), int64(1))
 }
 
+// TestLargeMessages checks that a message of 1 MiB arrives whole, and that one over the
+// limit isn't sent.
 func TestLargeMessages(t *testing.T) {
 	entry, agent := pair(t, nil)
 	data := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
@@ -54,6 +58,8 @@
 	assert.ErrorIs(t, err, btpeer.ErrNotSent)
 }
 
+// TestReceiverRefusesOversizedMessage guards against a receiver that relies on the
+// sender's limit. The error must not satisfy NotRun.
 func TestReceiverRefusesOversizedMessage(t *testing.T) {
 	f := newFleet(t)
 	entry := f.node(entryID, nil)
@@ -91,19 +97,21 @@
 	assert.Equal(t, agent.count(btpeer.MetricServed), int64(0))
 }
 
-// A peer that doesn't trust this process must not leave it believing that a
-// request may have been run, whether or not this process trusts the peer.
-func TestStrangersAreRefused(t *testing.T) {
+// TestUntrustedPeersAreRefused guards against a caller that believes that its request may
+// have been run although the peer doesn't trust it, whether or not it trusts the peer.
+func TestUntrustedPeersAreRefused(t *testing.T) {
 	_, agent := pair(t, nil)
-	strangers := newFleet(t)
-	for _, stranger := range []*peer{strangers.node(entryID, nil), strangers.nodeTrusting(entryID, agent)} {
-		_, err := call(stranger, agent.endpoint(), text{})
+	untrusted := newFleet(t)
+	for _, p := range []*peer{untrusted.node(entryID, nil), untrusted.nodeTrusting(entryID, agent)} {
+		_, err := call(p, agent.endpoint(), text{})
 		assert.ErrorIs(t, err, btpeer.ErrIdentity)
 		assert.ErrorIs(t, err, btpeer.ErrNotSent)
 	}
 	assert.Equal(t, agent.count(btpeer.MetricServed), int64(0))
 }
 
+// TestHandlerErrorAndPanic guards against a handler's error that the caller takes for
+// proof that the request was not run, and against a panic that ends the process.
 func TestHandlerErrorAndPanic(t *testing.T) {
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{
 		"panic": func(context.Context, btpeer.Identity, *btpeer.Stream) error { panic("boom") },
@@ -112,14 +120,16 @@
 	for _, k := range []btpeer.Kind{"panic", "error"} {
 		_, err := btpeer.Call[text, text](t.Context(), entry.Node, agent.endpoint(), k, text{})
 		assert.ErrorIs(t, err, btpeer.ErrFailed)
-		assert.Assert(t, !btpeer.NotRun(err), "a handler's error must not pass for a refusal")
+		assert.Assert(t, !btpeer.NotRun(err), "a handler's error must not satisfy NotRun")
 	}
 	assert.Equal(t, agent.count(btpeer.MetricPanicked), int64(1))
 	_, err := call(entry, agent.endpoint(), text{})
 	assert.NilError(t, err)
 }
 
-func TestRotationWithoutRestart(t *testing.T) {
+// TestKeyRotationWithoutRestart guards against a change of keys that breaks streams in
+// flight or leaves new streams on a connection with the old keys.
+func TestKeyRotationWithoutRestart(t *testing.T) {
 	release := make(chan struct{})
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{
 		"slow": func(_ context.Context, _ btpeer.Identity, s *btpeer.Stream) error {
@@ -129,8 +139,8 @@
 		},
 	})
 	s := openAndReceive(t, t.Context(), entry, agent.endpoint(), "slow")
-	// Both sides move to another authority: a new connection replaces the pooled
-	// one, which goes on for the stream that it carries.
+	// Both sides move to another authority. A new connection replaces the pooled one,
+	// which stays open for its stream.
 	next := newFleet(t)
 	next.rotate(entry)
 	next.rotate(agent)
--- a/io/btpeer/codec.go
+++ b/io/btpeer/codec.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// headerBytes is the size of a frame's length.
+	// headerBytes is the size of a frame's header, which is the length of its body.
 	headerBytes = 4
-	// readStep bounds how much memory a length alone can claim: a buffer grows
-	// as the bytes it was promised arrive.
-	readStep = 64 << 10
-	// keepBuffer is the largest buffer that goes back to the pool.
-	keepBuffer = 256 << 10
-	// maxElements bounds one array or map of a message.
+	// maxReadChunk, in bytes, limits how much memory a frame's length alone can make the
+	// reader allocate: the buffer grows as the bytes arrive.
+	maxReadChunk = 64 << 10
+	// maxPooledBuffer is the capacity, in bytes, of the largest buffer that is returned to
+	// the pool.
+	maxPooledBuffer = 256 << 10
+	// maxElements limits the elements of an array or map in a message.
 	maxElements = 1 << 20
 )
 
 var (
-	encoding = btwire.EncodeMode()
-	decoding = btwire.DecodeMode(maxElements)
+	encMode = btwire.EncodeMode()
+	decMode = btwire.DecodeMode(maxElements)
 
 	buffers = newPool(func() *bytes.Buffer { return new(bytes.Buffer) })
 )
 
-// pool keeps values for reuse.
+// pool is a typed sync.Pool.
 type pool[T any] struct {
 	values sync.Pool
 }
@@ -38,25 +39,24 @@
 	return &pool[T]{values: sync.Pool{New: func() any { return make() }}}
 }
 
-func (p *pool[T]) take() T      { return p.values.Get().(T) }
-func (p *pool[T]) give(v T)     { p.values.Put(v) }
-func takeBuffer() *bytes.Buffer { return buffers.take() }
+func (p *pool[T]) get() T      { return p.values.Get().(T) }
+func (p *pool[T]) put(v T)     { p.values.Put(v) }
+func getBuffer() *bytes.Buffer { return buffers.get() }
 
-func giveBuffer(b *bytes.Buffer) {
-	if b.Cap() > keepBuffer {
+func putBuffer(b *bytes.Buffer) {
+	if b.Cap() > maxPooledBuffer {
 		return
 	}
 	b.Reset()
-	buffers.give(b)
+	buffers.put(b)
 }
 
-// appendFrame encodes the message with its length behind what b holds. On an
-// error b is as it was.
+// appendFrame appends a frame with the message to b. On an error, b is unchanged.
 func appendFrame(b *bytes.Buffer, message any, limit int) error {
 	start := b.Len()
 	var header [headerBytes]byte
 	_, _ = b.Write(header[:])
-	if err := encoding.MarshalToBuffer(message, b); err != nil {
+	if err := encMode.MarshalToBuffer(message, b); err != nil {
 		b.Truncate(start)
 		return fmt.Errorf("%w: encode %T: %v", ErrMalformed, message, err)
 	}
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// readFrame reads one frame's body into the empty buffer b. It returns io.EOF
-// where the stream ended before the frame.
+// readFrame reads one frame's body into the empty buffer b. It returns io.EOF if the
+// stream ended before the frame.
 func readFrame(r io.Reader, header *[headerBytes]byte, b *bytes.Buffer, limit int) error {
 	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return truncated(err)
+		return truncationError(err)
 	}
 	size := int64(binary.BigEndian.Uint32(header[:]))
 	if size > int64(limit) {
@@ -82,40 +82,40 @@
 	if size == 0 {
 		return fmt.Errorf("%w: empty frame", ErrMalformed)
 	}
-	for left := int(size); left > 0; {
-		step := min(left, readStep)
-		b.Grow(step)
-		part := b.AvailableBuffer()[:step]
-		if _, err := io.ReadFull(r, part); err != nil {
+	for remaining := int(size); remaining > 0; {
+		chunk := min(remaining, maxReadChunk)
+		b.Grow(chunk)
+		buffer := b.AvailableBuffer()[:chunk]
+		if _, err := io.ReadFull(r, buffer); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
-			return truncated(err)
+			return truncationError(err)
 		}
-		_, _ = b.Write(part)
-		left -= step
+		_, _ = b.Write(buffer)
+		remaining -= chunk
 	}
 	return nil
 }
 
-func truncated(err error) error {
+func truncationError(err error) error {
 	if err == io.ErrUnexpectedEOF {
 		return fmt.Errorf("%w: the stream ended inside a frame", ErrMalformed)
 	}
 	return err
 }
 
-// decode reads one CBOR item and lets the message check itself. Whatever the
-// bytes are, the result is a valid message or an error wrapping ErrMalformed.
+// decode decodes one CBOR item and validates the message. Any bytes give either a valid
+// message or an error that wraps ErrMalformed.
 func decode[T Validator](data []byte) (message T, err error) {
 	defer func() {
-		// A check may panic on a shape it didn't think of, such as null for a
-		// pointer; a peer's bytes must never end the process.
+		// Validate may panic on a value that it doesn't expect, such as null for a
+		// pointer. Bytes from a peer must never crash the process.
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%w: %T: %v", ErrMalformed, message, cause)
 		}
 	}()
-	if err := decoding.Unmarshal(data, &message); err != nil {
+	if err := decMode.Unmarshal(data, &message); err != nil {
 		return message, fmt.Errorf("%w: %T: %v", ErrMalformed, message, err)
 	}
 	if err := message.Validate(); err != nil {
@@ -124,10 +124,10 @@
 	return message, nil
 }
 
-// opening is the first frame of every stream.
+// opening is the first message on every stream.
 type opening struct {
 	Kind Kind `cbor:"kind"`
 }
 
-// Validate reports a kind that can't be one.
+// Validate returns an error if the kind isn't a valid name.
 func (o opening) Validate() error { return o.Kind.Validate() }
--- a/io/btpeer/codec_test.go
+++ b/io/btpeer/codec_test.go
@@ -18,8 +18,8 @@
 
 const limit = 1 << 16
 
-// rich has a field of each shape that messages are made of.
-type rich struct {
+// allShapes has a field of each type that occurs in messages.
+type allShapes struct {
 	Name    string            `cbor:"name"`
 	Number  uint64            `cbor:"number"`
 	Signed  int64             `cbor:"signed"`
@@ -38,10 +38,10 @@
 	Text []string `cbor:"text"`
 }
 
-// Validate follows the pointer without looking, as a careless check would.
-func (r rich) Validate() error { return r.Request.Validate() }
+// Validate dereferences the pointer without a check for nil, as a faulty message might.
+func (r allShapes) Validate() error { return r.Request.Validate() }
 
-var sample = rich{
+var sample = allShapes{
 	Name: "t1", Number: 1 << 63, Signed: -5, Share: 0.25, Set: true, Data: []byte{0, 1},
 	At: time.Date(2024, 5, 6, 7, 8, 9, 123456789, time.UTC), Wait: time.Second,
 	Digest: btbundle.DigestOf([]byte("x")), Request: &btid.Request{Entry: "e1", Incarnation: 1, Number: 2},
@@ -51,13 +51,14 @@
 func TestFrameRoundTrip(t *testing.T) {
 	frame, err := btpeer.EncodeFrame(sample, limit)
 	assert.NilError(t, err)
-	got, err := btpeer.DecodeFrame[rich](iotest.OneByteReader(bytes.NewReader(frame)), limit)
+	got, err := btpeer.DecodeFrame[allShapes](iotest.OneByteReader(bytes.NewReader(frame)), limit)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, sample)
 }
 
-// A decoded message must not share memory with a buffer that is used again.
-func TestDecodedMessagesOwnTheirBytes(t *testing.T) {
+// TestDecodedMessageSharesNoBuffer guards against a decoded message that changes when the
+// pooled buffer it was read into is reused.
+func TestDecodedMessageSharesNoBuffer(t *testing.T) {
 	for i := range 100 {
 		want := bytes.Repeat([]byte{byte(i)}, 100)
 		frame, err := btpeer.EncodeFrame(text{Data: want}, limit)
@@ -99,15 +100,15 @@
 		"null to pointer": "\x00\x00\x00\x01\xf6",
 	}
 	for name, data := range cases {
-		_, err := btpeer.DecodeFrame[rich](bytes.NewReader([]byte(data)), limit)
+		_, err := btpeer.DecodeFrame[allShapes](bytes.NewReader([]byte(data)), limit)
 		assert.ErrorIs(t, err, btpeer.ErrMalformed, name)
 	}
 	_, err := btpeer.DecodeFrame[text](bytes.NewReader(nil), limit)
 	assert.Equal(t, err, io.EOF)
 }
 
-// FuzzDecode checks that any bytes give a valid message or an error of the
-// layer, and never a panic.
+// FuzzDecode checks that any bytes give a valid message, io.EOF or ErrMalformed, and never
+// a panic.
 func FuzzDecode(f *testing.F) {
 	frame, err := btpeer.EncodeFrame(sample, limit)
 	assert.NilError(f, err)
@@ -117,15 +118,15 @@
 	f.Add([]byte("\x00\x00\x00\x09\x9b\x7f\xff\xff\xff\xff\xff\xff\xff"))
 	f.Add([]byte("\x00\x00\xff\xff\x81\x81\x81\x81"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		got, err := btpeer.DecodeFrame[rich](bytes.NewReader(data), limit)
+		got, err := btpeer.DecodeFrame[allShapes](bytes.NewReader(data), limit)
 		if err != nil {
 			if err != io.EOF && !errors.Is(err, btpeer.ErrMalformed) {
-				t.Fatalf("error of another layer: %v", err)
+				t.Fatalf("error is neither io.EOF nor ErrMalformed: %v", err)
 			}
 			return
 		}
 		if err := got.Validate(); err != nil {
-			t.Fatalf("accepted, but %v", err)
+			t.Fatalf("invalid message accepted: %v", err)
 		}
 	})
 }
--- a/io/btpeer/dial.go
+++ b/io/btpeer/dial.go
@@ -13,30 +13,30 @@
 	"github.com/quic-go/quic-go"
 )
 
-// sweepsPerIdle is how many times the pool is looked through in the time that
-// an unused connection is kept.
-const sweepsPerIdle = 4
+// sweepsPerIdleTime is how many times the pool is searched for idle connections within
+// Options.PoolIdle.
+const sweepsPerIdleTime = 4
 
 type connectFunc func(ctx context.Context, to Endpoint) (*quic.Conn, *quic.ReceiveStream, error)
 
-// dialler keeps one connection for each peer that was asked for lately.
+// dialler dials peers and pools one connection to each.
 type dialler struct {
 	ctx      context.Context
 	options  Options
 	counters *counters
 	connect  connectFunc
 
-	mu    sync.Mutex
-	links map[Endpoint]*link
-	// live holds every connected link, the retired ones included.
-	live   map[*link]struct{}
-	waits  map[Endpoint]wait
-	closed bool
+	mu   sync.Mutex
+	pool map[Endpoint]*pooledConn
+	// connectedSet holds all open connections, including retired ones.
+	connectedSet map[*pooledConn]struct{}
+	backoffs     map[Endpoint]redialBackoff
+	closed       bool
 }
 
-// link is a dialled connection, or one being dialled. All fields but ready,
-// and conn and err after it is closed, are guarded by the dialler's lock.
-type link struct {
+// pooledConn is a dialled connection, or one that is being dialled. The dialler's mu
+// guards all fields except ready, and conn and err once ready is closed.
+type pooledConn struct {
 	to         Endpoint
 	generation uint64
 	ready      chan struct{}
@@ -44,241 +44,243 @@
 	err        error
 
 	streams  int
-	usedLast time.Time
-	// retired links get no new streams and close with their last one.
+	lastUsed time.Time
+	// retired connections get no new streams and are closed with their last one.
 	retired bool
 }
 
-// wait is the backoff after failures in a row to connect.
-type wait struct {
+// redialBackoff is the backoff after consecutive failures to connect to a peer.
+type redialBackoff struct {
 	failures int
 	until    time.Time
 }
 
 func newDialler(ctx context.Context, o Options, c *counters, connect connectFunc) *dialler {
 	return &dialler{
-		ctx:      ctx,
-		options:  o,
-		counters: c,
-		connect:  connect,
-		links:    make(map[Endpoint]*link),
-		live:     make(map[*link]struct{}),
-		waits:    make(map[Endpoint]wait),
+		ctx:          ctx,
+		options:      o,
+		counters:     c,
+		connect:      connect,
+		pool:         make(map[Endpoint]*pooledConn),
+		connectedSet: make(map[*pooledConn]struct{}),
+		backoffs:     make(map[Endpoint]redialBackoff),
 	}
 }
 
-// take returns a ready link, counted as having one more stream. Callers that
-// come while the peer is being dialled share that attempt. Links made with
-// older keys than the generation are replaced.
-func (d *dialler) take(ctx context.Context, to Endpoint, generation uint64) (*link, error) {
-	l, err := d.find(to, generation)
+// acquire returns an open connection with its number of streams increased by one.
+// Callers that come while the peer is being dialled share that attempt. A connection made
+// with the keys of another generation is replaced. Errors wrap ErrNotSent.
+func (d *dialler) acquire(ctx context.Context, to Endpoint, generation uint64) (*pooledConn, error) {
+	pc, err := d.findOrDial(to, generation)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case <-l.ready:
+	case <-pc.ready:
 	case <-ctx.Done():
-		d.release(l)
+		d.release(pc)
 		return nil, fmt.Errorf("%w: dial %s: %w", ErrNotSent, to, context.Cause(ctx))
 	}
-	if l.err != nil {
-		d.release(l)
-		return nil, l.err
+	if pc.err != nil {
+		d.release(pc)
+		return nil, pc.err
 	}
-	return l, nil
+	return pc, nil
 }
 
-func (d *dialler) find(to Endpoint, generation uint64) (*link, error) {
+func (d *dialler) findOrDial(to Endpoint, generation uint64) (*pooledConn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, ErrClosed)
 	}
-	l, found := d.links[to]
-	if found && l.generation != generation {
-		d.retire(l)
+	pc, found := d.pool[to]
+	if found && pc.generation != generation {
+		d.retireLocked(pc)
 		found = false
 	}
 	if found {
-		l.streams++
-		return l, nil
+		pc.streams++
+		return pc, nil
 	}
 	now := time.Now()
-	if w := d.waits[to]; now.Before(w.until) {
+	if bo := d.backoffs[to]; now.Before(bo.until) {
 		d.counters.backedOff.Inc(1)
 		return nil, fmt.Errorf("%w: dial %s: next attempt in %s after %d failures",
-			ErrNotSent, to, w.until.Sub(now).Round(time.Millisecond), w.failures)
+			ErrNotSent, to, bo.until.Sub(now).Round(time.Millisecond), bo.failures)
 	}
-	d.makeRoom()
-	l = &link{to: to, generation: generation, ready: make(chan struct{}), streams: 1}
-	d.links[to] = l
-	go d.dial(l)
-	return l, nil
+	d.evictLocked()
+	pc = &pooledConn{to: to, generation: generation, ready: make(chan struct{}), streams: 1}
+	d.pool[to] = pc
+	go d.dial(pc)
+	return pc, nil
 }
 
-func (d *dialler) dial(l *link) {
+func (d *dialler) dial(pc *pooledConn) {
 	ctx, cancel := context.WithTimeout(d.ctx, d.options.DialTimeout)
 	defer cancel()
-	conn, control, err := d.connect(ctx, l.to)
+	conn, control, err := d.connect(ctx, pc.to)
 	d.mu.Lock()
 	if err != nil {
-		d.failed(l, err)
+		d.dialFailed(pc, err)
 	} else {
-		d.succeeded(l, conn)
+		d.dialSucceeded(pc, conn)
 	}
-	close(l.ready)
+	close(pc.ready)
 	d.mu.Unlock()
 	if err != nil {
-		d.options.Log.Info("dial failed", "peer", l.to.String(), "error", err)
+		d.options.Log.Info("dial failed", "peer", pc.to.String(), "error", err)
 		return
 	}
-	d.watch(l, control)
+	d.watchControl(pc, control)
 }
 
-// succeeded is called with the lock held. The link may have been retired
-// meanwhile, by new keys or by close.
-func (d *dialler) succeeded(l *link, conn *quic.Conn) {
-	l.conn = conn
-	l.usedLast = time.Now()
-	d.live[l] = struct{}{}
+// dialSucceeded records a new connection. It is called with mu held. The connection may
+// have been retired while it was dialled, because of new keys or by close.
+func (d *dialler) dialSucceeded(pc *pooledConn, conn *quic.Conn) {
+	pc.conn = conn
+	pc.lastUsed = time.Now()
+	d.connectedSet[pc] = struct{}{}
 	context.AfterFunc(conn.Context(), func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		delete(d.live, l)
+		delete(d.connectedSet, pc)
 	})
-	delete(d.waits, l.to)
+	delete(d.backoffs, pc.to)
 	d.counters.dialled.Inc(1)
-	d.closeIfDone(l)
+	d.closeIfUnusedLocked(pc)
 }
 
-// failed is called with the lock held.
-func (d *dialler) failed(l *link, err error) {
-	l.err = dialError(l.to, err)
+// dialFailed records the error and sets the backoff. It is called with mu held.
+func (d *dialler) dialFailed(pc *pooledConn, err error) {
+	pc.err = dialError(pc.to, err)
 	d.counters.dialFailed.Inc(1)
-	if errors.Is(l.err, ErrIdentity) {
+	if errors.Is(pc.err, ErrIdentity) {
 		d.counters.identity.Inc(1)
 	}
-	w := d.waits[l.to]
-	w.failures++
-	w.until = time.Now().Add(d.options.Redial.Wait(w.failures, nil))
-	d.waits[l.to] = w
-	d.retire(l)
+	bo := d.backoffs[pc.to]
+	bo.failures++
+	bo.until = time.Now().Add(d.options.Redial.Wait(bo.failures, nil))
+	d.backoffs[pc.to] = bo
+	d.retireLocked(pc)
 }
 
-// watch reads the control stream until the peer says goodbye or is gone.
-func (d *dialler) watch(l *link, control *quic.ReceiveStream) {
+// watchControl reads the control stream until the peer's goodbye or the loss of the
+// connection, and then retires the connection.
+func (d *dialler) watchControl(pc *pooledConn, control *quic.ReceiveStream) {
 	_, err := control.Read(make([]byte, 1))
-	if err != io.EOF && d.ctx.Err() == nil && l.conn.Context().Err() != nil && !wasClosedHere(err) {
+	if err != io.EOF && d.ctx.Err() == nil && pc.conn.Context().Err() != nil && !isLocalClose(err) {
 		d.counters.lost.Inc(1)
-		d.options.Log.Info("connection lost", "peer", l.to.String(), "error", err)
+		d.options.Log.Info("connection lost", "peer", pc.to.String(), "error", err)
 	}
-	d.drop(l)
+	d.retireConn(pc)
 }
 
-func wasClosedHere(err error) bool {
+func isLocalClose(err error) bool {
 	var closed *quic.ApplicationError
 	return errors.As(err, &closed) && !closed.Remote
 }
 
-// release counts a stream out.
-func (d *dialler) release(l *link) {
+// release decreases the number of streams of a connection.
+func (d *dialler) release(pc *pooledConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l.streams--
-	l.usedLast = time.Now()
-	d.closeIfDone(l)
+	pc.streams--
+	pc.lastUsed = time.Now()
+	d.closeIfUnusedLocked(pc)
 }
 
-// drop takes a link out of the pool.
-func (d *dialler) drop(l *link) {
+// retireConn removes a connection from the pool.
+func (d *dialler) retireConn(pc *pooledConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.retire(l)
+	d.retireLocked(pc)
 }
 
-// retire is called with the lock held.
-func (d *dialler) retire(l *link) {
-	if d.links[l.to] == l {
-		delete(d.links, l.to)
+// retireLocked removes a connection from the pool, and closes it if it has no streams. It
+// is called with mu held.
+func (d *dialler) retireLocked(pc *pooledConn) {
+	if d.pool[pc.to] == pc {
+		delete(d.pool, pc.to)
 	}
-	l.retired = true
-	d.closeIfDone(l)
+	pc.retired = true
+	d.closeIfUnusedLocked(pc)
 }
 
-func (d *dialler) closeIfDone(l *link) {
-	if l.retired && l.streams == 0 && l.conn != nil {
-		// Closing waits for the connection's own goroutine, which may be about to
-		// take the lock.
-		go func() { _ = l.conn.CloseWithError(closeNormal, "") }()
+func (d *dialler) closeIfUnusedLocked(pc *pooledConn) {
+	if pc.retired && pc.streams == 0 && pc.conn != nil {
+		// In a goroutine, because closing waits for the connection's own goroutine,
+		// which may be about to lock mu.
+		go func() { _ = pc.conn.CloseWithError(closeNormal, "") }()
 	}
 }
 
-// makeRoom retires the link without streams that was used longest ago, where
-// the pool is full. It is called with the lock held.
-func (d *dialler) makeRoom() {
-	if len(d.links) < d.options.MaxPooled {
+// evictLocked retires the least recently used connection without streams if the pool is
+// full. It is called with mu held.
+func (d *dialler) evictLocked() {
+	if len(d.pool) < d.options.MaxPooled {
 		return
 	}
-	var oldest *link
-	for _, l := range d.links {
-		if l.streams == 0 && (oldest == nil || l.usedLast.Before(oldest.usedLast)) {
-			oldest = l
+	var oldest *pooledConn
+	for _, pc := range d.pool {
+		if pc.streams == 0 && (oldest == nil || pc.lastUsed.Before(oldest.lastUsed)) {
+			oldest = pc
 		}
 	}
 	if oldest != nil {
-		d.retire(oldest)
+		d.retireLocked(oldest)
 	}
 }
 
-// sweep closes links that were not used for a while, until the node is closed.
-func (d *dialler) sweep() {
-	ticker := time.NewTicker(max(d.options.PoolIdle/sweepsPerIdle, time.Millisecond))
+// runSweeps retires idle connections at intervals until the node is closed.
+func (d *dialler) runSweeps() {
+	ticker := time.NewTicker(max(d.options.PoolIdle/sweepsPerIdleTime, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
 		case <-d.ctx.Done():
 			return
 		case now := <-ticker.C:
-			d.sweepOnce(now)
+			d.sweep(now)
 		}
 	}
 }
 
-func (d *dialler) sweepOnce(now time.Time) {
+func (d *dialler) sweep(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, l := range d.links {
-		if l.streams == 0 && now.Sub(l.usedLast) >= d.options.PoolIdle {
-			d.retire(l)
+	for _, pc := range d.pool {
+		if pc.streams == 0 && now.Sub(pc.lastUsed) >= d.options.PoolIdle {
+			d.retireLocked(pc)
 		}
 	}
-	for to, w := range d.waits {
-		if now.Sub(w.until) >= d.options.PoolIdle {
-			delete(d.waits, to)
+	for to, bo := range d.backoffs {
+		if now.Sub(bo.until) >= d.options.PoolIdle {
+			delete(d.backoffs, to)
 		}
 	}
 }
 
-// cut closes every connection at once; close comes before it.
-func (d *dialler) cut() {
-	for _, l := range d.connected() {
-		_ = l.conn.CloseWithError(closeNormal, "")
+// closeAll closes every connection at once. It is called after close.
+func (d *dialler) closeAll() {
+	for _, pc := range d.connected() {
+		_ = pc.conn.CloseWithError(closeNormal, "")
 	}
 }
 
-// connected returns the links that are up, the retired ones included.
-func (d *dialler) connected() []*link {
+// connected returns the open connections, including retired ones.
+func (d *dialler) connected() []*pooledConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Collect(maps.Keys(d.live))
+	return slices.Collect(maps.Keys(d.connectedSet))
 }
 
-// close retires every link; those with streams close with the last one.
+// close retires every connection. Those with streams are closed with their last one.
 func (d *dialler) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.closed = true
-	for _, l := range d.links {
-		d.retire(l)
+	for _, pc := range d.pool {
+		d.retireLocked(pc)
 	}
 }
--- a/io/btpeer/errors.go
+++ b/io/btpeer/errors.go
@@ -11,30 +11,30 @@
 )
 
 var (
-	// ErrNotSent means that provably no byte of the request has left this
-	// process towards the peer.
+	// ErrNotSent means that it is certain that no byte of the request has been sent to
+	// the peer.
 	ErrNotSent = errors.New("not sent")
-	// ErrRefused means that the peer has turned the stream away before any
-	// handler saw it: it is closing, or has no room.
+	// ErrRefused means that the peer has rejected the stream before calling a handler,
+	// because it is closing.
 	ErrRefused = errors.New("refused by peer")
-	// ErrUnknownKind means that the peer has no handler for the stream's kind;
-	// no handler saw the request.
+	// ErrUnknownKind means that the peer has no handler for the stream's kind, so that no
+	// handler received the request.
 	ErrUnknownKind = errors.New("unknown kind")
-	// ErrLost means that contact was lost after something was sent.
+	// ErrLost means that the connection or stream was lost after something was sent.
 	ErrLost = errors.New("contact lost")
-	// ErrFailed means that the peer's handler ended with an error of its own.
+	// ErrFailed means that the peer's handler returned an error or panicked.
 	ErrFailed = errors.New("failed at peer")
-	// ErrFinished means that the peer's handler has returned and reads no more;
-	// what it sent before can still be received.
+	// ErrFinished means that the peer's handler has returned and reads no more. What it
+	// sent before can still be received.
 	ErrFinished = errors.New("finished at peer")
-	// ErrMalformed means that bytes could not be decoded, by this side or by the
-	// peer, or that a message did not pass its own check.
+	// ErrMalformed means that this side or the peer could not decode a message, or that
+	// its Validate returned an error.
 	ErrMalformed = errors.New("malformed message")
-	// ErrTooLarge means that a message is larger than the limit. Errors about
-	// received messages wrap ErrMalformed as well.
+	// ErrTooLarge means that a message is larger than the limit. For received messages the
+	// error also wraps ErrMalformed.
 	ErrTooLarge = errors.New("message too large")
-	// ErrIdentity means that the process at the address is not the one that the
-	// endpoint names, or is not trusted.
+	// ErrIdentity means that the process at the address has another identity than the
+	// endpoint, or that one of the two processes doesn't trust the other.
 	ErrIdentity = errors.New("peer identity refused")
 	// ErrClosed means that this node is closed.
 	ErrClosed = errors.New("node closed")
@@ -42,13 +42,13 @@
 	ErrListen = errors.New("cannot listen")
 )
 
-// NotRun tells whether the error proves that no handler of the peer saw the
-// request, so that it may be sent again elsewhere whatever it is.
+// NotRun reports whether the error proves that no handler of the peer received the
+// request. Any request may then be sent again elsewhere, even if it isn't idempotent.
 func NotRun(err error) bool {
 	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknownKind)
 }
 
-// Codes on the wire: why a stream was reset, or a connection closed.
+// Codes on the wire that tell why a stream was reset or a connection was closed.
 const (
 	codeCancelled   quic.StreamErrorCode = 1
 	codeFinished    quic.StreamErrorCode = 2
@@ -62,9 +62,9 @@
 	closeProtocol quic.ApplicationErrorCode = 2
 )
 
-// resetClass maps the peer's reason for resetting a stream. codeRefused and
-// codeUnknownKind are only ever sent before a handler is called.
-func resetClass(code quic.StreamErrorCode) error {
+// resetError returns the error for the code with which the peer reset a stream. Peers
+// send codeRefused and codeUnknownKind only before they call a handler.
+func resetError(code quic.StreamErrorCode) error {
 	switch code {
 	case codeFinished:
 		return ErrFinished
@@ -81,33 +81,35 @@
 	}
 }
 
-// convert turns an error of the QUIC library into one of this package.
-func (s *Stream) convert(operation string, err error) error {
+// wrapError turns an error of the QUIC library into one that wraps an error of this
+// package.
+func (s *Stream) wrapError(operation string, err error) error {
 	if errors.Is(err, ErrMalformed) {
 		return fmt.Errorf("%s %s with %s: %w", operation, s.kind, s.peer, err)
 	}
 	var reset *quic.StreamError
 	if errors.As(err, &reset) && reset.Remote {
 		return fmt.Errorf("%w: %s %s with %s: reset with code %d",
-			resetClass(reset.ErrorCode), operation, s.kind, s.peer, reset.ErrorCode)
+			resetError(reset.ErrorCode), operation, s.kind, s.peer, reset.ErrorCode)
 	}
-	class := ErrLost
-	if s.unsent() {
-		class = ErrNotSent
+	sentinel := ErrLost
+	if s.nothingSent() {
+		sentinel = ErrNotSent
 	}
 	if s.ctx.Err() != nil {
-		return fmt.Errorf("%w: %s %s with %s: %w", class, operation, s.kind, s.peer, context.Cause(s.ctx))
+		return fmt.Errorf("%w: %s %s with %s: %w", sentinel, operation, s.kind, s.peer, context.Cause(s.ctx))
 	}
-	return fmt.Errorf("%w: %s %s with %s: %v", class, operation, s.kind, s.peer, err)
+	return fmt.Errorf("%w: %s %s with %s: %v", sentinel, operation, s.kind, s.peer, err)
 }
 
-// dialError converts an error of connecting; nothing of a request was sent.
+// dialError turns an error of dialling into one that wraps ErrNotSent: no part of a
+// request was sent.
 func dialError(to Endpoint, err error) error {
-	var alert *quic.TransportError
+	var transportErr *quic.TransportError
 	switch {
 	case errors.Is(err, btkeys.ErrIdentity), errors.Is(err, btkeys.ErrUntrusted):
 		return fmt.Errorf("%w: dial %s: %w: %v", ErrNotSent, to, ErrIdentity, err)
-	case errors.As(err, &alert) && alert.Remote && alert.ErrorCode.IsCryptoError():
+	case errors.As(err, &transportErr) && transportErr.Remote && transportErr.ErrorCode.IsCryptoError():
 		return fmt.Errorf("%w: dial %s: %w: the peer refused this process: %v", ErrNotSent, to, ErrIdentity, err)
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		return fmt.Errorf("%w: dial %s: %w", ErrNotSent, to, err)
--- a/io/btpeer/export_test.go
+++ b/io/btpeer/export_test.go
@@ -8,8 +8,8 @@
 // DecodeFrame reads and decodes one frame, as Receive does, for tests of the
 // codec without a connection.
 func DecodeFrame[T Validator](r io.Reader, limit int) (T, error) {
-	b := takeBuffer()
-	defer giveBuffer(b)
+	b := getBuffer()
+	defer putBuffer(b)
 	var header [headerBytes]byte
 	if err := readFrame(r, &header, b, limit); err != nil {
 		var none T
--- a/io/btpeer/failure_test.go
+++ b/io/btpeer/failure_test.go
@@ -13,7 +13,9 @@
 	"bilberrytide/io/btpeer"
 )
 
-func TestDialFailureIsNotSentThenBacksOff(t *testing.T) {
+// TestDialFailureIsNotSentAndBacksOff guards against calls to an unreachable peer that
+// each wait for a dial: after the first failure they must fail at once with ErrNotSent.
+func TestDialFailureIsNotSentAndBacksOff(t *testing.T) {
 	f := newFleet(t)
 	entry := f.node(entryID, func(o *btpeer.Options) {
 		o.DialTimeout = 50 * time.Millisecond
@@ -41,7 +43,7 @@
 	})
 	spare := f.node(agentID, nil)
 	to := spare.endpoint()
-	kill(spare.Node)
+	closeAbruptly(spare.Node)
 	_, err := call(entry, to, text{})
 	assert.ErrorIs(t, err, btpeer.ErrNotSent)
 
@@ -54,7 +56,8 @@
 	assert.NilError(t, err)
 }
 
-// A frozen peer is one whose packets stop: nothing tells the caller but time.
+// TestFrozenPeerMidStreamIsLost guards against a stream that hangs when the peer's
+// packets stop: only the idle timeout tells the caller and the handler.
 func TestFrozenPeerMidStreamIsLost(t *testing.T) {
 	f := newFleet(t)
 	ended := make(chan error, 1)
@@ -74,9 +77,9 @@
 	assert.ErrorIs(t, <-ended, btpeer.ErrLost)
 }
 
-// The restarted process answers packets of the earlier life's connections with
-// a reset, so that the caller hears of it at once and not by silence: with the
-// timeouts of this test, silence would take an hour.
+// TestRestartedPeerIsNoticedAtOnce guards against a restart that callers detect only by
+// the idle timeout, an hour in this test. The restarted process answers packets of its
+// predecessor's connections with a stateless reset.
 func TestRestartedPeerIsNoticedAtOnce(t *testing.T) {
 	f := newFleet(t)
 	entry := f.node(entryID, func(o *btpeer.Options) {
@@ -89,17 +92,17 @@
 	r := newRelay(t, agent.Address())
 	s := openAndReceive(t, t.Context(), entry, btpeer.Endpoint{Identity: agentID, Address: r.address()}, "hold")
 
-	r.setFrozen(true) // so that the first life's last packet is not heard
-	kill(agent.Node)
+	r.setFrozen(true) // drops the first process's last packet
+	closeAbruptly(agent.Node)
 	again, err := btpeer.New(btpeer.Options{Listen: agent.Address(), Keys: agent.keys})
 	assert.NilError(t, err)
-	defer kill(again)
+	defer closeAbruptly(again)
 	r.setFrozen(false)
 	_, err = btpeer.Receive[text](s)
 	assert.ErrorIs(t, err, btpeer.ErrLost)
 }
 
-func TestCancelReachesThePeer(t *testing.T) {
+func TestCancelReachesPeer(t *testing.T) {
 	ended := make(chan error, 1)
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{"hold": holdAfterFirst(ended)})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -111,6 +114,8 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
+// TestCancelledBeforeSendIsNotSent guards against a cancellation before the first byte,
+// or while no connection is open, that is reported as a possibly run request.
 func TestCancelledBeforeSendIsNotSent(t *testing.T) {
 	entry, agent := pair(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -124,6 +129,8 @@
 	assert.ErrorIs(t, err, btpeer.ErrNotSent)
 }
 
+// TestGracefulCloseFinishesStreams guards against a Close that cuts off streams in flight
+// or returns before the peer has received the last message.
 func TestGracefulCloseFinishesStreams(t *testing.T) {
 	const size = 1 << 20
 	release := make(chan struct{})
@@ -137,7 +144,7 @@
 	s := openAndReceive(t, t.Context(), entry, agent.endpoint(), "slow")
 	closed := make(chan error, 1)
 	go func() { closed <- agent.Close(context.Background()) }()
-	// New work is turned away while the stream in flight goes on.
+	// New calls are refused while the stream in flight continues.
 	var err error
 	for err == nil {
 		_, err = call(entry, agent.endpoint(), text{})
@@ -152,7 +159,7 @@
 	assert.NilError(t, <-closed)
 }
 
-func TestCloseIsBoundedByItsContext(t *testing.T) {
+func TestCloseIsLimitedByContext(t *testing.T) {
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{"hold": holdAfterFirst(nil)})
 	s := openAndReceive(t, t.Context(), entry, agent.endpoint(), "hold")
 	ctx, cancel := context.WithCancelCause(t.Context())
--- a/io/btpeer/fixture_test.go
+++ b/io/btpeer/fixture_test.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// fleet issues keys and starts nodes that end with the test.
+// fleet issues keys and starts nodes, which are closed when the test ends.
 type fleet struct {
 	tb        testing.TB
 	authority *btkeys.Authority
@@ -76,7 +76,7 @@
 	return metrics.GetOrRegisterCounter(name, p.registry).Count()
 }
 
-// node makes a node; handlers may be added before serve.
+// node returns a node. Handlers may be added until serve is called.
 func (f *fleet) node(id btpeer.Identity, change func(*btpeer.Options)) *peer {
 	f.tb.Helper()
 	p := &peer{registry: metrics.NewRegistry(), keys: f.keys(id)}
@@ -87,7 +87,7 @@
 	node, err := btpeer.New(o)
 	assert.NilError(f.tb, err)
 	p.Node = node
-	f.tb.Cleanup(func() { kill(node) })
+	f.tb.Cleanup(func() { closeAbruptly(node) })
 	return p
 }
 
@@ -95,12 +95,12 @@
 	var group sync.WaitGroup
 	group.Go(func() { assert.Check(f.tb, p.Serve(context.Background())) })
 	f.tb.Cleanup(group.Wait)
-	// Cleanups run last first: the node has to be closed before the wait.
-	f.tb.Cleanup(func() { kill(p.Node) })
+	// Cleanups run in reverse order: the node must be closed before the wait.
+	f.tb.Cleanup(func() { closeAbruptly(p.Node) })
 }
 
-// holdAfterFirst sends one message, then waits for its context's end, whose
-// cause it passes to ended.
+// holdAfterFirst returns a handler that sends one message, waits until its context ends
+// and sends the cause to ended.
 func holdAfterFirst(ended chan<- error) btpeer.Handler {
 	return func(ctx context.Context, _ btpeer.Identity, s *btpeer.Stream) error {
 		if err := btpeer.Send(s, text{Text: "first"}); err != nil {
@@ -127,13 +127,13 @@
 	return s
 }
 
-// call makes one call of the echo.
+// call calls the peer's echo handler.
 func call(from *peer, to btpeer.Endpoint, request text) (text, error) {
 	return btpeer.Call[text, text](context.Background(), from.Node, to, kindEcho, request)
 }
 
-// kill closes a node abruptly.
-func kill(n *btpeer.Node) {
+// closeAbruptly closes a node without waiting for what is in flight.
+func closeAbruptly(n *btpeer.Node) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = n.Close(ended)
@@ -155,7 +155,7 @@
 	return entry, agent
 }
 
-// relay forwards datagrams between one client and a server until it is cut.
+// relay forwards datagrams between one client and a server, except while it is frozen.
 type relay struct {
 	front, back *net.UDPConn
 	frozen      atomic.Bool
@@ -186,14 +186,14 @@
 		if err != nil {
 			return
 		}
-		once.Do(func() { go r.backward(client) })
+		once.Do(func() { go r.forwardBack(client) })
 		if !r.frozen.Load() {
 			_, _ = r.back.Write(data[:n])
 		}
 	}
 }
 
-func (r *relay) backward(client netip.AddrPort) {
+func (r *relay) forwardBack(client netip.AddrPort) {
 	data := make([]byte, 1<<16)
 	for {
 		n, err := r.back.Read(data)
@@ -206,7 +206,8 @@
 	}
 }
 
-// rotate puts a certificate of this fleet's authority in the peer's files.
+// rotate replaces the peer's files by a certificate of this fleet's authority, and
+// reloads them.
 func (f *fleet) rotate(p *peer) {
 	f.tb.Helper()
 	issued, err := f.authority.Issue(p.Identity(), time.Now(), time.Hour)
@@ -218,8 +219,8 @@
 	assert.Assert(f.tb, changed)
 }
 
-// nodeTrusting makes a node with this fleet's certificate that trusts the
-// other's authority.
+// nodeTrusting returns a node with a certificate of this fleet that trusts the other
+// peer's authority.
 func (f *fleet) nodeTrusting(id btpeer.Identity, other *peer) *peer {
 	f.tb.Helper()
 	files := f.keys(id).Files()
--- a/io/btpeer/capacity_test.go
+++ b/io/btpeer/lone_bench_test.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// loneConnections carry messages at a time, so that the processor time of
-	// one is large enough to be read.
+	// loneConnections is the number of connections that send messages at the same time,
+	// so that the processor time is large enough to be measured.
 	loneConnections = 16
-	// loneInterval lies above the transport's delay of acknowledgements, so that
-	// each message has its own, as the control messages of a second have.
+	// loneInterval is longer than the transport's delay of acknowledgements, so that each
+	// message gets its own, as control messages that are sent once a second do.
 	loneInterval = 50 * time.Millisecond
 	loneWindow   = 4 * time.Second
 )
 
-// BenchmarkLone reports what a message costs that comes alone, both of its ends
-// together: one way on an open stream, as heartbeats and summaries, and as a
-// call with an answer of the same size, as reports to a lead and asks of a
-// share. Run it with -benchtime 1x.
+// BenchmarkLone reports the cost of a message that is sent alone, for sender and receiver
+// together: one way on an open stream, as heartbeats and summaries are, and as a call
+// with an answer of the same size, as load reports to a lead and requests for a share of
+// limits are. Run it with -benchtime 1x.
 func BenchmarkLone(b *testing.B) {
 	f := newFleet(b)
 	var entries, agents []*peer
@@ -39,7 +39,7 @@
 		peerCall(b, entry, agent)
 		entries, agents = append(entries, entry), append(agents, agent)
 	}
-	// The search for the path's packet size ends meanwhile.
+	// Path MTU discovery ends meanwhile.
 	time.Sleep(8 * time.Second)
 	for _, size := range []int{64, 256, 1024} {
 		message := text{Text: strings.Repeat("t", size)}
@@ -61,8 +61,8 @@
 	}
 }
 
-// streamOf opens a stream between two peers and returns how a message is sent
-// on it.
+// streamOf returns a function that opens a stream between two peers and returns one that
+// sends the message on it.
 func streamOf(b *testing.B, message text) func(entry, agent *peer) func() error {
 	return func(entry, agent *peer) func() error {
 		s, err := entry.Open(b.Context(), agent.endpoint(), "sink")
@@ -102,7 +102,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// sink takes messages until the stream ends.
+// sink receives messages until the stream ends.
 func sink(_ context.Context, _ btpeer.Identity, s *btpeer.Stream) error {
 	for {
 		if _, err := btpeer.Receive[text](s); err != nil {
--- a/io/btpeer/node.go
+++ b/io/btpeer/node.go
@@ -14,8 +14,9 @@
 	"github.com/quic-go/quic-go"
 )
 
-// resetLabel derives the key by which a process that restarts tells peers at
-// once that their connections to its earlier incarnation are gone.
+// resetLabel is the label for deriving the stateless reset key. The key survives a
+// restart, so that the new process can tell peers at once that connections to its
+// predecessor are gone.
 const resetLabel = "bilberrytide stateless reset"
 
 // Node accepts and dials connections over one UDP socket. It is safe for
@@ -30,20 +31,21 @@
 
 	mu       sync.Mutex
 	handlers map[Kind]Handler
-	accepted map[*accepted]struct{}
+	inbound  map[*inboundConn]struct{}
 	closing  bool
 
-	// ctx ends when the node is closed by force; it governs every handler.
+	// ctx ends when the node is closed abruptly or has closed. It is the parent of every
+	// handler's context.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// work counts handlers and the streams opened here.
-	work *gauge
-	// connections counts the accepted connections.
-	connections *gauge
+	// inFlight counts running handlers and the open streams that this node has opened.
+	inFlight *waitCounter
+	// inboundCount counts the accepted connections.
+	inboundCount *waitCounter
 }
 
-// New opens the socket. Connections made before Serve wait for it. The error
-// wraps ErrListen.
+// New opens the socket and returns a node. Connections that arrive before Serve wait for
+// it. Errors wrap ErrListen.
 func New(o Options) (*Node, error) {
 	if o.Keys == nil {
 		return nil, fmt.Errorf("%w: no keys", ErrListen)
@@ -59,7 +61,7 @@
 	}
 	resetKey := quic.StatelessResetKey(secret)
 	transport := &quic.Transport{Conn: socket, StatelessResetKey: &resetKey}
-	listener, err := transport.Listen(o.Keys.ServerTLS(protocol), o.accepting())
+	listener, err := transport.Listen(o.Keys.ServerTLS(protocol), o.acceptConfig())
 	if err != nil {
 		_ = socket.Close()
 		return nil, fmt.Errorf("%w: %s: %v", ErrListen, o.Listen, err)
@@ -69,19 +71,19 @@
 
 func newNode(o Options, socket *net.UDPConn, transport *quic.Transport, listener *quic.Listener) *Node {
 	n := &Node{
-		options:     o,
-		counters:    newCounters(o.Registry),
-		socket:      socket,
-		transport:   transport,
-		listener:    listener,
-		handlers:    make(map[Kind]Handler),
-		accepted:    make(map[*accepted]struct{}),
-		work:        newGauge(),
-		connections: newGauge(),
+		options:      o,
+		counters:     newCounters(o.Registry),
+		socket:       socket,
+		transport:    transport,
+		listener:     listener,
+		handlers:     make(map[Kind]Handler),
+		inbound:      make(map[*inboundConn]struct{}),
+		inFlight:     newWaitCounter(),
+		inboundCount: newWaitCounter(),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.dialler = newDialler(n.ctx, o, &n.counters, n.connect)
-	go n.dialler.sweep()
+	go n.dialler.runSweeps()
 	return n
 }
 
@@ -93,8 +95,8 @@
 // Identity returns the node's own identity.
 func (n *Node) Identity() Identity { return n.options.Keys.Identity() }
 
-// Handle sets the handler of a kind. It is called before Serve and panics on a
-// malformed or repeated kind, which is a fault in the program.
+// Handle registers the handler of a kind. It must be called before Serve. It panics on
+// an invalid or already registered kind, which is a programming error.
 func (n *Node) Handle(k Kind, h Handler) {
 	if err := k.Validate(); err != nil {
 		panic("btpeer: " + err.Error())
@@ -120,61 +122,62 @@
 	return n.closing
 }
 
-// Open opens a stream to the peer over a pooled connection. No byte of the
-// stream leaves before the first Send or CloseWrite.
+// Open opens a stream to the peer over a pooled connection. No byte of the stream is sent
+// before the first Send or CloseWrite.
 //
-// The context governs the stream until Close. Every error wraps ErrNotSent;
-// ErrIdentity is wrapped too where another process, or one that is not
-// trusted, listens at the address. While connecting to a peer keeps failing,
-// Open fails at once until the backoff has passed.
+// When the context ends before Close, the stream is cancelled. Every error wraps
+// ErrNotSent. It also wraps ErrIdentity if another process, or one that isn't trusted,
+// listens at the address. After a failure to connect to the peer, Open fails at once until
+// the backoff has passed.
 func (n *Node) Open(ctx context.Context, to Endpoint, k Kind) (*Stream, error) {
 	if n.isClosing() {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, ErrClosed)
 	}
-	l, raw, err := n.openRaw(ctx, to)
+	pc, raw, err := n.openStream(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	n.work.add(1)
+	n.inFlight.add(1)
 	n.counters.opened.Inc(1)
 	s := &Stream{node: n, stream: raw, peer: to, kind: k, ctx: ctx, opening: true}
-	s.released = func() {
-		n.dialler.release(l)
-		n.work.add(-1)
+	s.onClose = func() {
+		n.dialler.release(pc)
+		n.inFlight.add(-1)
 	}
-	s.detach = context.AfterFunc(ctx, s.Cancel)
+	s.stopCancel = context.AfterFunc(ctx, s.Cancel)
 	return s, nil
 }
 
-// openRaw takes a second connection where a pooled one turns out to be dead.
-func (n *Node) openRaw(ctx context.Context, to Endpoint) (*link, *quic.Stream, error) {
+// openStream opens a QUIC stream to the peer. It tries a second connection if the first
+// one turns out to be dead.
+func (n *Node) openStream(ctx context.Context, to Endpoint) (*pooledConn, *quic.Stream, error) {
 	const attempts = 2
 	var lastErr error
 	for range attempts {
-		l, err := n.dialler.take(ctx, to, n.options.Keys.Current().Generation)
+		pc, err := n.dialler.acquire(ctx, to, n.options.Keys.Current().Generation)
 		if err != nil {
 			return nil, nil, err
 		}
-		raw, err := l.conn.OpenStreamSync(ctx)
+		raw, err := pc.conn.OpenStreamSync(ctx)
 		if err == nil {
-			return l, raw, nil
+			return pc, raw, nil
 		}
-		n.dialler.release(l)
+		n.dialler.release(pc)
 		if ctx.Err() != nil {
 			return nil, nil, fmt.Errorf("%w: no stream to %s: %w", ErrNotSent, to, context.Cause(ctx))
 		}
-		n.dialler.drop(l)
+		n.dialler.retireConn(pc)
 		lastErr = err
 	}
 	return nil, nil, fmt.Errorf("%w: no stream to %s: %v", ErrNotSent, to, lastErr)
 }
 
-// connect dials the peer and waits for its greeting, which proves that it has
-// accepted this process's certificate too.
+// connect dials the peer and waits for its greeting, which proves that the peer has
+// accepted this process's certificate.
 func (n *Node) connect(ctx context.Context, to Endpoint) (*quic.Conn, *quic.ReceiveStream, error) {
 	address := net.UDPAddrFromAddrPort(to.Address)
 	settings := n.options.Keys.ClientTLS(to.Identity, protocol)
-	conn, err := n.transport.Dial(ctx, address, settings, n.options.dialling())
+	conn, err := n.transport.Dial(ctx, address, settings, n.options.dialConfig())
 	if err != nil {
 		return nil, nil, err
 	}
@@ -189,49 +192,49 @@
 	return conn, control, nil
 }
 
-// Close shuts the node down gracefully: it takes no new streams, tells peers to
-// go elsewhere, lets handlers and the streams opened here finish, and returns
-// when every peer has received what was sent to it. When the context ends
-// before that, the rest is cut off and the context's error is returned.
+// Close shuts the node down gracefully. It refuses new streams, sends peers a goodbye,
+// lets handlers and the streams that this node has opened finish, and returns when every
+// peer has received what was sent to it. If the context ends before that, the remaining
+// connections are closed and the error wraps the context's cause.
 func (n *Node) Close(ctx context.Context) error {
 	n.mu.Lock()
 	n.closing = true
-	for a := range n.accepted {
-		a.sayGoodbye()
+	for ic := range n.inbound {
+		ic.sendGoodbye()
 	}
 	n.mu.Unlock()
-	err := n.work.wait(ctx)
+	err := n.inFlight.wait(ctx)
 	n.dialler.close()
 	if err == nil {
 		// Peers close their connections once they have read their streams' ends.
-		err = n.connections.wait(ctx)
+		err = n.inboundCount.wait(ctx)
 	}
-	n.cutAll()
+	n.closeConns()
 	n.cancel()
 	return errors.Join(err, n.listener.Close(), n.transport.Close(), n.socket.Close())
 }
 
-// cutAll closes what connections are left, so that peers hear of it at once:
-// closing the transport alone tells them nothing.
-func (n *Node) cutAll() {
-	n.dialler.cut()
-	for _, a := range n.inbound() {
-		_ = a.conn.CloseWithError(closeNormal, "")
+// closeConns closes the remaining connections, so that peers are notified at once:
+// closing the transport alone doesn't notify them.
+func (n *Node) closeConns() {
+	n.dialler.closeAll()
+	for _, ic := range n.inboundConns() {
+		_ = ic.conn.CloseWithError(closeNormal, "")
 	}
 }
 
-// inbound returns the accepted connections.
-func (n *Node) inbound() []*accepted {
+// inboundConns returns the accepted connections.
+func (n *Node) inboundConns() []*inboundConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Collect(maps.Keys(n.accepted))
+	return slices.Collect(maps.Keys(n.inbound))
 }
 
-// Serve accepts connections and serves their streams until Close, or until the
-// context ends, which ends every handler's context. It returns nil then.
+// Serve accepts connections and serves their streams. It returns nil after Close or when
+// the context ends, which also ends every handler's context.
 func (n *Node) Serve(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, n.cancel)
-	defer stop()
+	stopCancel := context.AfterFunc(ctx, n.cancel)
+	defer stopCancel()
 	for {
 		conn, err := n.listener.Accept(n.ctx)
 		if n.ctx.Err() != nil || errors.Is(err, quic.ErrServerClosed) || errors.Is(err, quic.ErrTransportClosed) {
@@ -240,7 +243,7 @@
 		if err != nil {
 			return fmt.Errorf("%w: %v", ErrListen, err)
 		}
-		n.admit(conn)
+		n.acceptConn(conn)
 	}
 }
 
--- a/io/btpeer/notrun_test.go
+++ b/io/btpeer/notrun_test.go
@@ -18,16 +18,16 @@
 
 const kindRun btpeer.Kind = "run"
 
-// behaviour tells the handler of a run what to do after it has noted the run.
+// behaviour tells the handler of a job what to do after it has recorded the job.
 type behaviour uint8
 
 const (
 	succeed behaviour = iota
 	fail
-	explode
+	panics
 	hold // until the caller cancels
 	large
-	behaviours
+	behaviourCount
 )
 
 type job struct {
@@ -38,22 +38,22 @@
 
 func (j job) Validate() error { return nil }
 
-// ledger notes which jobs a handler has seen.
-type ledger struct {
+// runLog records which jobs a handler has received.
+type runLog struct {
 	mu   sync.Mutex
 	seen map[uint64]bool
 	held map[uint64]context.CancelFunc
 }
 
-func (l *ledger) run(ctx context.Context, _ btpeer.Identity, j job) (text, error) {
+func (l *runLog) run(ctx context.Context, _ btpeer.Identity, j job) (text, error) {
 	l.mu.Lock()
 	l.seen[j.Number] = true
 	cancel := l.held[j.Number]
 	l.mu.Unlock()
 	switch j.Do {
 	case fail:
-		return text{}, btpeer.ErrNotSent // a handler's word must not pass for the layer's
-	case explode:
+		return text{}, btpeer.ErrNotSent // the caller must not get this error
+	case panics:
 		panic("boom")
 	case hold:
 		cancel()
@@ -66,21 +66,22 @@
 	}
 }
 
-func (l *ledger) hold(number uint64, cancel context.CancelFunc) {
+func (l *runLog) hold(number uint64, cancel context.CancelFunc) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held[number] = cancel
 }
 
-func (l *ledger) saw(number uint64) bool {
+func (l *runLog) wasRun(number uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.seen[number]
 }
 
-// agentLives runs one life of the agent after another at one address; each ends
-// gracefully or abruptly, as chance has it, after some more calls.
-func agentLives(f *fleet, l *ledger, calls *atomic.Int64, done <-chan struct{}, random *rand.Rand) (netip.AddrPort, func()) {
+// runAgentRestarts returns the agent's address and a function that restarts the agent at
+// that address after every 20 to 79 calls, until done is closed. Each process is closed
+// gracefully or abruptly, at random.
+func runAgentRestarts(f *fleet, l *runLog, calls *atomic.Int64, done <-chan struct{}, random *rand.Rand) (netip.AddrPort, func()) {
 	keys := f.keys(agentID)
 	address := local
 	start := func() *btpeer.Node {
@@ -98,13 +99,13 @@
 			for calls.Load() < after {
 				select {
 				case <-done:
-					kill(node)
+					closeAbruptly(node)
 					return
 				case <-time.After(time.Millisecond):
 				}
 			}
 			if random.IntN(2) == 0 {
-				kill(node)
+				closeAbruptly(node)
 			} else {
 				_ = node.Close(context.Background())
 			}
@@ -113,11 +114,11 @@
 	}
 }
 
-// callOnce makes one call, which may be given up on at any moment.
-func callOnce(ctx context.Context, entry *peer, to btpeer.Endpoint, l *ledger, number uint64, random *rand.Rand) error {
+// callOnce makes one call, which may be cancelled at any moment.
+func callOnce(ctx context.Context, entry *peer, to btpeer.Endpoint, l *runLog, number uint64, random *rand.Rand) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	j := job{Number: number, Do: behaviour(random.IntN(int(behaviours)))}
+	j := job{Number: number, Do: behaviour(random.IntN(int(behaviourCount)))}
 	if j.Do == large {
 		j.Data = make([]byte, random.IntN(1<<19))
 	}
@@ -134,22 +135,22 @@
 
 var notRunSeeds = flag.Uint64("btpeer.seeds", 1, "seeds of TestNotRunIsProof")
 
-// TestNotRunIsProof calls an agent that fails, restarts and closes while callers
-// give up, and checks the one thing that everything above builds on: a call of
-// which NotRun holds was seen by no handler. The same run shows that the
-// careless conclusion, that any failed call was not run, is wrong.
+// TestNotRunIsProof guards against a request that runs twice because NotRun holds for an
+// error although a handler received the request. It calls an agent that fails, restarts
+// and closes while callers cancel. The run must also contain calls that failed although
+// they were run, which shows that a failed call alone proves nothing.
 func TestNotRunIsProof(t *testing.T) {
 	const workers, callsEach = 8, 60
 	for seed := uint64(1); seed <= *notRunSeeds; seed++ {
 		f := newFleet(t)
-		l := &ledger{seen: make(map[uint64]bool), held: make(map[uint64]context.CancelFunc)}
+		l := &runLog{seen: make(map[uint64]bool), held: make(map[uint64]context.CancelFunc)}
 		var calls, notRun, failedButRun atomic.Int64
 		done := make(chan struct{})
-		address, lives := agentLives(f, l, &calls, done, rand.New(rand.NewPCG(seed, 0)))
+		address, restarts := runAgentRestarts(f, l, &calls, done, rand.New(rand.NewPCG(seed, 0)))
 		to := btpeer.Endpoint{Identity: agentID, Address: address}
 		entry := f.node(entryID, func(o *btpeer.Options) { o.Redial.First, o.Redial.Last = 1, 1 })
 		var group, agent sync.WaitGroup
-		agent.Go(lives)
+		agent.Go(restarts)
 		for w := range uint64(workers) {
 			group.Go(func() {
 				random := rand.New(rand.NewPCG(seed, w+1))
@@ -160,13 +161,13 @@
 					switch {
 					case btpeer.NotRun(err):
 						notRun.Add(1)
-						assert.Check(t, !l.saw(number), "seed %d, job %d was run: %v", seed, number, err)
-					case err != nil && l.saw(number):
+						assert.Check(t, !l.wasRun(number), "seed %d, job %d was run: %v", seed, number, err)
+					case err != nil && l.wasRun(number):
 						failedButRun.Add(1)
 					case err == nil:
-						assert.Check(t, l.saw(number), "seed %d, job %d was answered by nobody", seed, number)
+						assert.Check(t, l.wasRun(number), "seed %d, job %d was answered, but no handler ran it", seed, number)
 					}
-					assert.Check(t, err == nil || isOwn(err), "seed %d: error of another layer: %v", seed, err)
+					assert.Check(t, err == nil || isLayerError(err), "seed %d: error is none of this package's: %v", seed, err)
 				}
 			})
 		}
@@ -174,15 +175,15 @@
 		close(done)
 		agent.Wait()
 		t.Logf("seed %d: %d calls, %d not run, %d failed but run", seed, calls.Load(), notRun.Load(), failedButRun.Load())
-		assert.Assert(t, failedButRun.Load() > 0, "the careless conclusion was not refuted")
+		assert.Assert(t, failedButRun.Load() > 0, "no call failed although it was run")
 	}
 }
 
-func isOwn(err error) bool {
-	for _, own := range []error{
+func isLayerError(err error) bool {
+	for _, known := range []error{
 		btpeer.ErrNotSent, btpeer.ErrRefused, btpeer.ErrUnknownKind, btpeer.ErrLost, btpeer.ErrFailed, btpeer.ErrMalformed,
 	} {
-		if errors.Is(err, own) {
+		if errors.Is(err, known) {
 			return true
 		}
 	}
--- a/io/btpeer/options.go
+++ b/io/btpeer/options.go
@@ -14,23 +14,24 @@
 
 // Defaults of Options.
 const (
-	// DefaultMaxMessage is the largest message accepted or sent, in bytes.
+	// DefaultMaxMessage is the size of the largest message received or sent, in bytes.
 	DefaultMaxMessage = 16 << 20
-	// DefaultMaxStreams is how many streams one peer may have open here.
+	// DefaultMaxStreams is how many streams a peer may have open on one connection.
 	DefaultMaxStreams = 4096
-	// DefaultMaxConnections is how many connections are accepted at a time.
+	// DefaultMaxConnections is how many accepted connections may be open at a time.
 	DefaultMaxConnections = 2048
-	// DefaultMaxPooled is how many dialled connections are kept when they have
-	// no streams; the keep-alives of more would take too much of the control
-	// traffic that a node may have.
+	// DefaultMaxPooled is the number of pooled connections at which a new one evicts
+	// the least recently used one without streams. The keep-alives of more connections
+	// would take too much of the control traffic that a node may have.
 	DefaultMaxPooled = 128
-	// DefaultIdleTimeout is how long a peer may be silent before it is lost.
+	// DefaultIdleTimeout is how long a peer may be silent before its connection is
+	// considered lost.
 	DefaultIdleTimeout = 2500 * time.Millisecond
-	// DefaultKeepAlive is the interval at which the dialling side makes the
-	// peer of a silent connection answer. A dead or paused peer is noticed
-	// after between the idle timeout and the two together.
+	// DefaultKeepAlive is the interval at which the dialling side sends keep-alives on a
+	// silent connection. The loss of a dead or paused peer is detected after at least the
+	// idle timeout and at most the sum of the two.
 	DefaultKeepAlive = time.Second
-	// DefaultDialTimeout bounds the time to connect.
+	// DefaultDialTimeout limits the time to connect.
 	DefaultDialTimeout = 2 * time.Second
 	// DefaultPoolIdle is how long a dialled connection without streams is kept.
 	DefaultPoolIdle = time.Minute
@@ -93,9 +94,9 @@
 	}
 }
 
-// accepting returns the settings of accepted connections. Only the dialling
-// side sends keep-alives: one side's suffice for both to notice silence.
-func (o Options) accepting() *quic.Config {
+// acceptConfig returns the settings of accepted connections. Only the dialling side sends
+// keep-alives, which suffice for both sides to detect a silent peer.
+func (o Options) acceptConfig() *quic.Config {
 	return &quic.Config{
 		MaxIdleTimeout:        o.IdleTimeout,
 		HandshakeIdleTimeout:  o.DialTimeout,
@@ -104,9 +105,9 @@
 	}
 }
 
-// dialling returns the settings of dialled connections, on which the peer
-// opens one stream only: its control stream.
-func (o Options) dialling() *quic.Config {
+// dialConfig returns the settings of dialled connections, on which the peer opens only
+// its control stream.
+func (o Options) dialConfig() *quic.Config {
 	return &quic.Config{
 		MaxIdleTimeout:        o.IdleTimeout,
 		HandshakeIdleTimeout:  o.DialTimeout,
--- a/io/btpeer/stats.go
+++ b/io/btpeer/stats.go
@@ -2,9 +2,9 @@
 
 import "github.com/quic-go/quic-go"
 
-// Stats is what a node's connections amount to now. Bytes and packets are those
-// of the connections that are up, without the 28 bytes of UDP and IPv4 headers
-// of each packet.
+// Stats sums up a node's open connections: their numbers, and the bytes and packets
+// since they were opened. Bytes exclude the 28 bytes of UDP and IPv4 headers of each
+// packet.
 type Stats struct {
 	Dialled         int    `json:"dialled"`
 	Accepted        int    `json:"accepted"`
@@ -14,23 +14,23 @@
 	PacketsReceived uint64 `json:"packets_received"`
 }
 
-// Stats adds up the node's connections.
+// Stats returns the sums over the node's open connections.
 func (n *Node) Stats() Stats {
 	var s Stats
-	links := n.dialler.connected()
-	for _, l := range links {
-		s.add(l.conn)
+	pooled := n.dialler.connected()
+	for _, pc := range pooled {
+		s.addConn(pc.conn)
 	}
-	s.Dialled = len(links)
-	inbound := n.inbound()
-	for _, a := range inbound {
-		s.add(a.conn)
+	s.Dialled = len(pooled)
+	inbound := n.inboundConns()
+	for _, ic := range inbound {
+		s.addConn(ic.conn)
 	}
 	s.Accepted = len(inbound)
 	return s
 }
 
-func (s *Stats) add(conn *quic.Conn) {
+func (s *Stats) addConn(conn *quic.Conn) {
 	c := conn.ConnectionStats()
 	s.BytesSent += c.BytesSent
 	s.BytesReceived += c.BytesReceived
--- a/io/btpeer/stream.go
+++ b/io/btpeer/stream.go
@@ -15,9 +15,8 @@
 // Stream is one exchange of messages with a peer. One goroutine may send while
 // another receives.
 //
-// The side that opened a stream must call Close. Its context governs the
-// stream: when it ends, both directions are reset and the context of the peer's
-// handler ends as well.
+// The side that opened a stream must call Close. When the context that it passed to Open
+// ends, both directions are reset and the context of the peer's handler ends as well.
 type Stream struct {
 	node   *Node
 	stream *quic.Stream
@@ -25,52 +24,53 @@
 	kind   Kind
 	ctx    context.Context
 
-	// opening is set until the first write, which carries the opening frame
-	// along, so that an open stream that is never used costs nothing.
-	opening  bool
-	accepted bool
-	sent     atomic.Bool
-	ended    atomic.Bool
-	header   [headerBytes]byte
-
-	closing  sync.Once
-	detach   func() bool
-	released func()
+	// opening is set until the first write, which includes the opening frame, so that a
+	// stream that is opened but never used sends nothing.
+	opening   bool
+	accepted  bool
+	sent      atomic.Bool
+	peerEnded atomic.Bool
+	header    [headerBytes]byte
+
+	closeOnce  sync.Once
+	stopCancel func() bool
+	onClose    func()
 }
 
-// Peer returns the peer; for an accepted stream the address is the one that
-// the peer's packets come from.
+// Peer returns the peer. For an accepted stream, the address is the source of the peer's
+// packets, which need not be where it listens.
 func (s *Stream) Peer() Endpoint { return s.peer }
 
-// Kind returns what the stream is for.
+// Kind returns the stream's kind.
 func (s *Stream) Kind() Kind { return s.kind }
 
-// Context returns the context that governs the stream.
+// Context returns the stream's context: the handler's for an accepted stream, otherwise
+// the one passed to Open.
 func (s *Stream) Context() context.Context { return s.ctx }
 
-// unsent tells whether nothing that was handed to the stream can have left.
-func (s *Stream) unsent() bool { return !s.accepted && !s.sent.Load() }
+// nothingSent reports whether it is certain that no byte of the stream has been sent.
+func (s *Stream) nothingSent() bool { return !s.accepted && !s.sent.Load() }
 
-// Send writes one message at once. It returns when the message is on its way,
-// which is no proof that it arrived.
+// Send writes one message without delay. It returns when the message has been passed to
+// the transport, which doesn't mean that it has arrived.
 //
-// Errors: ErrTooLarge, ErrMalformed where it can't be encoded, ErrNotSent,
-// ErrLost, ErrFinished, and what the peer's reset stands for.
+// Errors: ErrTooLarge, ErrMalformed if the message can't be encoded, ErrNotSent, ErrLost,
+// ErrFinished, and the error for the code with which the peer reset the stream.
 func Send[T any](s *Stream, message T) error {
-	b := takeBuffer()
-	defer giveBuffer(b)
+	b := getBuffer()
+	defer putBuffer(b)
 	if err := s.appendOpening(b); err != nil {
 		return err
 	}
 	if err := appendFrame(b, message, s.node.options.MaxMessage); err != nil {
-		return s.notEncoded(err)
+		return s.encodeError(err)
 	}
 	return s.write(b)
 }
 
-// notEncoded adds that nothing was sent where that is so.
-func (s *Stream) notEncoded(err error) error {
-	if s.unsent() {
+// encodeError wraps an error of encoding, with ErrNotSent if nothing was sent.
+func (s *Stream) encodeError(err error) error {
+	if s.nothingSent() {
 		return fmt.Errorf("%w: %s to %s: %w", ErrNotSent, s.kind, s.peer, err)
 	}
 	return fmt.Errorf("%s to %s: %w", s.kind, s.peer, err)
@@ -85,42 +85,42 @@
 
 func (s *Stream) write(b *bytes.Buffer) error {
 	if s.ctx.Err() != nil {
-		return s.convert("send", s.ctx.Err())
+		return s.wrapError("send", s.ctx.Err())
 	}
-	// Until the library says that it took no byte, the other goroutine of this
-	// stream must not conclude that nothing was sent.
-	earlier := s.sent.Swap(true)
+	// sent is set before the write, so that a goroutine that receives meanwhile doesn't
+	// conclude that nothing was sent. It is reset if the library accepted no byte.
+	before := s.sent.Swap(true)
 	n, err := s.stream.Write(b.Bytes())
 	if n == 0 && err != nil {
-		s.sent.Store(earlier)
-		return s.convert("send", err)
+		s.sent.Store(before)
+		return s.wrapError("send", err)
 	}
 	s.opening = false
 	if err != nil {
-		return s.convert("send", err)
+		return s.wrapError("send", err)
 	}
 	return nil
 }
 
-// Receive reads and checks the next message. It returns io.EOF itself when the
-// peer has ended its direction. Bytes that are no valid message reset the
-// stream, are counted, and give ErrMalformed.
+// Receive reads and validates the next message. It returns io.EOF, not wrapped, when the
+// peer has ended its direction. An invalid message is counted and logged, and the stream
+// is reset.
 //
-// Errors: ErrMalformed, ErrLost, ErrNotSent where nothing was ever sent, and
-// what the peer's reset stands for.
+// Errors: ErrMalformed, ErrLost, ErrNotSent if this side has sent nothing, and the error
+// for the code with which the peer reset the stream.
 func Receive[T Validator](s *Stream) (T, error) {
-	b := takeBuffer()
-	defer giveBuffer(b)
+	b := getBuffer()
+	defer putBuffer(b)
 	message, err := receive[T](s, b)
 	if err == nil {
 		return message, nil
 	}
 	if err == io.EOF {
-		s.ended.Store(true)
+		s.peerEnded.Store(true)
 		return message, err
 	}
 	s.countMalformed(err)
-	return message, s.convert("receive", err)
+	return message, s.wrapError("receive", err)
 }
 
 func receive[T Validator](s *Stream, b *bytes.Buffer) (T, error) {
@@ -143,12 +143,12 @@
 	s.reset(codeMalformed)
 }
 
-// CloseWrite ends this side's direction; the peer receives io.EOF after the
-// last message. Receiving goes on.
+// CloseWrite ends this side's direction. The peer receives io.EOF after the last message.
+// Receiving is still possible.
 func (s *Stream) CloseWrite() error {
 	if s.opening && !s.accepted {
-		b := takeBuffer()
-		defer giveBuffer(b)
+		b := getBuffer()
+		defer putBuffer(b)
 		if err := s.appendOpening(b); err != nil {
 			return err
 		}
@@ -156,31 +156,30 @@
 			return err
 		}
 	}
-	// The library's only error is that the direction was reset already; where
-	// the peer did so, receiving tells why.
+	// The library's only error is that the direction has already been reset. If the peer
+	// did that, Receive returns the reason.
 	_ = s.stream.Close()
 	return nil
 }
 
-// Wait reads until the peer has ended its direction, which proves that its
-// handler has returned without an error. A message that still comes gives
-// ErrMalformed.
+// Wait reads until the peer has ended its direction, which proves that its handler has
+// returned without an error. It returns ErrMalformed if another message arrives.
 func (s *Stream) Wait() error {
 	_, err := s.stream.Read(s.header[:1])
 	switch err {
 	case io.EOF:
-		s.ended.Store(true)
+		s.peerEnded.Store(true)
 		return nil
 	case nil:
 		err = fmt.Errorf("%w: a message after the last one", ErrMalformed)
 		s.countMalformed(err)
 		return err
 	default:
-		return s.convert("wait for", err)
+		return s.wrapError("wait for", err)
 	}
 }
 
-// Cancel resets both directions: what was not delivered yet is dropped, and the
+// Cancel resets both directions: data that hasn't been delivered is dropped, and the
 // context of the peer's handler ends.
 func (s *Stream) Cancel() { s.reset(codeCancelled) }
 
@@ -189,20 +188,21 @@
 	s.stream.CancelWrite(code)
 }
 
-// Close frees the stream. A stream whose end was not received (io.EOF, or nil
-// from Wait) is cancelled at the peer. Close may be called more than once.
+// Close releases the stream. Unless the peer's end of the stream was received (io.EOF
+// from Receive or nil from Wait), it also cancels the stream. Close may be called more
+// than once.
 func (s *Stream) Close() {
-	s.closing.Do(func() {
-		if s.detach != nil {
-			s.detach()
+	s.closeOnce.Do(func() {
+		if s.stopCancel != nil {
+			s.stopCancel()
 		}
-		if s.ended.Load() {
+		if s.peerEnded.Load() {
 			_ = s.stream.Close()
 		} else {
 			s.Cancel()
 		}
-		if s.released != nil {
-			s.released()
+		if s.onClose != nil {
+			s.onClose()
 		}
 	})
 }
--- a/io/btpeer/gauge.go
+++ b/io/btpeer/wait_counter.go
@@ -5,16 +5,17 @@
 	"sync"
 )
 
-// gauge is a count that can be waited for to become zero.
-type gauge struct {
+// waitCounter is a counter on which goroutines can wait until it is zero. Unlike a
+// sync.WaitGroup, the wait ends with a context.
+type waitCounter struct {
 	mu    sync.Mutex
 	count int
 	zero  chan struct{}
 }
 
-func newGauge() *gauge { return &gauge{} }
+func newWaitCounter() *waitCounter { return &waitCounter{} }
 
-func (g *gauge) add(delta int) int {
+func (g *waitCounter) add(delta int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.count += delta
@@ -25,7 +26,7 @@
 	return g.count
 }
 
-func (g *gauge) wait(ctx context.Context) error {
+func (g *waitCounter) wait(ctx context.Context) error {
 	g.mu.Lock()
 	if g.count == 0 {
 		g.mu.Unlock()
