--- a/io/btplatform/btplatform.go
+++ b/io/btplatform/btplatform.go
@@ -1,9 +1,8 @@
-// Package btplatform reads what the platform publishes: a configuration value,
-// the list of hosts and the experts' weights.
+// Package btplatform is a read-only client of the platform, which publishes configuration
+// values, the list of hosts and the experts' weights.
 //
-// It only reads; there is no way to write through it. Every call counts
-// against a rate that all readers share, so calls are bounded, a watch waits
-// at the service, and what the service says about coming back is honoured.
+// All readers share the platform's rate limit. The client therefore limits its calls, a
+// watch is a long poll, and the service's Retry-After header is obeyed.
 package btplatform
 
 import (
@@ -15,34 +14,34 @@
 )
 
 var (
-	// ErrUnavailable is wrapped when the service can't be reached or fails.
+	// ErrUnavailable is wrapped if the service can't be reached or fails.
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrLimited is wrapped by LimitedError.
 	ErrLimited = errors.New("platform limits calls")
-	// ErrNotFound is wrapped when the platform has no such thing.
+	// ErrNotFound is wrapped if the platform doesn't have the key or the weights.
 	ErrNotFound = errors.New("not found on the platform")
-	// ErrMalformed is wrapped when an answer can't be understood.
+	// ErrMalformed is wrapped if an answer can't be parsed or is invalid.
 	ErrMalformed = errors.New("malformed answer of the platform")
-	// ErrTooLarge is wrapped when an answer is larger than its limit.
+	// ErrTooLarge is wrapped if an answer is larger than its limit.
 	ErrTooLarge = errors.New("answer of the platform too large")
 )
 
-// LimitedError tells when to come back after the platform refused a call
-// because there were too many. It matches ErrLimited.
+// LimitedError is returned if the platform refused a call because of its rate limit. It
+// matches ErrLimited.
 type LimitedError struct {
-	// RetryAfter is zero where the platform named no time.
+	// RetryAfter is the wait that the platform asks for; zero if it named none.
 	RetryAfter time.Duration
 }
 
 // Error describes the refusal.
 func (e *LimitedError) Error() string {
-	return fmt.Sprintf("%v: come back in %s", ErrLimited, e.RetryAfter)
+	return fmt.Sprintf("%v: retry after %s", ErrLimited, e.RetryAfter)
 }
 
-// Is tells whether the target is ErrLimited.
+// Is reports whether the target is ErrLimited.
 func (e *LimitedError) Is(target error) bool { return target == ErrLimited }
 
-// Revision orders the values of one key; zero stands for none read.
+// Revision orders the values of one key. Zero means that none has been read.
 type Revision uint64
 
 // Value is one value of a configuration key.
@@ -51,23 +50,23 @@
 	Data     []byte
 }
 
-// HostState tells whether a host stays.
+// HostState is the state of a host on the platform's list.
 type HostState string
 
 const (
-	// Live hosts stay.
+	// Live hosts remain in use.
 	Live HostState = "live"
-	// Leaving hosts take no new work.
+	// Leaving hosts accept no new work.
 	Leaving HostState = "leaving"
 )
 
-// Host is one line of the platform's host list, which lags.
+// Host is an item of the platform's list of hosts, which lags behind the hosts' state.
 type Host struct {
 	Name  btid.Host `json:"name"`
 	State HostState `json:"state"`
 }
 
-// Validate reports a host that can't be one.
+// Validate returns an error if the name or the state is invalid.
 func (h Host) Validate() error {
 	if err := btid.CheckName(string(h.Name)); err != nil {
 		return fmt.Errorf("host name: %w", err)
@@ -78,7 +77,7 @@
 	return nil
 }
 
-// Expert names one expert's weights in one layer of a model.
+// Expert identifies the weights of one expert in one layer of a model.
 type Expert struct {
 	Model  btid.Service
 	Layer  int
--- a/io/btplatform/btplatform_test.go
+++ b/io/btplatform/btplatform_test.go
@@ -19,10 +19,10 @@
 	"bilberrytide/io/btplatform"
 )
 
-// service answers calls from a script; it is the whole platform of a test.
-type service func(r *http.Request) (status int, header http.Header, body string)
+// stubService is a transport that answers calls as the platform would.
+type stubService func(r *http.Request) (status int, header http.Header, body string)
 
-func (s service) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s stubService) RoundTrip(r *http.Request) (*http.Response, error) {
 	status, header, body := s(r)
 	if status == 0 {
 		return nil, errors.New("connection refused")
@@ -37,7 +37,7 @@
 
 var address = netip.MustParseAddrPort("127.0.0.1:1")
 
-func client(s service) *btplatform.Client {
+func client(s stubService) *btplatform.Client {
 	return btplatform.New(btplatform.Options{Address: address, Transport: s})
 }
 
@@ -53,6 +53,8 @@
 	// Output: [{h1 live} {h2 leaving}] <nil>
 }
 
+// TestConfigAnswers checks the value or the error for each kind of answer, including the
+// size limit and its last valid size.
 func TestConfigAnswers(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -96,8 +98,8 @@
 	}
 }
 
-func TestWeightsAreBounded(t *testing.T) {
-	c := btplatform.New(btplatform.Options{Address: address, MaxWeights: 4, Transport: service(func(r *http.Request) (int, http.Header, string) {
+func TestWeightsAreLimitedInSize(t *testing.T) {
+	c := btplatform.New(btplatform.Options{Address: address, MaxWeights: 4, Transport: stubService(func(r *http.Request) (int, http.Header, string) {
 		assert.Equal(t, r.URL.Path, "/v1/weights/m1/2/3")
 		return 200, nil, "12345"
 	})})
@@ -108,8 +110,9 @@
 	assert.NilError(t, b.Close())
 }
 
-// watch runs a watcher against the service in virtual time.
-func watch(t *testing.T, length time.Duration, s service) (values []string, state btplatform.WatcherState) {
+// runWatcher runs a watcher against the service for a length of virtual time, and returns
+// the values delivered and the final state.
+func runWatcher(t *testing.T, length time.Duration, s stubService) (values []string, state btplatform.WatcherState) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
@@ -124,7 +127,7 @@
 func TestWatcherDeliversEachValueOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
-		values, state := watch(t, time.Minute, func(r *http.Request) (int, http.Header, string) {
+		values, state := runWatcher(t, time.Minute, func(r *http.Request) (int, http.Header, string) {
 			calls++
 			switch {
 			case calls == 1:
@@ -134,7 +137,7 @@
 				assert.Equal(t, r.URL.RawQuery, "after=3&wait=20s")
 				return 200, revision(4), "b"
 			default:
-				time.Sleep(20 * time.Second) // the wait passes at the service
+				time.Sleep(20 * time.Second) // the service delays its answer
 				return 304, nil, ""
 			}
 		})
@@ -143,33 +146,35 @@
 	})
 }
 
-// A service that answers at once, whatever it answers, must not be called more
-// often than the rate allows.
-func TestWatcherBoundsItsCalls(t *testing.T) {
+// TestWatcherLimitsItsCalls guards against a watcher that exceeds the rate limit when the
+// service answers at once, with an error or without a new value.
+func TestWatcherLimitsItsCalls(t *testing.T) {
 	const length = 100 * time.Second
 	answers := map[string]int{"unchanged": 304, "down": 503, "closed": 0, "none": 404}
 	for name, status := range answers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				calls := 0
-				watch(t, length, func(*http.Request) (int, http.Header, string) {
+				runWatcher(t, length, func(*http.Request) (int, http.Header, string) {
 					calls++
 					return status, nil, ""
 				})
-				most := int(length.Seconds())*btplatform.DefaultCallsPerSecond + 4
-				assert.Assert(t, calls > 1 && calls <= most, "%d calls", calls)
+				maxCalls := int(length.Seconds())*btplatform.DefaultCallsPerSecond + 4
+				assert.Assert(t, calls > 1 && calls <= maxCalls, "%d calls", calls)
 			})
 		})
 	}
 }
 
+// TestWatcherHonoursRetryAfter guards against calls before the time in the platform's
+// Retry-After header.
 func TestWatcherHonoursRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var last time.Time
 		calls := 0
-		_, state := watch(t, 5*time.Minute, func(*http.Request) (int, http.Header, string) {
+		_, state := runWatcher(t, 5*time.Minute, func(*http.Request) (int, http.Header, string) {
 			if calls++; calls > 1 {
-				assert.Check(t, time.Since(last) >= 30*time.Second, "came back after %s", time.Since(last))
+				assert.Check(t, time.Since(last) >= 30*time.Second, "called again after %s", time.Since(last))
 			}
 			last = time.Now()
 			return 429, http.Header{"Retry-After": {"30"}}, ""
@@ -179,11 +184,13 @@
 	})
 }
 
-// A service that was put back to lower revisions answers no watch above them.
-func TestWatcherFollowsAServicePutBack(t *testing.T) {
+// TestWatcherFollowsRestoredService guards against a watcher that stays on the old value
+// forever when the service is restored to lower revisions: it then answers no watch for a
+// higher one.
+func TestWatcherFollowsRestoredService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		values, state := watch(t, 15*time.Minute, func(r *http.Request) (int, http.Header, string) {
+		values, state := runWatcher(t, 15*time.Minute, func(r *http.Request) (int, http.Header, string) {
 			if time.Since(start) < time.Second {
 				return 200, revision(9), "nine"
 			}
--- a/io/btplatform/watcher.go
+++ b/io/btplatform/watcher.go
@@ -15,12 +15,13 @@
 
 // Defaults of WatcherOptions.
 const (
-	// DefaultWait is how long one call waits at the service.
+	// DefaultWait is how long the service may delay the answer to one call.
 	DefaultWait = 20 * time.Second
-	// DefaultRefresh is how often the value is read without a revision: a
-	// service that was put back to lower revisions would answer no watch.
+	// DefaultRefresh is the interval at which the value is read without a revision. A
+	// service that was restored to lower revisions would never answer a watch with a
+	// value.
 	DefaultRefresh = 10 * time.Minute
-	// DefaultBackoffFirst is the wait after the first failure.
+	// DefaultBackoffFirst is the longest wait after the first failure.
 	DefaultBackoffFirst = 500 * time.Millisecond
 	// DefaultBackoffLast is the longest wait between failures.
 	DefaultBackoffLast = 15 * time.Second
@@ -40,7 +41,7 @@
 	Client *Client
 	// Key is the configuration key.
 	Key string
-	// Deliver is called with each new value, one at a time.
+	// Deliver is called with each new value, one call at a time.
 	Deliver func(ctx context.Context, value Value)
 	// Registry may be nil.
 	Registry metrics.Registry
@@ -51,20 +52,20 @@
 	Backoff btbackoff.Policy
 }
 
-// WatcherState is what a watcher knows about its service.
+// WatcherState is the state of a watcher.
 type WatcherState struct {
-	// Revision is the last one delivered.
+	// Revision is the revision of the last value delivered.
 	Revision Revision `json:"revision"`
-	// Contact is when the service last answered usefully; zero means never.
+	// Contact is when the service last answered without an error; zero means never.
 	Contact time.Time `json:"contact"`
-	// Failures counts failures in a row.
+	// Failures is the number of consecutive failures.
 	Failures int `json:"failures"`
-	// Error is the last failure of the row.
+	// Error is the error of the latest failure; empty after a success.
 	Error string `json:"error,omitempty"`
 }
 
-// Watcher follows one configuration value. Whether a value replaces the one in
-// force is for its receiver to decide: the service may be stale.
+// Watcher watches one configuration value. The service may be stale, so that the receiver
+// has to decide whether a value replaces the one in force.
 type Watcher struct {
 	options   WatcherOptions
 	delivered metrics.Counter
@@ -72,14 +73,14 @@
 	failed    metrics.Counter
 	revision  metrics.Gauge
 
-	mu    sync.Mutex
-	state WatcherState
-	last  []byte
-	// plain is when the value was last read without a revision.
-	plain time.Time
+	mu       sync.Mutex
+	state    WatcherState
+	lastData []byte
+	// lastFullRead is when the value was last read without a revision.
+	lastFullRead time.Time
 }
 
-// NewWatcher returns a watcher that has not started.
+// NewWatcher returns a watcher; Run starts it.
 func NewWatcher(o WatcherOptions) *Watcher {
 	if o.Registry == nil {
 		o.Registry = metrics.NewRegistry()
@@ -100,15 +101,15 @@
 	}
 }
 
-// State returns what the watcher knows now.
+// State returns the watcher's current state.
 func (w *Watcher) State() WatcherState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state
 }
 
-// Run watches until the context ends, then returns nil. It outlives any failure
-// of the service.
+// Run watches until the context ends, and then returns nil. It continues after any
+// failure of the service.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		value, changed, err := w.read(ctx)
@@ -116,10 +117,10 @@
 			return nil
 		}
 		if err != nil {
-			pause(ctx, w.failure(err))
+			sleep(ctx, w.recordFailure(err))
 			continue
 		}
-		if w.success(value, changed) {
+		if w.recordSuccess(value, changed) {
 			w.options.Deliver(ctx, value)
 		}
 	}
@@ -129,24 +130,24 @@
 func (w *Watcher) read(ctx context.Context) (Value, bool, error) {
 	after := w.State().Revision
 	now := time.Now()
-	if now.Sub(w.plain) >= w.options.Refresh {
+	if now.Sub(w.lastFullRead) >= w.options.Refresh {
 		after = 0
 	}
 	value, changed, err := w.options.Client.Config(ctx, w.options.Key, after, w.options.Wait)
 	if err == nil && after == 0 {
-		w.plain = now
+		w.lastFullRead = now
 	}
 	return value, changed, err
 }
 
-// success tells whether the value is to be delivered.
-func (w *Watcher) success(value Value, changed bool) bool {
+// recordSuccess records an answer and reports whether its value must be delivered.
+func (w *Watcher) recordSuccess(value Value, changed bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.state.Contact = time.Now()
 	w.state.Failures = 0
 	w.state.Error = ""
-	if !changed || value.Revision == w.state.Revision && bytes.Equal(value.Data, w.last) {
+	if !changed || value.Revision == w.state.Revision && bytes.Equal(value.Data, w.lastData) {
 		w.unchanged.Inc(1)
 		return false
 	}
@@ -155,15 +156,16 @@
 			"revision", uint64(value.Revision), "earlier", uint64(w.state.Revision))
 	}
 	w.state.Revision = value.Revision
-	w.last = value.Data
+	w.lastData = value.Data
 	w.delivered.Inc(1)
 	w.revision.Update(int64(value.Revision))
 	return true
 }
 
-// failure returns how long to wait. A time that the platform names is a lower
-// bound; the jitter goes on top, so that readers don't come back together.
-func (w *Watcher) failure(err error) time.Duration {
+// recordFailure records a failure and returns how long to wait. The wait that the platform
+// asks for is a lower bound. The backoff is added to it, so that its jitter spreads the
+// readers' next calls.
+func (w *Watcher) recordFailure(err error) time.Duration {
 	w.failed.Inc(1)
 	w.mu.Lock()
 	w.state.Failures++
@@ -180,7 +182,7 @@
 	return wait
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
