--- a/io/btsettings/btsettings_test.go
+++ b/io/btsettings/btsettings_test.go
@@ -16,7 +16,7 @@
 	"bilberrytide/io/btsettings"
 )
 
-const entry = `name = "e1"
+const entrySettings = `name = "e1"
 host = "edge-1"
 data_centre = "aarhus"
 listen = "127.0.0.1:0"
@@ -38,7 +38,7 @@
 level = "warn"
 `
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -46,7 +46,7 @@
 }
 
 func TestLoadEntry(t *testing.T) {
-	path := write(t, entry)
+	path := writeSettings(t, entrySettings)
 	s, err := btsettings.LoadEntry(path)
 	assert.NilError(t, err)
 	assert.Equal(t, s.BalancerLag.Duration, 5*time.Second)
@@ -59,6 +59,8 @@
 	assert.ErrorContains(t, err, "tls.cert: open /etc/e1.pem")
 }
 
+// TestLoadListsEveryProblem guards against settings errors that lack the file, line or
+// key, and against a load that stops at the first problem.
 func TestLoadListsEveryProblem(t *testing.T) {
 	tests := []struct{ old, replacement, want string }{
 		{old: `name = "e1"`, replacement: `name = "E 1"`, want: `line 1: name: malformed name`},
@@ -77,14 +79,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.replacement, func(t *testing.T) {
-			path := write(t, strings.Replace(entry, test.old, test.replacement, 1))
+			path := writeSettings(t, strings.Replace(entrySettings, test.old, test.replacement, 1))
 			_, err := btsettings.LoadEntry(path)
 			var listed *btsettings.Error
 			assert.Assert(t, errors.As(err, &listed), "%v", err)
 			assert.Assert(t, cmp.Contains(err.Error(), path+": "+test.want))
 		})
 	}
-	_, err := btsettings.LoadAgent(write(t, "peer_listen = \"x\"\ncolour = 1\n[log]\nlevel = \"loud\"\n"))
+	_, err := btsettings.LoadAgent(writeSettings(t, "peer_listen = \"x\"\ncolour = 1\n[log]\nlevel = \"loud\"\n"))
 	var listed *btsettings.Error
 	assert.Assert(t, errors.As(err, &listed))
 	assert.Equal(t, len(listed.Problems), 3, "%v", err)
@@ -92,8 +94,9 @@
 	assert.ErrorIs(t, err, btsettings.ErrRead)
 }
 
-// The reference becomes a valid file once its required keys are filled in.
-func TestReferenceIsAFileToStartFrom(t *testing.T) {
+// TestCompletedReferenceIsValid guards against a reference that isn't a valid settings
+// file once its required keys are set.
+func TestCompletedReferenceIsValid(t *testing.T) {
 	values := map[string]string{"name": "x", "target": "x", "host": "h", "data_centre": "d", "listen": "127.0.0.1:0",
 		"peer_listen": "127.0.0.1:0", "address": "127.0.0.1:9", "ca": "a", "cert": "b", "key": "c"}
 	for _, kind := range []btsettings.Kind{btsettings.EntryKind, btsettings.AgentKind} {
@@ -104,9 +107,9 @@
 		text += "\n[[approvers.keys]]\nname = \"anna\"\nkey = \"bAK8+uNUKDNBTUWP5DkgIbZ+Gi0/YCzJz06yHM9NSPE=\"\n"
 		var err error
 		if kind == btsettings.EntryKind {
-			_, err = btsettings.LoadEntry(write(t, text))
+			_, err = btsettings.LoadEntry(writeSettings(t, text))
 		} else {
-			_, err = btsettings.LoadAgent(write(t, text))
+			_, err = btsettings.LoadAgent(writeSettings(t, text))
 		}
 		assert.NilError(t, err, "%s", text)
 	}
--- a/io/btsettings/defaults.go
+++ b/io/btsettings/defaults.go
@@ -8,18 +8,18 @@
 	"bilberrytide/core/btbundle"
 )
 
-// The values of keys that a settings file leaves out.
+// Defaults of optional keys.
 const (
 	defaultBundleKey   = "bilberrytide-bundle"
 	defaultBalancerLag = 5 * time.Second
 )
 
-// DefaultEntry returns an entry's settings before its file is read.
+// DefaultEntry returns an entry's default settings, without the required keys.
 func DefaultEntry() Entry {
 	return Entry{BalancerLag: btbundle.Duration{Duration: defaultBalancerLag}, Tables: defaultTables()}
 }
 
-// DefaultAgent returns an agent's settings before its file is read.
+// DefaultAgent returns an agent's default settings, without the required keys.
 func DefaultAgent() Agent { return Agent{Tables: defaultTables()} }
 
 func defaultTables() Tables {
--- a/io/btsettings/load.go
+++ b/io/btsettings/load.go
@@ -12,20 +12,19 @@
 	"bilberrytide/io/btkeys"
 )
 
-// ErrRead is wrapped by the error of a settings file that can't be read.
+// ErrRead is wrapped if the settings file can't be read.
 var ErrRead = errors.New("settings file can't be read")
 
-// ErrTLSFile is wrapped by the error of a file that the tls table names and that
-// can't be read.
+// ErrTLSFile is wrapped if a file that the tls table names can't be read.
 var ErrTLSFile = errors.New("file of the tls table can't be read")
 
-// Error lists every fault of a settings file.
+// Error lists all problems of a settings file.
 type Error struct {
 	File     string          `json:"file"`
 	Problems bttoml.Problems `json:"problems"`
 }
 
-// Error writes one fault a line: "file: line 7: key: text".
+// Error returns one line for each problem: "file: line 7: key: text".
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -34,33 +33,33 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the faults.
+// Unwrap returns the problems.
 func (e *Error) Unwrap() error { return e.Problems }
 
-// LoadEntry reads an entry's settings file. The error wraps ErrRead or is an
-// *Error with every fault.
+// LoadEntry reads and checks an entry's settings file. The error wraps ErrRead or is an
+// *Error with all problems.
 func LoadEntry(path string) (*Entry, error) {
 	s := DefaultEntry()
 	if err := load(path, &s, s.check); err != nil {
 		return nil, err
 	}
-	s.TLS.resolve(path)
+	s.TLS.resolvePaths(path)
 	return &s, nil
 }
 
-// LoadAgent reads an agent's settings file. The error wraps ErrRead or is an
-// *Error with every fault.
+// LoadAgent reads and checks an agent's settings file. The error wraps ErrRead or is an
+// *Error with all problems.
 func LoadAgent(path string) (*Agent, error) {
 	s := DefaultAgent()
 	if err := load(path, &s, s.check); err != nil {
 		return nil, err
 	}
-	s.TLS.resolve(path)
+	s.TLS.resolvePaths(path)
 	return &s, nil
 }
 
-// load decodes the file into settings and checks them where every value could
-// be decoded.
+// load decodes the file into settings. It checks the settings only if decoding found no
+// problem other than unknown keys.
 func load(path string, settings any, check func(c *bttoml.Checker)) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -83,8 +82,8 @@
 func (s *Entry) check(c *bttoml.Checker) {
 	c.Require(s.BalancerLag.Duration >= 0, "balancer_lag", "must not be negative")
 	s.Tables.check(c)
-	taken := s.Status.Listen == s.Listen && s.Listen.Port() != 0
-	c.Require(!taken, "status.listen", "%s is already listen", s.Status.Listen)
+	sameAddress := s.Status.Listen == s.Listen && s.Listen.Port() != 0
+	c.Require(!sameAddress, "status.listen", "%s is already listen", s.Status.Listen)
 }
 
 func (t *Tables) check(c *bttoml.Checker) {
@@ -99,10 +98,10 @@
 	for i, p := range peers {
 		key := fmt.Sprintf("peers[%d]", i)
 		identity, err := btkeys.ParseIdentity(p.Name)
-		entry := err == nil && identity.Role == btkeys.Entry
-		c.Require(entry, key+".name", "%q is no entry's identity: entry/<name>", p.Name)
-		reachable := p.Address.IsValid() && p.Address.Port() != 0
-		c.Require(reachable, key+".address", "needs an ip:port with a port over 0")
+		isEntry := err == nil && identity.Role == btkeys.Entry
+		c.Require(isEntry, key+".name", "%q is no entry's identity: entry/<name>", p.Name)
+		hasAddress := p.Address.IsValid() && p.Address.Port() != 0
+		c.Require(hasAddress, key+".address", "needs an ip:port with a port over 0")
 	}
 }
 
@@ -129,8 +128,8 @@
 	c.Require(s.Listen.Addr().IsLoopback(), "status.listen", "%s is not on loopback: it tells of client accounts and takes no key", s.Listen)
 }
 
-// resolve makes paths start at the settings file's directory.
-func (t *TLS) resolve(path string) {
+// resolvePaths makes relative paths relative to the settings file's directory.
+func (t *TLS) resolvePaths(path string) {
 	for _, file := range []*string{&t.CA, &t.Cert, &t.Key} {
 		if *file != "" && !filepath.IsAbs(*file) {
 			*file = filepath.Join(filepath.Dir(path), *file)
@@ -138,8 +137,8 @@
 	}
 }
 
-// CheckFiles reports the files that can't be read, by their keys. The error
-// wraps ErrTLSFile.
+// CheckFiles returns an error that wraps ErrTLSFile and names the keys of all files that
+// can't be read.
 func (t *TLS) CheckFiles() error {
 	return errors.Join(
 		checkFile("tls.ca", t.CA),
