--- a/io/btkeys/authority.go
+++ b/io/btkeys/authority.go
@@ -22,8 +22,9 @@
 	// DefaultValidity is how long an issued certificate is valid.
 	DefaultValidity = 90 * 24 * time.Hour
 
-	// clockError is how far back validity starts, for hosts whose clock is late.
-	clockError = 10 * time.Minute
+	// clockSkewTolerance is how far before its issue a certificate's validity starts, for
+	// hosts whose clock is slow.
+	clockSkewTolerance = 10 * time.Minute
 
 	serialBits = 127
 
@@ -33,19 +34,19 @@
 	authorityCertificateFile = "ca.pem"
 	authorityKeyFile         = "ca.key"
 
-	modeSecret fs.FileMode = 0o600
-	modePublic fs.FileMode = 0o644
-	modeFolder fs.FileMode = 0o700
+	modeSecret    fs.FileMode = 0o600
+	modePublic    fs.FileMode = 0o644
+	modeDirectory fs.FileMode = 0o700
 )
 
-// Authority signs the certificates of the processes of one fleet. It lives at
-// the operator's desk, never on a host of the fleet.
+// Authority is the certificate authority that signs the certificates of one fleet's
+// processes. The operator must keep its key off the hosts of the fleet.
 type Authority struct {
 	certificate *x509.Certificate
 	key         crypto.Signer
 }
 
-// NewAuthority makes a new authority, valid from now for the validity.
+// NewAuthority creates an authority with a new key, valid from now for the given duration.
 func NewAuthority(name string, now time.Time, validity time.Duration) (*Authority, error) {
 	public, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -84,14 +85,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if !samePublic(certificate.PublicKey, key.Public()) {
+	if !equalPublicKeys(certificate.PublicKey, key.Public()) {
 		return nil, fmt.Errorf("%w: %s is not the key of %s", ErrFiles, keyFile, certificateFile)
 	}
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Issue makes a key and a certificate for the identity, for use on both ends
-// of a connection. It never outlives the authority's own certificate.
+// Issue creates a key and a certificate for the identity, which is valid for servers and
+// clients. The certificate never expires after the authority's.
 func (a *Authority) Issue(id Identity, now time.Time, validity time.Duration) (*Issued, error) {
 	if err := id.Validate(); err != nil {
 		return nil, err
@@ -116,8 +117,8 @@
 	return &Issued{identity: id, certificate: raw, key: key, authority: a.certificate.Raw}, nil
 }
 
-// Write stores the authority in the folder as ca.pem and ca.key (mode 0600) and
-// returns the two paths. It refuses to replace either file.
+// Write writes the authority to ca.pem and ca.key (mode 0600) in the folder and returns
+// the two paths. It returns an error that wraps ErrFiles if either file exists.
 func (a *Authority) Write(folder string) (certificateFile, keyFile string, err error) {
 	certificateFile = filepath.Join(folder, authorityCertificateFile)
 	keyFile = filepath.Join(folder, authorityKeyFile)
@@ -129,10 +130,10 @@
 	if err := writeKey(keyFile, a.key); err != nil {
 		return "", "", err
 	}
-	return certificateFile, keyFile, writeBlock(certificateFile, blockCertificate, a.certificate.Raw, modePublic)
+	return certificateFile, keyFile, writePEM(certificateFile, blockCertificate, a.certificate.Raw, modePublic)
 }
 
-// Issued is a process's new certificate and key, not yet stored.
+// Issued is a process's new certificate and key, which Write stores.
 type Issued struct {
 	identity    Identity
 	certificate []byte
@@ -140,10 +141,10 @@
 	authority   []byte
 }
 
-// Write stores the certificate, the key (mode 0600) and the authority's
-// certificate in the folder, replacing earlier ones, and returns their paths.
-// A Source that meets the new certificate before the new key keeps the earlier
-// pair until both are there.
+// Write writes the certificate, the key (mode 0600) and the authority's certificate to the
+// folder, replacing earlier files, and returns their paths. A Source that reads a new
+// file together with an old one refuses the pair and keeps the earlier material until
+// both files are new.
 func (i *Issued) Write(folder string) (Files, error) {
 	base := string(i.identity.Role) + "-" + i.identity.Name
 	files := Files{
@@ -154,10 +155,10 @@
 	if err := writeKey(files.Key, i.key); err != nil {
 		return Files{}, err
 	}
-	if err := writeBlock(files.Authority, blockCertificate, i.authority, modePublic); err != nil {
+	if err := writePEM(files.Authority, blockCertificate, i.authority, modePublic); err != nil {
 		return Files{}, err
 	}
-	return files, writeBlock(files.Certificate, blockCertificate, i.certificate, modePublic)
+	return files, writePEM(files.Certificate, blockCertificate, i.certificate, modePublic)
 }
 
 func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
@@ -171,12 +172,12 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-clockError),
+		NotBefore:    now.Add(-clockSkewTolerance),
 		NotAfter:     now.Add(validity),
 	}, nil
 }
 
-func samePublic(a, b crypto.PublicKey) bool {
+func equalPublicKeys(a, b crypto.PublicKey) bool {
 	key, ok := a.(interface{ Equal(crypto.PublicKey) bool })
 	return ok && key.Equal(b)
 }
@@ -186,12 +187,13 @@
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrFiles, name, err)
 	}
-	return writeBlock(name, blockKey, raw, modeSecret)
+	return writePEM(name, blockKey, raw, modeSecret)
 }
 
-// writeBlock replaces the file as a whole, so that a reader never sees half.
-func writeBlock(name, kind string, raw []byte, mode fs.FileMode) error {
-	if err := os.MkdirAll(filepath.Dir(name), modeFolder); err != nil {
+// writePEM writes a PEM file and replaces an earlier one atomically, so that a reader
+// never sees a partial file.
+func writePEM(name, kind string, raw []byte, mode fs.FileMode) error {
+	if err := os.MkdirAll(filepath.Dir(name), modeDirectory); err != nil {
 		return fmt.Errorf("%w: %w", ErrFiles, err)
 	}
 	file, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
--- a/io/btkeys/btkeys_test.go
+++ b/io/btkeys/btkeys_test.go
@@ -58,8 +58,8 @@
 	return s
 }
 
-// shake runs one handshake over loopback and returns both sides' errors.
-func shake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
+// handshake runs one TLS handshake over loopback and returns both sides' errors.
+func handshake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -80,7 +80,7 @@
 	c := tls.Client(a, client)
 	clientErr = c.HandshakeContext(context.Background())
 	if clientErr == nil {
-		// In TLS 1.3 the client hears of a refused certificate when it reads.
+		// In TLS 1.3 the client learns that its certificate was refused when it reads.
 		_, _ = c.Read(make([]byte, 1))
 	}
 	_ = a.Close()
@@ -88,27 +88,29 @@
 }
 
 func TestHandshakes(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+	authority, otherAuthority := newAuthority(t), newAuthority(t)
 	source := func(a *btkeys.Authority, id btkeys.Identity) *btkeys.Source {
 		return newSource(t, btkeys.Options{Files: issue(t, a, id, t.TempDir(), time.Hour)})
 	}
 	late := func() time.Time { return start.Add(2 * time.Hour) }
-	expired := newSource(t, btkeys.Options{Files: issue(t, ours, agent, t.TempDir(), time.Hour), Now: late})
+	expired := newSource(t, btkeys.Options{Files: issue(t, authority, agent, t.TempDir(), time.Hour), Now: late})
 
-	client, server := shake(t, source(ours, entry).ClientTLS(agent), source(ours, agent).ServerTLS())
+	client, server := handshake(t, source(authority, entry).ClientTLS(agent), source(authority, agent).ServerTLS())
 	assert.NilError(t, client)
 	assert.NilError(t, server)
-	client, _ = shake(t, source(ours, entry).ClientTLS(agent), source(ours, entry).ServerTLS())
+	client, _ = handshake(t, source(authority, entry).ClientTLS(agent), source(authority, entry).ServerTLS())
 	assert.ErrorIs(t, client, btkeys.ErrIdentity)
-	client, _ = shake(t, source(ours, entry).ClientTLS(agent), source(theirs, agent).ServerTLS())
+	client, _ = handshake(t, source(authority, entry).ClientTLS(agent), source(otherAuthority, agent).ServerTLS())
 	assert.ErrorIs(t, client, btkeys.ErrUntrusted)
-	_, server = shake(t, source(ours, entry).ClientTLS(agent), expired.ServerTLS())
+	_, server = handshake(t, source(authority, entry).ClientTLS(agent), expired.ServerTLS())
 	assert.ErrorIs(t, server, btkeys.ErrUntrusted)
-	_, server = shake(t, &tls.Config{InsecureSkipVerify: true}, source(ours, agent).ServerTLS())
+	_, server = handshake(t, &tls.Config{InsecureSkipVerify: true}, source(authority, agent).ServerTLS())
 	assert.Assert(t, server != nil, "a client without a certificate")
 }
 
-func TestReloadKeepsWhatWorks(t *testing.T) {
+// TestReloadKeepsUsableMaterial guards against a reload that replaces usable material by a
+// certificate without its key, or by one of another identity.
+func TestReloadKeepsUsableMaterial(t *testing.T) {
 	a := newAuthority(t)
 	folder := t.TempDir()
 	registry := metrics.NewRegistry()
@@ -118,7 +120,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, !changed)
 
-	// A new certificate without its key, as a reader may meet it half way.
+	// A new certificate with the old key, as a reader may see them during a rotation.
 	key, err := os.ReadFile(files.Key)
 	assert.NilError(t, err)
 	issue(t, a, entry, folder, time.Hour)
@@ -136,7 +138,7 @@
 	assert.Equal(t, s.Current().Generation, uint64(2))
 	assert.Equal(t, metrics.GetOrRegisterCounter(btkeys.MetricReloaded, registry).Count(), int64(1))
 
-	// Another identity's files in the same place.
+	// Files of another identity at the same paths.
 	other := issue(t, a, agent, t.TempDir(), time.Hour)
 	assert.NilError(t, os.Rename(other.Key, files.Key))
 	assert.NilError(t, os.Rename(other.Certificate, files.Certificate))
@@ -145,7 +147,9 @@
 	assert.Equal(t, s.Identity(), entry)
 }
 
-func TestWarnsAheadOfExpiryOnceADay(t *testing.T) {
+// TestWarnsBeforeExpiryOnceADay guards against an expiry without a warning, and against a
+// warning at every reload.
+func TestWarnsBeforeExpiryOnceADay(t *testing.T) {
 	var log bytes.Buffer
 	now := start
 	registry := metrics.NewRegistry()
@@ -194,6 +198,8 @@
 	assert.Equal(t, certificate.NotAfter, authority.NotAfter)
 }
 
+// TestSecretKeyComesFromThePrivateKey guards against a secret that changes with a restart,
+// or that is the same for two labels or two private keys.
 func TestSecretKeyComesFromThePrivateKey(t *testing.T) {
 	a := newAuthority(t)
 	files := issue(t, a, entry, t.TempDir(), time.Hour)
--- a/io/btkeys/material.go
+++ b/io/btkeys/material.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// Files names the three PEM files that a process is given.
+// Files are the paths of the three PEM files that a process reads.
 type Files struct {
 	// Certificate is the process's own certificate.
 	Certificate string
-	// Key is the process's private key, PKCS 8.
+	// Key is the process's private key, in PKCS #8.
 	Key string
-	// Authority holds the authority's certificates; two while one replaces the
-	// other.
+	// Authority holds the certificates of the trusted authorities: two while one
+	// authority replaces the other.
 	Authority string
 }
 
-// Material is what was read from the files at one time. It never changes.
+// Material is the content of the files as read at one time. It is immutable.
 type Material struct {
-	// Identity is the process's own.
+	// Identity is the identity in the process's certificate.
 	Identity Identity
-	// Generation counts the readings that brought something new, from 1.
+	// Generation starts at 1 and increases whenever changed files are loaded.
 	Generation uint64
-	// NotAfter is when the process's own certificate, or the last of the
-	// authority's, expires: the earlier of the two.
+	// NotAfter is the earlier of two times: when the process's certificate expires, and
+	// when the last of the authority's certificates expires.
 	NotAfter time.Time
 
 	certificate *tls.Certificate
@@ -38,8 +38,8 @@
 	digest      [sha256.Size]byte
 }
 
-// SecretKey derives a 32 byte secret from the private key, so that a process
-// that starts again with the same key arrives at the same secret.
+// SecretKey derives a secret of 32 bytes from the private key and the label. A process
+// that restarts with the same private key gets the same secret.
 func (m *Material) SecretKey(label string) ([sha256.Size]byte, error) {
 	var secret [sha256.Size]byte
 	raw, err := x509.MarshalPKCS8PrivateKey(m.certificate.PrivateKey)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s with %s: %w", ErrFiles, f.Certificate, f.Key, err)
 	}
-	pool, last, err := parseAuthority(f.Authority, data[2])
+	pool, authorityExpiry, err := parseAuthority(f.Authority, data[2])
 	if err != nil {
 		return nil, err
 	}
@@ -79,37 +79,37 @@
 		return nil, fmt.Errorf("%w: %s: %w", ErrFiles, f.Certificate, err)
 	}
 	m := &Material{Identity: id, NotAfter: certificate.Leaf.NotAfter, certificate: &certificate, pool: pool}
-	if last.Before(m.NotAfter) {
-		m.NotAfter = last
+	if authorityExpiry.Before(m.NotAfter) {
+		m.NotAfter = authorityExpiry
 	}
 	digest.Sum(m.digest[:0])
 	return m, nil
 }
 
-// parseAuthority also returns the expiry of the authority that lasts longest.
+// parseAuthority returns the authority's certificates and when the last of them expires.
 func parseAuthority(name string, data []byte) (*x509.CertPool, time.Time, error) {
 	pool := x509.NewCertPool()
-	var last time.Time
+	var latestExpiry time.Time
 	for block, rest := pem.Decode(data); block != nil; block, rest = pem.Decode(rest) {
 		certificate, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			return nil, last, fmt.Errorf("%w: %s: %w", ErrFiles, name, err)
+			return nil, latestExpiry, fmt.Errorf("%w: %s: %w", ErrFiles, name, err)
 		}
 		pool.AddCert(certificate)
-		if certificate.NotAfter.After(last) {
-			last = certificate.NotAfter
+		if certificate.NotAfter.After(latestExpiry) {
+			latestExpiry = certificate.NotAfter
 		}
 	}
-	if last.IsZero() {
-		return nil, last, fmt.Errorf("%w: %s: no certificate", ErrFiles, name)
+	if latestExpiry.IsZero() {
+		return nil, latestExpiry, fmt.Errorf("%w: %s: no certificate", ErrFiles, name)
 	}
-	return pool, last, nil
+	return pool, latestExpiry, nil
 }
 
 // ReadCertificate reads the first certificate of a PEM file. The error wraps
 // ErrFiles and names the file.
 func ReadCertificate(name string) (*x509.Certificate, error) {
-	block, err := readBlock(name, blockCertificate)
+	block, err := readPEM(name, blockCertificate)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 }
 
 func readKey(name string) (crypto.Signer, error) {
-	block, err := readBlock(name, blockKey)
+	block, err := readPEM(name, blockKey)
 	if err != nil {
 		return nil, err
 	}
@@ -136,7 +136,7 @@
 	return signer, nil
 }
 
-func readBlock(name, kind string) ([]byte, error) {
+func readPEM(name, kind string) ([]byte, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrFiles, err)
--- a/io/btkeys/source.go
+++ b/io/btkeys/source.go
@@ -16,14 +16,14 @@
 const (
 	// DefaultWarnBefore is how long before expiry a Source starts to warn.
 	DefaultWarnBefore = 21 * 24 * time.Hour
-	// DefaultInterval is how often Run looks at the files.
+	// DefaultInterval is the interval at which Run reloads the files.
 	DefaultInterval = 30 * time.Second
 
 	// MetricDaysLeft is the gauge of whole days until the material expires.
 	MetricDaysLeft = "keys.days_left"
-	// MetricReloaded counts readings that brought something new.
+	// MetricReloaded counts reloads of changed files.
 	MetricReloaded = "keys.reloaded"
-	// MetricRefused counts readings that were refused.
+	// MetricRefused counts reloads that were refused.
 	MetricRefused = "keys.refused"
 
 	day = 24 * time.Hour
@@ -43,31 +43,32 @@
 	Now func() time.Time
 }
 
-// Source gives the certificate, key and trusted authorities in force. It is
-// safe for concurrent use.
+// Source provides the certificate, key and trusted authorities in force, and reloads them
+// from files. It is safe for concurrent use.
 type Source struct {
 	options  Options
 	current  atomic.Pointer[Material]
-	reading  sync.Mutex
+	reloadMu sync.Mutex
 	warnedAt time.Time
-	days     metrics.Gauge
+	daysLeft metrics.Gauge
 	reloaded metrics.Counter
 	refused  metrics.Counter
 }
 
-// New reads the files once. The error wraps ErrFiles and names the file.
+// New returns a source after loading its files. The error wraps ErrFiles and names the
+// file.
 func New(o Options) (*Source, error) {
 	o = withDefaults(o)
 	s := &Source{
 		options:  o,
-		days:     metrics.GetOrRegisterGauge(MetricDaysLeft, o.Registry),
+		daysLeft: metrics.GetOrRegisterGauge(MetricDaysLeft, o.Registry),
 		reloaded: metrics.GetOrRegisterCounter(MetricReloaded, o.Registry),
 		refused:  metrics.GetOrRegisterCounter(MetricRefused, o.Registry),
 	}
 	if _, err := s.Reload(); err != nil {
 		return nil, err
 	}
-	s.warnOpenKey()
+	s.warnReadableKey()
 	return s, nil
 }
 
@@ -93,18 +94,17 @@
 // Identity returns the process's own identity, which never changes.
 func (s *Source) Identity() Identity { return s.Current().Identity }
 
-// Reload reads the files and puts them in force as a whole; it tells whether
-// they brought something new. Files that can't be used, or that carry another
-// identity, change nothing: the earlier material stays in force and the error
-// wraps ErrFiles or ErrIdentity.
+// Reload reads the files, puts all of them in force at once and reports whether they had
+// changed. If they can't be used or are for another identity, the earlier material stays
+// in force and the error wraps ErrFiles or ErrIdentity.
 func (s *Source) Reload() (bool, error) {
-	s.reading.Lock()
-	defer s.reading.Unlock()
+	s.reloadMu.Lock()
+	defer s.reloadMu.Unlock()
 	changed, err := s.reload()
 	if err != nil {
 		s.refused.Inc(1)
 	}
-	s.watchExpiry()
+	s.checkExpiry()
 	return changed, err
 }
 
@@ -135,15 +135,15 @@
 	return true, nil
 }
 
-// watchExpiry sets the gauge and warns once a day when expiry is near.
-func (s *Source) watchExpiry() {
+// checkExpiry sets the gauge, and warns once a day from Options.WarnBefore before expiry.
+func (s *Source) checkExpiry() {
 	m := s.current.Load()
 	if m == nil {
 		return
 	}
 	now := s.options.Now()
 	left := m.NotAfter.Sub(now)
-	s.days.Update(int64(left / day))
+	s.daysLeft.Update(int64(left / day))
 	if left > s.options.WarnBefore || now.Sub(s.warnedAt) < day {
 		return
 	}
@@ -152,8 +152,8 @@
 		"not_after", m.NotAfter, "left", left.Truncate(time.Second).String())
 }
 
-// warnOpenKey tells of a private key that other accounts of the host can read.
-func (s *Source) warnOpenKey() {
+// warnReadableKey warns if other users of the host have access to the private key file.
+func (s *Source) warnReadableKey() {
 	info, err := os.Stat(s.options.Files.Key)
 	if err == nil && info.Mode().Perm()&^modeSecret != 0 {
 		s.options.Log.Warn("private key is readable by others", "file", s.options.Files.Key,
@@ -161,8 +161,8 @@
 	}
 }
 
-// Run reloads at each interval until the context ends, then returns nil. Zero
-// means DefaultInterval.
+// Run reloads the files at each interval until the context ends, and then returns nil. An
+// interval of zero means DefaultInterval.
 func (s *Source) Run(ctx context.Context, interval time.Duration) error {
 	if interval <= 0 {
 		interval = DefaultInterval
--- a/io/btkeys/tls.go
+++ b/io/btkeys/tls.go
@@ -6,9 +6,9 @@
 	"fmt"
 )
 
-// ServerTLS returns settings for accepting connections: TLS 1.3, and a client
-// certificate that the authority in force has signed. The identity of the
-// client is PeerIdentity of the connection's state.
+// ServerTLS returns the configuration for accepting connections. It requires TLS 1.3 and
+// a client certificate signed by the authority in force. PeerIdentity returns the
+// client's identity from the connection's state.
 func (s *Source) ServerTLS(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -25,15 +25,16 @@
 	}
 }
 
-// ClientTLS returns settings for a connection to the peer with the identity
-// want; a peer with another one is refused with ErrIdentity.
+// ClientTLS returns the configuration for dialling the peer with the identity want. A
+// peer with another identity is refused with ErrIdentity.
 func (s *Source) ClientTLS(want Identity, protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             protocols,
 		SessionTicketsDisabled: true,
-		// Certificates carry an identity, not a host name, so the standard check
-		// of the name is replaced by verify, which checks the chain itself.
+		// Certificates contain an identity, not a host name. VerifyConnection
+		// therefore replaces the standard check: it verifies the chain and compares
+		// the identity.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.Current().certificate, nil
@@ -65,13 +66,13 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots:         s.Current().pool,
-		Intermediates: between,
+		Intermediates: intermediates,
 		CurrentTime:   s.options.Now(),
 		KeyUsages:     []x509.ExtKeyUsage{usage},
 	})
