--- a/io/btkeys/btkeys_test.go
+++ b/io/btkeys/btkeys_test.go
@@ -87,6 +87,8 @@
 	return clientErr, <-done
 }
 
+// TestHandshakes guards against a handshake that succeeds with another identity, another authority's
+// certificate, an expired certificate or no client certificate.
 func TestHandshakes(t *testing.T) {
 	authority, otherAuthority := newAuthority(t), newAuthority(t)
 	source := func(a *btkeys.Authority, id btkeys.Identity) *btkeys.Source {
@@ -175,6 +177,7 @@
 	assert.Equal(t, warnings(), 2)
 }
 
+// TestUnusableFilesAreNamed guards against an error that doesn't name the unusable file.
 func TestUnusableFilesAreNamed(t *testing.T) {
 	good := issue(t, newAuthority(t), entry, t.TempDir(), time.Hour)
 	empty := filepath.Join(t.TempDir(), "empty.pem")
@@ -188,6 +191,8 @@
 	}
 }
 
+// TestCertificateNeverOutlivesItsAuthority guards against a certificate that seems valid after its
+// authority has expired.
 func TestCertificateNeverOutlivesItsAuthority(t *testing.T) {
 	a := newAuthority(t)
 	files := issue(t, a, entry, t.TempDir(), 10*365*24*time.Hour)
--- a/io/btpeer/btpeer_test.go
+++ b/io/btpeer/btpeer_test.go
@@ -72,6 +72,8 @@
 	assert.Equal(t, agent.count(btpeer.MetricTooLarge), int64(1))
 }
 
+// TestInvalidMessage guards against a handler that is called with a message whose
+// Validate returns an error.
 func TestInvalidMessage(t *testing.T) {
 	entry, agent := pair(t, nil)
 	_, err := call(entry, agent.endpoint(), text{Text: "invalid"})
@@ -79,6 +81,8 @@
 	assert.Equal(t, agent.count(btpeer.MetricMalformed), int64(1))
 }
 
+// TestUnknownKind guards against a request of a kind without a handler that the caller
+// takes for possibly run.
 func TestUnknownKind(t *testing.T) {
 	entry, agent := pair(t, nil)
 	_, err := btpeer.Call[text, text](t.Context(), entry.Node, agent.endpoint(), "nothing", text{})
@@ -87,6 +91,8 @@
 	assert.Equal(t, agent.count(btpeer.MetricUnknownKind), int64(1))
 }
 
+// TestIdentityMismatchIsRefused guards against a request to the wrong process, when another
+// process now listens at the address.
 func TestIdentityMismatchIsRefused(t *testing.T) {
 	entry, agent := pair(t, nil)
 	wrong := agent.endpoint()
--- a/io/btpeer/codec_test.go
+++ b/io/btpeer/codec_test.go
@@ -48,6 +48,8 @@
 	Counts: map[string][]int{"a": {1, 2}}, Nested: map[string]nested{"b": {Text: []string{"c"}}},
 }
 
+// TestFrameRoundTrip guards against a field type that is lost or changed, and against a reader
+// that relies on getting a frame in one piece.
 func TestFrameRoundTrip(t *testing.T) {
 	frame, err := btpeer.EncodeFrame(sample, limit)
 	assert.NilError(t, err)
@@ -73,6 +75,7 @@
 	}
 }
 
+// TestRandomTextsRoundTrip guards against texts or data that the codec changes or refuses.
 func TestRandomTextsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := text{Text: rapid.String().Draw(t, "text"), Data: rapid.SliceOfN(rapid.Byte(), 1, 5000).Draw(t, "data")}
@@ -87,6 +90,8 @@
 	})
 }
 
+// TestMalformedFrames guards against malformed frames that are accepted, panic, or are reported
+// as the regular end of the stream.
 func TestMalformedFrames(t *testing.T) {
 	cases := map[string]string{
 		"empty":           "\x00\x00\x00\x00",
--- a/io/btpeer/failure_test.go
+++ b/io/btpeer/failure_test.go
@@ -34,6 +34,8 @@
 	assert.Equal(t, entry.count(btpeer.MetricBackedOff), int64(2))
 }
 
+// TestRedialAfterPeerComesUp guards against a peer that stays unreachable for a caller that failed
+// to connect to it once.
 func TestRedialAfterPeerComesUp(t *testing.T) {
 	f := newFleet(t)
 	entry := f.node(entryID, func(o *btpeer.Options) {
@@ -102,6 +104,7 @@
 	assert.ErrorIs(t, err, btpeer.ErrLost)
 }
 
+// TestCancelReachesPeer guards against a handler that continues after the caller has cancelled.
 func TestCancelReachesPeer(t *testing.T) {
 	ended := make(chan error, 1)
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{"hold": holdAfterFirst(ended)})
@@ -159,6 +162,7 @@
 	assert.NilError(t, <-closed)
 }
 
+// TestCloseIsLimitedByContext guards against a Close that waits for handlers beyond its context.
 func TestCloseIsLimitedByContext(t *testing.T) {
 	entry, agent := pair(t, map[btpeer.Kind]btpeer.Handler{"hold": holdAfterFirst(nil)})
 	s := openAndReceive(t, t.Context(), entry, agent.endpoint(), "hold")
@@ -170,6 +174,8 @@
 	assert.ErrorIs(t, err, btpeer.ErrLost)
 }
 
+// TestPoolIsBoundedAndIdleConnectionsClose guards against idle connections that stay open, or that
+// count as lost when they are closed here.
 func TestPoolIsBoundedAndIdleConnectionsClose(t *testing.T) {
 	f := newFleet(t)
 	entry := f.node(entryID, func(o *btpeer.Options) {
--- a/io/btplatform/btplatform_test.go
+++ b/io/btplatform/btplatform_test.go
@@ -91,6 +91,8 @@
 	}
 }
 
+// TestHostsRefusesMalformedLists guards against a host list that is used in part although one host is
+// invalid.
 func TestHostsRefusesMalformedLists(t *testing.T) {
 	for _, body := range []string{`{`, `{"hosts":[{"name":"H1","state":"live"}]}`, `{"hosts":[{"name":"h1","state":"gone"}]}`} {
 		_, err := client(func(*http.Request) (int, http.Header, string) { return 200, nil, body }).Hosts(t.Context())
@@ -98,6 +100,7 @@
 	}
 }
 
+// TestWeightsAreLimitedInSize guards against weights that exceed the size limit without an error.
 func TestWeightsAreLimitedInSize(t *testing.T) {
 	c := btplatform.New(btplatform.Options{Address: address, MaxWeights: 4, Transport: stubService(func(r *http.Request) (int, http.Header, string) {
 		assert.Equal(t, r.URL.Path, "/v1/weights/m1/2/3")
@@ -124,6 +127,8 @@
 	return values, w.State()
 }
 
+// TestWatcherDeliversEachValueOnce guards against a value that is delivered twice, and against
+// calls that don't wait at the service for a higher revision.
 func TestWatcherDeliversEachValueOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
--- a/io/btsettings/btsettings_test.go
+++ b/io/btsettings/btsettings_test.go
@@ -45,6 +45,8 @@
 	return path
 }
 
+// TestLoadEntry checks defaults, values of the file and relative paths, and that CheckFiles names
+// the key of a missing file.
 func TestLoadEntry(t *testing.T) {
 	path := writeSettings(t, entrySettings)
 	s, err := btsettings.LoadEntry(path)
