--- a/cmd/bilberrytide-standin/group.go
+++ b/cmd/bilberrytide-standin/group.go
@@ -107,14 +107,14 @@
 		ZipfExponent:  *c.zipf,
 		DriftPeriod:   *c.drift,
 		Barrier:       *c.barrier,
-		Initial:       initial,
+		InitialMap:    initial,
 		StartHeld:     *c.startHeld,
 		Weights:       weights,
 	})
 	return err
 }
 
-func (c *groupCommand) weights() (btstandin.Weights, error) {
+func (c *groupCommand) weights() (btstandin.WeightSource, error) {
 	if *c.platform == "" {
 		return nil, nil
 	}
--- a/cmd/bilberrytide/bench_test.go
+++ b/cmd/bilberrytide/bench_test.go
@@ -150,7 +150,7 @@
 		benchmarkStreams(b, f, caller, &table, "fast", streamConcurrency)
 		assert.NilError(b, f.FailTarget(ctx, "model-1", btstandin.TargetFault{Slow: paced}))
 		benchmarkStreams(b, f, caller, &table, "paced", pacedConcurrency)
-		for _, name := range f.Product() {
+		for _, name := range f.ProductProcesses() {
 			usage, err := f.Process(name).Usage()
 			assert.NilError(b, err)
 			fmt.Fprintf(&table, "resident memory of %s: %.1f MB\n", name, float64(usage.Resident)/1e6)
--- a/cmd/bilberrytide/bundle_test.go
+++ b/cmd/bilberrytide/bundle_test.go
@@ -30,7 +30,7 @@
 
 func (s *stage) everywhere(f btfleet.File) {
 	s.Helper()
-	assert.NilError(s, s.UntilInForce(s.ctx, f.Order, s.Product()...))
+	assert.NilError(s, s.UntilInForce(s.ctx, f.Revision, s.ProductProcesses()...))
 }
 
 func (s *stage) platform(mode btstandin.PlatformMode, age time.Duration) {
@@ -67,14 +67,14 @@
 	s.platform(btstandin.PlatformStale, time.Since(first))
 	for _, name := range []string{btfleet.Agent("plain-1"), "entry-2"} {
 		lived := s.restart(name)
-		assert.NilError(s, s.UntilInForce(s.ctx, second.Order, name))
+		assert.NilError(s, s.UntilInForce(s.ctx, second.Revision, name))
 		assert.DeepEqual(s, s.history(name)[lived:], []btid.BundleVersion{2})
 	}
 	s.everywhere(second)
 	third := s.version(3, 0)
 	s.rolloutByPeers(third)
 	s.restartWithoutPlatform(third)
-	for _, name := range s.Product() {
+	for _, name := range s.ProductProcesses() {
 		if name != btfleet.Agent("plain-1") && name != btfleet.Agent("plain-2") && name != "entry-2" {
 			assert.DeepEqual(s, s.history(name), []btid.BundleVersion{1, 2, 3})
 		}
@@ -86,13 +86,13 @@
 func (s *stage) rolloutByPeers(file btfleet.File) {
 	s.Helper()
 	s.platform(btstandin.PlatformDown, 0)
-	others := slices.DeleteFunc(s.Product(), func(name string) bool { return name == "entry-1" })
+	others := slices.DeleteFunc(s.ProductProcesses(), func(name string) bool { return name == "entry-1" })
 	for _, name := range others {
 		assert.NilError(s, s.Process(name).Freeze())
 	}
-	s.platform(btstandin.PlatformSound, 0)
+	s.platform(btstandin.PlatformHealthy, 0)
 	s.publish(file)
-	assert.NilError(s, s.UntilInForce(s.ctx, file.Order, "entry-1"))
+	assert.NilError(s, s.UntilInForce(s.ctx, file.Revision, "entry-1"))
 	s.platform(btstandin.PlatformDown, 0)
 	for _, name := range others {
 		assert.NilError(s, s.Process(name).Thaw())
@@ -110,9 +110,9 @@
 		call := btfleet.Call{Path: "/status", Body: fmt.Sprintf("without the platform %d", i)}
 		s.until("a call done", func() error { return wantDone(s.call("entry-1", call)) })
 	}
-	s.platform(btstandin.PlatformSound, 0)
+	s.platform(btstandin.PlatformHealthy, 0)
 	s.everywhere(file)
-	assert.DeepEqual(s, s.history(agent)[lived:], []btid.BundleVersion{file.Order.Version})
+	assert.DeepEqual(s, s.history(agent)[lived:], []btid.BundleVersion{file.Revision.Version})
 }
 
 // racingBundles publishes two approved bundles of one version in both orders,
@@ -121,10 +121,10 @@
 	for i, order := range [][2]int{{0, 1}, {1, 0}} {
 		number := btid.BundleVersion(2 + i)
 		pair := []btfleet.File{s.version(number, 1), s.version(number, 2)}
-		slices.SortFunc(pair, func(a, b btfleet.File) int { return a.Order.Compare(b.Order) })
+		slices.SortFunc(pair, func(a, b btfleet.File) int { return a.Revision.Compare(b.Revision) })
 		before := s.sum("bundle.conflicts")
 		s.publish(pair[order[0]])
-		assert.NilError(s, s.UntilInForce(s.ctx, pair[order[0]].Order, "entry-1"))
+		assert.NilError(s, s.UntilInForce(s.ctx, pair[order[0]].Revision, "entry-1"))
 		s.publish(pair[order[1]])
 		s.counted("bundle.conflicts", before)
 		s.everywhere(pair[1])
@@ -146,7 +146,7 @@
 	next := s.version(5, 0)
 	s.publish(next)
 	s.everywhere(next)
-	for _, name := range s.Product() {
+	for _, name := range s.ProductProcesses() {
 		assert.Check(s, slices.IsSorted(s.history(name)), "%s went back: %v", name, s.history(name))
 	}
 }
@@ -155,7 +155,7 @@
 func (s *stage) sum(counter string) int64 {
 	s.Helper()
 	var sum int64
-	for _, name := range s.Product() {
+	for _, name := range s.ProductProcesses() {
 		count, err := s.Counter(name, counter)
 		assert.NilError(s, err)
 		sum += count
--- a/cmd/bilberrytide/failure_test.go
+++ b/cmd/bilberrytide/failure_test.go
@@ -75,26 +75,26 @@
 			})
 			s := &stage{T: t, Fleet: f, ctx: ctx}
 			if c.keyed {
-				s.until("key homes that grant", f.Granting)
+				s.until("key homes that grant", f.CheckKeyLeases)
 			}
 			c.run(s)
 			s.settled()
 			assert.NilError(t, f.Check(s.answers))
-			t.Logf("told: %v", btfleet.Reasons(s.answers))
+			t.Logf("told: %v", btfleet.CountReasons(s.answers))
 		})
 	}
 }
 
 func (s *stage) until(what string, condition func() error) {
 	s.Helper()
-	assert.NilError(s, btfleet.Until(s.ctx, what, condition))
+	assert.NilError(s, btfleet.WaitUntil(s.ctx, what, condition))
 }
 
 // load starts a load of calls, half of them with keys. Each load of a stage has
 // a seed of its own, so that no two make the same keys.
 func (s *stage) load(entries ...string) *btfleet.Load {
 	s.loads++
-	return s.Load(s.ctx, btfleet.LoadOptions{Workers: workers, Seed: s.loads, KeyShare: 0.5, Entries: entries, Repeats: 2})
+	return s.Load(s.ctx, btfleet.LoadOptions{Workers: workers, Seed: s.loads, KeyShare: 0.5, Entries: entries, Retries: 2})
 }
 
 // more waits until so many further answers of the load are done.
@@ -116,7 +116,7 @@
 	return answers
 }
 
-func done(answers []btfleet.Answer) int { return btfleet.Tally(answers)[btrequest.Done] }
+func done(answers []btfleet.Answer) int { return btfleet.CountOutcomes(answers)[btrequest.Done] }
 
 // call makes one call and keeps its answer.
 func (s *stage) call(entry string, call btfleet.Call) btfleet.Answer {
@@ -295,7 +295,7 @@
 		a := s.call("entry-2", call)
 		assert.Check(s, a.Err == nil && a.Outcome != btrequest.NotRun, "a key that ran before: %s", &a)
 	}
-	s.until("key homes that grant", s.Granting)
+	s.until("key homes that grant", s.CheckKeyLeases)
 	s.back("plain-1")
 	for _, call := range early {
 		a := s.call("entry-1", call)
@@ -352,7 +352,7 @@
 func leavingHost(s *stage) {
 	l := s.load(s.Entries()...)
 	s.more(l, some)
-	assert.NilError(s, s.LeaveHost(s.ctx, btfleet.HostOf("plain-1")))
+	assert.NilError(s, s.MarkHostLeaving(s.ctx, btfleet.HostOf("plain-1")))
 	s.out("plain-1")
 	s.settledAt("plain-1")
 	before, err := s.ExecutionsAt("plain-1")
--- a/cmd/bilberrytide/main_test.go
+++ b/cmd/bilberrytide/main_test.go
@@ -64,7 +64,7 @@
 	t.Cleanup(func() {
 		f.Close()
 		if t.Failed() {
-			t.Log(f.Notes())
+			t.Log(f.LogTails())
 		}
 	})
 	assert.NilError(t, err)
--- a/cmd/bilberrytide/overload_test.go
+++ b/cmd/bilberrytide/overload_test.go
@@ -207,7 +207,7 @@
 	})
 	assert.NilError(b, err)
 	assert.NilError(b, v.Publish(ctx, file.Raw))
-	assert.NilError(b, v.UntilInForce(ctx, file.Order, v.Product()...))
+	assert.NilError(b, v.UntilInForce(ctx, file.Revision, v.ProductProcesses()...))
 }
 
 // refused returns how often both entries refused for a reason.
--- a/io/btagent/keyed_test.go
+++ b/io/btagent/keyed_test.go
@@ -63,7 +63,7 @@
 		if node.Identity().Name != "t1" {
 			return f.StartAgent(node)
 		}
-		return f.StartAgentWith(node, func() time.Time {
+		return f.StartAgentWithClock(node, func() time.Time {
 			if asked.Load() {
 				return time.Now()
 			}
--- a/io/btagent/slot_test.go
+++ b/io/btagent/slot_test.go
@@ -20,7 +20,7 @@
 func (f *fleet) startSlowAgent(node *btpeer.Node, paused *atomic.Bool) *btinprocess.Agent {
 	const pause, every = 10 * time.Millisecond, 4
 	var readings atomic.Int64
-	return f.StartAgentWith(node, func() time.Time {
+	return f.StartAgentWithClock(node, func() time.Time {
 		if paused.Load() && readings.Add(1)%every == 0 {
 			time.Sleep(pause)
 		}
--- a/io/btagent/wiring_test.go
+++ b/io/btagent/wiring_test.go
@@ -209,7 +209,7 @@
 	f.addTarget("t0", "pages", btbundle.Plain, f.Listen(f.plain("t0")))
 	f.start()
 	setHost := func(state btstandin.HostState) {
-		assert.NilError(t, f.Store.PutHosts(btstandin.HostList{Hosts: []btstandin.Host{{Name: "host-t0", State: state}}}))
+		assert.NilError(t, f.Platform.PutHosts(btstandin.HostList{Hosts: []btstandin.Host{{Name: "host-t0", State: state}}}))
 	}
 	setHost(btstandin.HostLeaving)
 	for name := range f.entries {
--- a/io/btentry/fixture_test.go
+++ b/io/btentry/fixture_test.go
@@ -123,7 +123,7 @@
 // remembers nothing.
 func (w *system) restartAgent(name btid.Target) {
 	old := w.agents[name]
-	old.End()
+	old.Kill()
 	w.agents[name] = w.StartAgent(w.NodeAt(btprocess.AgentIdentity(name), old.Node.Address()))
 	w.awaitGrants(http.MethodGet, "/services/pages/x", "")
 }
--- a/io/btentry/outcome_test.go
+++ b/io/btentry/outcome_test.go
@@ -272,7 +272,7 @@
 // TestNoTarget: a request is refused as not run if no target is eligible.
 func TestNoTarget(t *testing.T) {
 	w := newSystem(t, []testTarget{{name: "p1", service: plain, handler: newPlain(t, "p1")}}, func(b *btbundle.Bundle) { b.Timeouts.TargetLease.Duration = time.Second })
-	w.agents["p1"].End()
+	w.agents["p1"].Kill()
 	w.await(func() bool { return !w.entry.Status().Targets[0].Eligible })
 	r := w.do("GET", "/services/pages/x", "")
 	w.checkRefusal(r, 503, "route_no_live_target", notRun)
--- a/io/btentry/quarantine_test.go
+++ b/io/btentry/quarantine_test.go
@@ -142,7 +142,7 @@
 	assert.Check(t, crashes.Load() <= maxCrashes, "%d targets crashed", crashes.Load())
 	// All entries restart; the agents keep their records.
 	for _, e := range []**btinprocess.Entry{&w.entry, &w.other} {
-		(*e).End()
+		(*e).Kill()
 		*e = w.StartEntry(w.NodeAt(btprocess.EntryIdentity(btid.Entry((*e).Node.Identity().Name)), (*e).Node.Address()))
 	}
 	for _, to := range []*btinprocess.Entry{w.entry, w.other} {
--- a/io/btentry/retry_test.go
+++ b/io/btentry/retry_test.go
@@ -187,7 +187,7 @@
 	t.Parallel()
 	targets, testTargets := newPlainPair(t)
 	w := newSystem(t, testTargets, unlimitedRetries)
-	w.agents["p1"].End()
+	w.agents["p1"].Kill()
 	for range 8 {
 		r := w.do("POST", "/services/pages/x", "")
 		assert.Equal(t, r.StatusCode, 200, "%s", r.body)
--- a/io/btprocess/bundles_test.go
+++ b/io/btprocess/bundles_test.go
@@ -97,7 +97,7 @@
 	f.Publish(1)
 	f.run(seed)
 	awaitVersion(t, seed, 1)
-	assert.NilError(t, f.Store.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformDown}))
+	assert.NilError(t, f.Platform.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformDown}))
 	var late []*process
 	for i := range 6 {
 		late = append(late, f.newProcess(btprocess.AgentIdentity(btid.Target(fmt.Sprintf("late-%d", i))), seed.endpoint()))
@@ -108,7 +108,7 @@
 	for _, p := range late {
 		awaitVersion(t, p, 1)
 	}
-	assert.NilError(t, f.Store.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformSound}))
+	assert.NilError(t, f.Platform.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformHealthy}))
 	f.Publish(2)
 	for _, p := range late {
 		awaitVersion(t, p, 2)
--- a/io/btstandin/btfleet/btfleet.go
+++ b/io/btstandin/btfleet/btfleet.go
@@ -134,8 +134,8 @@
 // Agent returns the name of the process beside a target.
 func Agent(target string) string { return "agent-" + target }
 
-// Product returns the names of the product's processes.
-func (f *Fleet) Product() []string { return append(f.Entries(), f.Agents()...) }
+// ProductProcesses returns the names of the product's processes.
+func (f *Fleet) ProductProcesses() []string { return append(f.Entries(), f.Agents()...) }
 
 func names(prefix string, count int) []string {
 	list := make([]string, count)
@@ -183,12 +183,12 @@
 
 func (f *Fleet) path(name string) string { return filepath.Join(f.options.Folder, name) }
 
-// pollEvery is how often Until looks.
+// pollEvery is how often WaitUntil checks its condition.
 const pollEvery = 25 * time.Millisecond
 
-// Until waits until the condition returns nil. The error names what was waited
+// WaitUntil waits until the condition returns nil. The error names what was waited
 // for and wraps the condition's last.
-func Until(ctx context.Context, what string, condition func() error) error {
+func WaitUntil(ctx context.Context, what string, condition func() error) error {
 	for {
 		err := condition()
 		if err == nil {
@@ -205,13 +205,13 @@
 // ready waits until every process of the product says that it is, and every
 // entry gives work to every target.
 func (f *Fleet) ready(ctx context.Context) error {
-	for _, name := range f.Product() {
-		if err := Until(ctx, name+" ready", func() error { return f.Ready(name) }); err != nil {
+	for _, name := range f.ProductProcesses() {
+		if err := WaitUntil(ctx, name+" ready", func() error { return f.Ready(name) }); err != nil {
 			return errors.Join(err, f.lastLines(name))
 		}
 	}
 	for _, name := range f.Entries() {
-		if err := Until(ctx, "targets in rotation at "+name, func() error { return f.inRotation(name) }); err != nil {
+		if err := WaitUntil(ctx, "targets in rotation at "+name, func() error { return f.inRotation(name) }); err != nil {
 			return err
 		}
 	}
@@ -231,11 +231,11 @@
 	return nil
 }
 
-// Notes returns the end of every log of the product, without the lines of
+// LogTails returns the end of every log of the product, without the lines of
 // single requests, to explain a failure.
-func (f *Fleet) Notes() string {
+func (f *Fleet) LogTails() string {
 	var all strings.Builder
-	for _, name := range f.Product() {
+	for _, name := range f.ProductProcesses() {
 		fmt.Fprintf(&all, "%s:\n%v\n", name, f.lastLines(name))
 	}
 	return all.String()
--- a/io/btstandin/btfleet/bundle.go
+++ b/io/btstandin/btfleet/bundle.go
@@ -122,8 +122,8 @@
 
 // File is a signed bundle, ready to be published.
 type File struct {
-	Order btbundle.Revision
-	Raw   []byte
+	Revision btbundle.Revision
+	Raw      []byte
 }
 
 // Version returns the first bundle as another version, changed and signed by
@@ -157,7 +157,7 @@
 		Signatures: []btbundle.Signature{btbundle.Sign(document, approver)},
 	}
 	order := btbundle.Revision{Version: version, Digest: btbundle.DigestOf(document)}
-	return File{Order: order, Raw: signed.Bytes()}, nil
+	return File{Revision: order, Raw: signed.Bytes()}, nil
 }
 
 func (f *Fleet) publishFirst(ctx context.Context) error {
@@ -201,7 +201,7 @@
 func (f *Fleet) UntilInForce(ctx context.Context, want btbundle.Revision, processes ...string) error {
 	for _, name := range processes {
 		what := fmt.Sprintf("version %d at %s", want.Version, name)
-		if err := Until(ctx, what, func() error { return f.InForce(name, want) }); err != nil {
+		if err := WaitUntil(ctx, what, func() error { return f.InForce(name, want) }); err != nil {
 			return err
 		}
 	}
--- a/io/btstandin/btfleet/caller.go
+++ b/io/btstandin/btfleet/caller.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// Own returns nil unless an answer called done is another request's, or not
+// CheckEcho returns nil unless an answer called done is another request's, or not
 // whole.
-func (a *Answer) Own() error {
+func (a *Answer) CheckEcho() error {
 	if a.Outcome != btrequest.Done {
 		return nil
 	}
--- a/io/btstandin/btfleet/check.go
+++ b/io/btstandin/btfleet/check.go
@@ -23,7 +23,7 @@
 		return errors.Join(append(errs, err)...)
 	}
 	for i := range answers {
-		errs = append(errs, answers[i].Own(), checkOutcome(&answers[i], ran))
+		errs = append(errs, answers[i].CheckEcho(), checkOutcome(&answers[i], ran))
 	}
 	errs = append(errs, checkKeys(answers, ran)...)
 	return errors.Join(errs...)
@@ -33,7 +33,7 @@
 // that run.
 func (f *Fleet) checkInvariants() error {
 	var sum int64
-	for _, name := range f.Product() {
+	for _, name := range f.ProductProcesses() {
 		if !f.Process(name).Running() {
 			continue
 		}
@@ -54,7 +54,7 @@
 
 func (f *Fleet) checkLogs() error {
 	var errs []error
-	for _, name := range f.Product() {
+	for _, name := range f.ProductProcesses() {
 		data, err := os.ReadFile(f.path(name + ".log"))
 		if err != nil {
 			errs = append(errs, err)
@@ -122,8 +122,8 @@
 	return errs
 }
 
-// Tally counts answers by outcome; a broken connection counts as unknown.
-func Tally(answers []Answer) map[btrequest.Outcome]int {
+// CountOutcomes counts answers by outcome; a broken connection counts as unknown.
+func CountOutcomes(answers []Answer) map[btrequest.Outcome]int {
 	counts := map[btrequest.Outcome]int{}
 	for i := range answers {
 		outcome := answers[i].Outcome
@@ -135,8 +135,8 @@
 	return counts
 }
 
-// Reasons counts answers by outcome and reason, such as "unknown agent_lost".
-func Reasons(answers []Answer) map[string]int {
+// CountReasons counts answers by outcome and reason, such as "unknown agent_lost".
+func CountReasons(answers []Answer) map[string]int {
 	counts := map[string]int{}
 	for i := range answers {
 		a := &answers[i]
--- a/io/btstandin/btfleet/load.go
+++ b/io/btstandin/btfleet/load.go
@@ -21,9 +21,9 @@
 	KeyShare float64
 	// Entries are those that the workers send to.
 	Entries []string
-	// Repeats is how often a caller sends a call with a key again, to any entry,
+	// Retries is how often a caller sends a call with a key again, to any entry,
 	// after it learned of no end.
-	Repeats int
+	Retries int
 }
 
 // refusedPause is how long a worker waits after a refusal. Callers come back
@@ -85,7 +85,7 @@
 
 // send makes one call and repeats it where that is safe.
 func (l *Load) send(ctx context.Context, random *rand.Rand, call Call) {
-	for range l.options.Repeats + 1 {
+	for range l.options.Retries + 1 {
 		entry := l.options.Entries[random.IntN(len(l.options.Entries))]
 		answer := l.caller.Call(ctx, entry, call)
 		l.mu.Lock()
--- a/io/btstandin/btfleet/observe.go
+++ b/io/btstandin/btfleet/observe.go
@@ -100,9 +100,9 @@
 	return get[btstandin.Executions](f, f.targets[target], "/control/executions")
 }
 
-// Granting returns nil where every key home of the plain service grants keys
+// CheckKeyLeases returns nil where every key home of the plain service grants keys
 // that are made from now on.
-func (f *Fleet) Granting() error {
+func (f *Fleet) CheckKeyLeases() error {
 	for _, t := range names(string(Plain), f.options.Plains) {
 		status, err := f.Status(Agent(t))
 		if err != nil {
--- a/io/btstandin/btfleet/settings.go
+++ b/io/btstandin/btfleet/settings.go
@@ -82,7 +82,7 @@
 		return netip.AddrPort{}, err
 	}
 	var address netip.AddrPort
-	err := Until(ctx, name+" listens", func() error {
+	err := WaitUntil(ctx, name+" listens", func() error {
 		data, err := os.ReadFile(file)
 		if err != nil {
 			return err
@@ -194,8 +194,8 @@
 	return btsettings.TLS{CA: files.Authority, Cert: files.Certificate, Key: files.Key}, err
 }
 
-// LeaveHost has the platform's host list call a host leaving.
-func (f *Fleet) LeaveHost(ctx context.Context, leaving btid.Host) error {
+// MarkHostLeaving has the platform's host list call a host leaving.
+func (f *Fleet) MarkHostLeaving(ctx context.Context, leaving btid.Host) error {
 	list := btstandin.HostList{}
 	for name := range strings.SplitSeq(f.hosts(), ",") {
 		host := btstandin.Host{Name: btid.Host(name), State: btstandin.HostLive}
--- a/io/btstandin/btinprocess/btinprocess.go
+++ b/io/btstandin/btinprocess/btinprocess.go
@@ -52,8 +52,8 @@
 
 // Fleet is the platform, the trust and the bundle that processes share.
 type Fleet struct {
-	TB    testing.TB
-	Store *btstandin.Platform
+	TB       testing.TB
+	Platform *btstandin.Platform
 	// Approvers are whose signatures approve the bundle: the fleet's own.
 	Approvers btbundle.Approvers
 	// Bundle is what Publish approves next.
@@ -81,7 +81,7 @@
 	assert.NilError(tb, err)
 	f := &Fleet{
 		TB:        tb,
-		Store:     store,
+		Platform:  store,
 		Approvers: btbundle.Approvers{Keys: []btbundle.Approver{{Name: "ann", Key: btbundle.PublicKey(public)}}},
 		Bundle:    Draft(),
 		Meters:    map[string]*btmetric.Meter{},
@@ -166,7 +166,7 @@
 // PublishRaw publishes any bytes in the bundle's place.
 func (f *Fleet) PublishRaw(data []byte) {
 	f.TB.Helper()
-	_, err := f.Store.PutConfig(configKey, data)
+	_, err := f.Platform.PutConfig(configKey, data)
 	assert.NilError(f.TB, err)
 }
 
--- a/io/btstandin/btinprocess/process.go
+++ b/io/btstandin/btinprocess/process.go
@@ -98,8 +98,8 @@
 	Node *btpeer.Node
 	// URL is where callers reach it.
 	URL string
-	// End ends it at once, like a killed one.
-	End func()
+	// Kill ends it at once, like a killed one.
+	Kill func()
 }
 
 // StartEntry starts an entry behind the node.
@@ -123,22 +123,22 @@
 		Assert:           panics,
 		Random:           p.random,
 	})
-	return &Entry{Entry: entry, Node: node, URL: "http://" + listener.Addr().String(), End: f.Run(node, entry.Run)}
+	return &Entry{Entry: entry, Node: node, URL: "http://" + listener.Addr().String(), Kill: f.Run(node, entry.Run)}
 }
 
 // Agent is an agent that runs.
 type Agent struct {
 	*btagent.Agent
 	Node *btpeer.Node
-	// End ends it at once, like a killed one.
-	End func()
+	// Kill ends it at once, like a killed one.
+	Kill func()
 }
 
 // StartAgent starts an agent behind the node.
-func (f *Fleet) StartAgent(node *btpeer.Node) *Agent { return f.StartAgentWith(node, time.Now) }
+func (f *Fleet) StartAgent(node *btpeer.Node) *Agent { return f.StartAgentWithClock(node, time.Now) }
 
-// StartAgentWith starts an agent behind the node that goes by the clock.
-func (f *Fleet) StartAgentWith(node *btpeer.Node, clock btloop.Clock) *Agent {
+// StartAgentWithClock starts an agent behind the node that goes by the clock.
+func (f *Fleet) StartAgentWithClock(node *btpeer.Node, clock btloop.Clock) *Agent {
 	p := f.Process(node)
 	agent := btagent.New(btagent.Options{
 		Target:     btid.Target(node.Identity().Name),
@@ -153,5 +153,5 @@
 		Assert:     panics,
 		Random:     p.random,
 	})
-	return &Agent{Agent: agent, Node: node, End: f.Run(node, agent.Run)}
+	return &Agent{Agent: agent, Node: node, Kill: f.Run(node, agent.Run)}
 }
--- a/io/btstandin/group.go
+++ b/io/btstandin/group.go
@@ -35,16 +35,16 @@
 	DriftPeriod time.Duration
 	// Barrier tells whether engines know arm and commit.
 	Barrier bool
-	// Unchecked makes engines follow a switch while they are not held, as an
+	// UnsafeSwitch makes engines follow a switch while they are not held, as an
 	// engine does that doesn't look after its group.
-	Unchecked bool
-	// Initial is the map that all ranks start with. Nil stands for experts dealt
+	UnsafeSwitch bool
+	// InitialMap is the map that all ranks start with. Nil stands for experts dealt
 	// in turn.
-	Initial *ExpertMap
+	InitialMap *ExpertMap
 	// StartHeld makes all ranks start without a map, as after a restart.
 	StartHeld bool
 	// Weights is where staging gets weights from; nil makes them free.
-	Weights Weights
+	Weights WeightSource
 }
 
 func (o GroupOptions) withDefaults() GroupOptions {
@@ -66,10 +66,10 @@
 	if err := o.Shape.validate(); err != nil {
 		return err
 	}
-	if o.Initial == nil {
+	if o.InitialMap == nil {
 		return nil
 	}
-	if err := o.Initial.validate(o.Shape); err != nil {
+	if err := o.InitialMap.validate(o.Shape); err != nil {
 		return fmt.Errorf("%w: initial map: %w", ErrOptions, err)
 	}
 	return nil
@@ -80,8 +80,8 @@
 	switch {
 	case o.StartHeld:
 		return nil
-	case o.Initial != nil:
-		return initialPlacement(o.Initial)
+	case o.InitialMap != nil:
+		return initialPlacement(o.InitialMap)
 	}
 	return initialPlacement(o.Shape.deal())
 }
@@ -96,7 +96,7 @@
 	barrier bool
 	// unchecked engines switch though they are not held.
 	unchecked bool
-	weights   Weights
+	weights   WeightSource
 
 	mutex      sync.Mutex
 	members    []*member
@@ -123,7 +123,7 @@
 		step:       o.Step,
 		tokens:     o.TokensPerStep,
 		barrier:    o.Barrier,
-		unchecked:  o.Unchecked,
+		unchecked:  o.UnsafeSwitch,
 		weights:    o.Weights,
 		popularity: newPopularity(o.Shape, o.ZipfExponent, o.DriftPeriod, o.Engine.Seed),
 		start:      clock.Now(),
--- a/io/btstandin/group_test.go
+++ b/io/btstandin/group_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestSwitchWithoutBarrierIsSeenAsMixed(t *testing.T) {
-	g := newGroup(t, btstandin.GroupOptions{Unchecked: true})
+	g := newGroup(t, btstandin.GroupOptions{UnsafeSwitch: true})
 	for r := range g.Ranks() {
 		mustOrder(t, g, r, `"op":"stage","version":"aa","map":`+mapA)
 	}
@@ -78,7 +78,7 @@
 func mixedSteps(t *testing.T, barrier bool, ops roundOps, seed uint64) uint64 {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
-	g := newGroup(t, btstandin.GroupOptions{Barrier: barrier, Unchecked: true})
+	g := newGroup(t, btstandin.GroupOptions{Barrier: barrier, UnsafeSwitch: true})
 	for round := range 20 {
 		version, next := "aa", mapA
 		if round%2 == 1 {
--- a/io/btstandin/platform.go
+++ b/io/btstandin/platform.go
@@ -116,7 +116,7 @@
 		weights:     newWeightLimiter(o.WeightBytesPerSecond),
 		config:      make(map[string]*history[configValue]),
 		hosts:       history[HostList]{keep: configHistory},
-		fault:       platformFault{PlatformFault: PlatformFault{Mode: PlatformSound}},
+		fault:       platformFault{PlatformFault: PlatformFault{Mode: PlatformHealthy}},
 		changed:     make(chan struct{}),
 	}
 	p.hosts.set(o.Clock.Now(), o.Hosts.clone())
--- a/io/btstandin/platform_control.go
+++ b/io/btstandin/platform_control.go
@@ -13,8 +13,8 @@
 type PlatformMode string
 
 const (
-	// PlatformSound is the mode without a fault.
-	PlatformSound PlatformMode = "none"
+	// PlatformHealthy is the mode without a fault.
+	PlatformHealthy PlatformMode = "none"
 	// PlatformDown answers every read with 503, or closes the connection.
 	PlatformDown PlatformMode = "down"
 	// PlatformStale answers every read with what held when the fault was set.
@@ -39,7 +39,7 @@
 // Validate reports an unknown mode.
 func (f PlatformFault) Validate() error {
 	switch f.Mode {
-	case PlatformSound, PlatformDown, PlatformStale, PlatformSlow:
+	case PlatformHealthy, PlatformDown, PlatformStale, PlatformSlow:
 		return nil
 	}
 	return fmt.Errorf("%w: mode %q is none of none, down, stale, slow", ErrInput, f.Mode)
--- a/io/btstandin/puller.go
+++ b/io/btstandin/puller.go
@@ -14,9 +14,10 @@
 // pullRetry is the wait after a failed pull that names no other.
 const pullRetry = time.Second
 
-// Weights is where a group's engines get expert weights from.
-type Weights interface {
-	// Pull returns once the weights are here, or with the context's error.
+// WeightSource is where a group's engines get expert weights from.
+type WeightSource interface {
+	// Pull returns once the expert's weights of the layer have been fetched, or
+	// with the context's error.
 	Pull(ctx context.Context, layer, expert int) error
 }
 
@@ -38,7 +39,7 @@
 	options WeightPullerOptions
 }
 
-var _ Weights = (*WeightPuller)(nil)
+var _ WeightSource = (*WeightPuller)(nil)
 
 // NewWeightPuller returns a puller. The error wraps ErrOptions.
 func NewWeightPuller(o WeightPullerOptions) (*WeightPuller, error) {
--- a/io/btstandin/staging_test.go
+++ b/io/btstandin/staging_test.go
@@ -82,7 +82,7 @@
 		synctest.Wait()
 		assert.Equal(t, state(t, g, 0).LoadingVersion, "")
 		assert.Equal(t, state(t, g, 0).StagedVersion, "")
-		assert.NilError(t, p.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformSound}))
+		assert.NilError(t, p.SetFault(btstandin.PlatformFault{Mode: btstandin.PlatformHealthy}))
 		time.Sleep(time.Minute)
 		assert.Equal(t, state(t, g, 0).StagedVersion, "", "nothing comes of it later")
 		_, stepped := g.Step()
