--- a/io/btstandin/cache.go
+++ b/io/btstandin/cache.go
@@ -9,23 +9,23 @@
 	"bilberrytide/core/btbundle"
 )
 
-// maxCacheEvents is how many cache events an engine keeps; older ones are gone.
+// maxCacheEvents bounds the cache events that an engine keeps; the oldest is
+// dropped first.
 const maxCacheEvents = 4096
 
-// CacheOp tells what happened to a prefix.
+// CacheOp is the kind of a CacheEvent.
 type CacheOp string
 
 const (
-	// CacheStored means that the prefix is in the cache from now on.
+	// CacheStored means that the prefix was added to the cache.
 	CacheStored CacheOp = "stored"
-	// CacheEvicted means that the prefix is no longer in the cache.
+	// CacheEvicted means that the prefix was removed to make room for another.
 	CacheEvicted CacheOp = "evicted"
 )
 
-// CacheEvent tells of one change of an engine's prefix cache.
+// CacheEvent reports one change of an engine's prefix cache.
 type CacheEvent struct {
-	// Sequence grows by one with each event; a number that is left out is an
-	// event that was lost.
+	// Sequence grows by one with each event; a gap means that an event was lost.
 	Sequence uint64  `json:"seq"`
 	Op       CacheOp `json:"op"`
 	// Prefix is one of the names that Prefixes returns.
@@ -37,17 +37,18 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheFault is the body of PUT /control/cache: how cache events go wrong.
+// CacheFault is the body of PUT /control/cache: the delay and the loss of cache
+// events.
 type CacheFault struct {
-	// Delay is how long an event stays invisible.
+	// Delay is how long an event is withheld from readers.
 	Delay btbundle.Duration `json:"delay"`
-	// DropEvery loses every event whose sequence number it divides; zero loses
-	// none.
+	// DropEvery drops each event whose sequence number is a multiple of it; zero
+	// drops none.
 	DropEvery uint64 `json:"drop_every"`
 }
 
-// prefixCache is a bounded set of prompt prefixes, the least recently used out
-// first.
+// prefixCache is an LRU cache of the names of prompt prefixes. It is safe for
+// concurrent use.
 type prefixCache struct {
 	clock    Clock
 	capacity int
@@ -56,7 +57,7 @@
 	recent   *list.List
 	elements map[string]*list.Element
 	sequence uint64
-	events   []dated[CacheEvent]
+	events   []timestamped[CacheEvent]
 	fault    CacheFault
 }
 
@@ -70,13 +71,13 @@
 	}
 }
 
-// admit brings the prompt's prefixes into the cache and returns how many of
-// its blocks, from the start on, were there already.
-func (c *prefixCache) admit(prompt string) int {
+// insert adds the prompt's prefixes to the cache and returns how many of its
+// leading blocks were cached before.
+func (c *prefixCache) insert(prompt string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	hits := 0
-	unbroken := true
+	contiguous := true
 	for _, name := range Prefixes(prompt) {
 		element, ok := c.elements[name]
 		if ok {
@@ -84,8 +85,8 @@
 		} else {
 			c.store(name)
 		}
-		unbroken = unbroken && ok
-		if unbroken {
+		contiguous = contiguous && ok
+		if contiguous {
 			hits++
 		}
 	}
@@ -115,10 +116,10 @@
 		c.events = c.events[1:]
 	}
 	event := CacheEvent{Sequence: c.sequence, Op: op, Prefix: name}
-	c.events = append(c.events, dated[CacheEvent]{since: c.clock.Now(), value: event})
+	c.events = append(c.events, timestamped[CacheEvent]{since: c.clock.Now(), value: event})
 }
 
-// visible returns the events after the sequence number that are old enough.
+// visible returns the events after the sequence number whose delay has passed.
 func (c *prefixCache) visible(after uint64) CacheEvents {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -132,8 +133,8 @@
 	return events
 }
 
-// clear empties the cache without a word, as a restart does; sequence numbers
-// start again.
+// clear empties the cache without eviction events, as a restart does; sequence
+// numbers start at 1 again.
 func (c *prefixCache) clear() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -163,9 +164,9 @@
 	}
 }
 
-// uncached returns the time to work through the tokens of the prompt that the
+// prefillTime returns the time to work through the tokens of the prompt that the
 // cached blocks don't cover.
-func uncached(prompt string, blocks int, tokensPerSecond float64) time.Duration {
+func prefillTime(prompt string, blocks int, tokensPerSecond float64) time.Duration {
 	tokens := promptTokens(prompt) - blocks*BlockBytes/tokenBytes
 	return time.Duration(float64(tokens) / tokensPerSecond * float64(time.Second))
 }
--- a/io/btstandin/cancel_test.go
+++ b/io/btstandin/cancel_test.go
@@ -13,13 +13,15 @@
 	"bilberrytide/io/btstandin"
 )
 
-// unsized hides a body's length, so that the client sends it in chunks.
-type unsized struct {
+// chunkedBody hides the length of a body, so that the client sends it in chunks.
+type chunkedBody struct {
 	io.Reader
 }
 
-// The second request gets the only slot once the engine notices that the first
-// one's client is gone.
+// An engine with one slot must release it when the client of a streamed answer
+// disconnects, or the next request waits forever. net/http notices a
+// disconnect only after the request body was read to its end; the test sends a body
+// with a length and a chunked one.
 func TestClosedConnectionFreesTheSlot(t *testing.T) {
 	e := newEngine(t, btstandin.EngineOptions{Slots: 1, DecodeRate: 100})
 	server := httptest.NewServer(e)
@@ -32,7 +34,7 @@
 	for i := range 2 {
 		var body io.Reader = strings.NewReader(chatBody("x", 60000, true))
 		if i == 1 {
-			body = unsized{Reader: body}
+			body = chunkedBody{Reader: body}
 		}
 		first := post(body)
 		_, err := bufio.NewReader(first.Body).ReadString('\n')
--- a/io/btstandin/clock.go
+++ b/io/btstandin/clock.go
@@ -13,19 +13,19 @@
 	After(d time.Duration) <-chan time.Time
 }
 
-// SystemClock is the clock of the machine.
+// SystemClock is the operating system's clock.
 type SystemClock struct{}
 
 var _ Clock = SystemClock{}
 
-// Now returns the machine's time.
+// Now returns the system time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// After waits on the machine's time.
+// After returns a channel that receives once the duration has passed.
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// sleep waits for the duration or the end of the context, whose error it then
-// returns.
+// sleep waits for the duration, or returns the context's error if that ends
+// first.
 func sleep(ctx context.Context, clock Clock, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/io/btstandin/doc.go
+++ b/io/btstandin/doc.go
@@ -1,12 +1,12 @@
-// Package btstandin holds small stand-ins for the systems that bilberrytide
-// meets: the platform (configuration service, host list, weight store) and the
+// Package btstandin provides test doubles of the systems that bilberrytide talks
+// to: the platform (configuration service, host list, weight store) and the
 // targets (plain service, model engine, lock-step group of engines).
 //
-// Each is an [net/http.Handler] made by a New function from explicit options,
-// the clock among them, and speaks the protocol that docs/standin.md states.
-// Paths below /control/ are for tests and the demo: they inject faults and read
-// what happened. The product never calls them.
+// Each is a [net/http.Handler], created by a New function from explicit options
+// that include the clock, and implements the protocol in docs/standin.md. Paths
+// below /control/ are for tests and the demo only: they inject faults and report
+// what was received.
 //
-// A stand-in imitates the protocol, the limits and the failures of the system
-// whose place it takes. It is no model of that system's speed.
+// A stand-in reproduces the protocol, the limits and the failures of the real
+// system, but not its performance.
 package btstandin
--- a/io/btstandin/engine.go
+++ b/io/btstandin/engine.go
@@ -11,8 +11,8 @@
 	"bilberrytide/core/btid"
 )
 
-// PriorityHeader carries a request's priority as a whole number; requests with
-// a higher one get a slot first. Without it the priority is zero.
+// PriorityHeader carries a request's priority as an integer, zero if absent;
+// waiting requests with a higher priority get a slot first.
 const PriorityHeader = "X-Priority"
 
 // Defaults of an engine's options.
@@ -23,28 +23,30 @@
 	DefaultPrefixCacheBlocks = 1024
 )
 
-// controlPrefix starts the paths that tests use.
+// controlPrefix is the path prefix of the test controls.
 const controlPrefix = "/control/"
 
-// EngineOptions sets up an Engine. Zero numbers stand for the defaults.
+// EngineOptions configures an Engine. Slots, rates and PrefixCacheBlocks default
+// to the constants above if zero.
 type EngineOptions struct {
 	Name  btid.Target
 	Clock Clock
-	// Slots is how many requests run at a time.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// PrefillRate is the prompt tokens worked through in a second.
+	// PrefillRate is the number of prompt tokens processed per second.
 	PrefillRate float64
-	// DecodeRate is the tokens of each answer made in a second.
+	// DecodeRate is the number of tokens per second generated for each answer.
 	DecodeRate float64
-	// PrefixCacheBlocks is how many blocks of prompts stay cached.
+	// PrefixCacheBlocks is the capacity of the prefix cache in blocks.
 	PrefixCacheBlocks int
-	// LoadLag is how late load reports are; zero means not at all.
+	// LoadLag is the age of the load that is reported.
 	LoadLag time.Duration
-	// CacheFault is how late and full of gaps cache events are.
+	// CacheFault is the initial delay and loss of cache events.
 	CacheFault CacheFault
-	// ChecksFencing makes the engine refuse orders with an old number.
+	// ChecksFencing makes the engine refuse orders whose fencing number is not
+	// above the last.
 	ChecksFencing bool
-	// Seed fixes which requests meet a failing share.
+	// Seed determines which requests fail under TargetFault.FailShare.
 	Seed uint64
 }
 
@@ -81,11 +83,11 @@
 	pacer       pacer
 	mux         *http.ServeMux
 
-	// processMutex lets one kill or restart go on at a time.
+	// processMutex serialises kills and restarts.
 	processMutex sync.Mutex
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// running ends when the engine is killed.
+	// running is cancelled when the engine is killed.
 	running context.Context
 	kill    context.CancelCauseFunc
 }
@@ -99,11 +101,11 @@
 		return nil, err
 	}
 	period := time.Duration(float64(time.Second) / o.DecodeRate)
-	return newEngine(o, &clockPacer{clock: o.Clock, period: period}, anyOrder{}), nil
+	return newEngine(o, &clockPacer{clock: o.Clock, period: period}, noopExecutor{}), nil
 }
 
-// newEngine returns an engine whose tokens come at the pace of the pacer and
-// whose orders go to the executor. The options must be checked.
+// newEngine returns an engine whose decoding is timed by the pacer and whose
+// orders go to the executor. The options must be valid.
 func newEngine(o EngineOptions, p pacer, x executor) *Engine {
 	e := &Engine{
 		name:        o.Name,
@@ -139,8 +141,8 @@
 	return mux
 }
 
-// ServeHTTP answers the engine's protocol and the controls. While the engine is
-// killed it closes every connection, but for the controls'.
+// ServeHTTP serves the engine's protocol and the controls. While the engine is
+// killed it closes every connection except for the controls.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, controlPrefix) {
 		e.mux.ServeHTTP(w, r)
@@ -159,14 +161,15 @@
 	}
 }
 
-// Executions returns what the engine ran so far, before restarts too.
+// Executions returns the engine's execution counts, including those before a
+// restart.
 func (e *Engine) Executions() Executions { return e.executions.snapshot() }
 
-// Orders returns the orders that the engine accepted, before
-// restarts too.
+// Orders returns the latest orders that the engine accepted, including those
+// before a restart.
 func (e *Engine) Orders() OrderLog { return e.orders.orders() }
 
-// SetFault puts the fault in force. The error wraps ErrInput.
+// SetFault replaces the fault in force. The error wraps ErrInput.
 func (e *Engine) SetFault(f TargetFault) error { return e.faults.set(f) }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
--- a/io/btstandin/engine_chat.go
+++ b/io/btstandin/engine_chat.go
@@ -44,7 +44,7 @@
 	e.noteCancel(r.Context(), e.generate(w, r, g, request.Stream, 0, fault))
 }
 
-// serveResume continues a stream after the events that the client already had.
+// serveResume continues a stream after the events that the client has received.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	fault := e.faults.draw()
 	if fault.refuse {
@@ -73,8 +73,8 @@
 	e.noteCancel(r.Context(), e.generate(w, r, g, true, int(after), fault))
 }
 
-// generate answers with the generation, a stream from after the given number of
-// events on.
+// generate sends the generation unstreamed, or as a stream from the event at the
+// index after on.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, g *generation, streamed bool, after int, fault requestFault) error {
 	defer e.hold(g)()
 	if fault.hang {
@@ -85,7 +85,7 @@
 		writeError(w, http.StatusInternalServerError, "failed")
 		return nil
 	}
-	if !g.made(0) {
+	if !g.hasToken(0) {
 		if err := e.prefill(r.Context(), g, fault); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 	return e.answer(w, r, g, fault)
 }
 
-// answer sends the generation in one piece.
+// answer sends the generation unstreamed.
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, g *generation, fault requestFault) error {
 	for i := range g.tokens {
 		if err := e.decode(r.Context(), g, i, fault); err != nil {
@@ -106,15 +106,15 @@
 	if fault.crashes(0) {
 		closeConnection()
 	}
-	body, err := json.Marshal(g.whole())
+	body, err := json.Marshal(g.completion())
 	if err != nil {
 		return err
 	}
-	writeMaybeCut(w, body, fault)
+	writeBody(w, body, fault)
 	return nil
 }
 
-// hold takes the generation's place in the KV cache until the returned function
+// hold counts the generation's tokens as KV cache use until the returned function
 // is called.
 func (e *Engine) hold(g *generation) func() {
 	tokens := promptTokens(g.prompt) + g.tokens
@@ -122,15 +122,15 @@
 	return func() { e.load.addTokens(-tokens) }
 }
 
-// prefill takes the time to work through the uncached part of the prompt.
+// prefill waits for the time that the uncached part of the prompt takes.
 func (e *Engine) prefill(ctx context.Context, g *generation, fault requestFault) error {
-	d := uncached(g.prompt, e.cache.admit(g.prompt), e.prefillRate)
+	d := prefillTime(g.prompt, e.cache.insert(g.prompt), e.prefillRate)
 	return sleep(ctx, e.clock, scale(d, fault.slow))
 }
 
-// decode takes the time to make one token, unless it was made before.
+// decode waits for one token to be generated, unless it was before.
 func (e *Engine) decode(ctx context.Context, g *generation, token int, fault requestFault) error {
-	if g.made(token) {
+	if g.hasToken(token) {
 		return ctx.Err()
 	}
 	if err := e.pacer.await(ctx, fault.slow); err != nil {
@@ -140,7 +140,8 @@
 	return nil
 }
 
-// noteCancel counts an execution that ended because its client went away.
+// noteCancel counts an execution that ended because its client disconnected, but
+// not one that a kill ended.
 func (e *Engine) noteCancel(ctx context.Context, err error) {
 	if err != nil && !errors.Is(context.Cause(ctx), errKilled) {
 		e.executions.cancel()
--- a/io/btstandin/engine_process.go
+++ b/io/btstandin/engine_process.go
@@ -7,10 +7,10 @@
 	"net/http"
 )
 
-// errKilled is the cause that ends the requests of a killed engine.
+// errKilled is the cancellation cause of requests in flight at a kill.
 var errKilled = errors.New("engine killed")
 
-// ProcessState tells whether an engine's process runs.
+// ProcessState is the state of an engine's simulated process.
 type ProcessState string
 
 const (
@@ -25,8 +25,8 @@
 	State ProcessState `json:"state"`
 }
 
-// Kill ends the engine's process: requests in flight break off, and connections
-// close without an answer until Restart.
+// Kill simulates a crash of the engine's process: requests in flight are aborted,
+// and connections are closed without an answer until Restart.
 func (e *Engine) Kill() {
 	e.processMutex.Lock()
 	defer e.processMutex.Unlock()
@@ -36,9 +36,8 @@
 	e.orders.executor.killed()
 }
 
-// Restart starts the killed engine anew, with an empty cache, no streams and no
-// fencing number; a member of a group has no map. It does nothing to a
-// running engine.
+// Restart starts a killed engine with an empty cache, no streams and no fencing
+// number; a member of a group has no map. It does nothing to a running engine.
 func (e *Engine) Restart() {
 	e.processMutex.Lock()
 	defer e.processMutex.Unlock()
@@ -54,7 +53,7 @@
 	e.running, e.kill = context.WithCancelCause(context.Background())
 }
 
-// process returns the context that ends when the engine is killed.
+// process returns the context that is cancelled when the engine is killed.
 func (e *Engine) process() context.Context {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/io/btstandin/engine_stream.go
+++ b/io/btstandin/engine_stream.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stream sends the generation's events after those that the client already had.
+// stream sends the generation's events from the index after on.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, after int, fault requestFault) error {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
@@ -44,16 +44,17 @@
 	return controller.Flush()
 }
 
-// pacer sets the pace at which an engine makes tokens.
+// pacer times the decoding of tokens.
 type pacer interface {
-	// await returns when the next token is made, or with the context's error.
-	// Slow multiplies the wait where the engine paces itself.
+	// await returns when the next token is generated, or with the context's
+	// error. slow multiplies the wait of an engine outside a group; members of a
+	// group wait for the group's step.
 	await(ctx context.Context, slow float64) error
-	// progress returns the steps so far and the time that the last one took.
+	// progress returns the number of decoding steps and the duration of the last.
 	progress() (uint64, time.Duration)
 }
 
-// clockPacer makes a token of each answer in every period.
+// clockPacer generates one token of each running answer per period.
 type clockPacer struct {
 	clock  Clock
 	period time.Duration
--- a/io/btstandin/engine_test.go
+++ b/io/btstandin/engine_test.go
@@ -32,7 +32,7 @@
 	return fmt.Sprintf(`{"model":"m","stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, stream, tokens, text)
 }
 
-// wholeAnswer is the part of a JSON answer that tests look at.
+// wholeAnswer holds the fields of an unstreamed answer that tests read.
 type wholeAnswer struct {
 	Choices []struct {
 		Message btstandin.ChatMessage `json:"message"`
@@ -58,7 +58,9 @@
 	return events, text
 }
 
-func TestAnswerIsTheSameWholeOrStreamed(t *testing.T) {
+// Tests detect truncated and misrouted answers by comparing them with Answer, so
+// streamed and unstreamed answers must have its text, which differs by request.
+func TestStreamedAndUnstreamedAnswersAreEqual(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, btstandin.EngineOptions{})
 		want, err := btstandin.Answer([]byte(chatBody("a seat at nine", 5, false)))
@@ -77,6 +79,8 @@
 	})
 }
 
+// A stream that its client cancelled must resume after any event that was received,
+// without repeating or losing one, and without counting as another execution.
 func TestCancelledStreamResumesAtAnyEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, btstandin.EngineOptions{DecodeRate: 10, PrefillRate: 1e9})
@@ -105,7 +109,9 @@
 	})
 }
 
-func TestSlotsGoByPriorityAndLoadLags(t *testing.T) {
+// Waiting requests must get the only slot by priority, and load reports must lag as
+// configured, or tests of balancing would run against a simpler engine.
+func TestSlotPriorityAndLoadLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, btstandin.EngineOptions{Slots: 1, DecodeRate: 1, PrefillRate: 1e9, LoadLag: 500 * time.Millisecond})
 		finished := make(chan string, 3)
@@ -125,7 +131,9 @@
 	})
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+// Cache events must be delayed and dropped as the fault says; a dropped event leaves
+// a gap in the sequence numbers.
+func TestCacheEventDelayAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, btstandin.EngineOptions{PrefixCacheBlocks: 2})
 		control(t, e, "/control/cache", `{"delay":"1s","drop_every":3}`)
@@ -145,7 +153,9 @@
 	})
 }
 
-func TestPrefixesAreThoseThatTheRouterComputes(t *testing.T) {
+// Cache events name prefixes that the router computes by itself; if the two differ,
+// routing by cached prefixes silently stops working.
+func TestPrefixesMatchTheRouter(t *testing.T) {
 	prompt := strings.Repeat("role and content ", 200)
 	names := btstandin.Prefixes(prompt)
 	assert.Equal(t, len(names), len(prompt)/btstandin.BlockBytes)
@@ -154,6 +164,7 @@
 	}
 }
 
+// A repeated prompt must save the prefill time of its cached blocks.
 func TestCachedPromptNeedsNoPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, btstandin.EngineOptions{PrefillRate: 64, DecodeRate: 1000})
@@ -168,7 +179,9 @@
 	})
 }
 
-func TestOldFencingNumbers(t *testing.T) {
+// An engine that checks fencing numbers must refuse one that is not above the last;
+// one that doesn't must accept it. Both count it as stale.
+func TestStaleFencingNumbers(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		e := newEngine(t, btstandin.EngineOptions{ChecksFencing: checks})
 		order := func(number int) int {
@@ -187,6 +200,8 @@
 	}
 }
 
+// Injected crashes and kills must close connections, and a restart must clear the
+// fencing number but keep the counts. A killed request is not a cancelled one.
 func TestCrashAndKillCloseTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, btstandin.EngineOptions{})
--- a/io/btstandin/executions.go
+++ b/io/btstandin/executions.go
@@ -6,27 +6,27 @@
 	"sync"
 )
 
-// IdempotencyKeyHeader carries the caller's idempotency key.
+// IdempotencyKeyHeader carries a request's idempotency key.
 const IdempotencyKeyHeader = "Idempotency-Key"
 
-// RequestIDHeader carries the identity of a request.
+// RequestIDHeader carries a request's id.
 const RequestIDHeader = "X-Request-Id"
 
-// Executions is the body of GET /control/executions: how often a target began
-// to run requests. A resumed stream is not a further execution.
+// Executions is the body of GET /control/executions: the number of requests that
+// a target started to execute. Resuming a stream is not another execution.
 type Executions struct {
 	Total int `json:"total"`
-	// Keys counts by idempotency key, requests without one left out.
+	// Keys counts executions by idempotency key, if there is one.
 	Keys map[string]int `json:"keys"`
-	// Requests counts by request identity, requests without one left out.
+	// Requests counts executions by request id, if there is one.
 	Requests map[string]int `json:"requests"`
-	// Cancelled counts executions whose client closed the connection early.
+	// Cancelled counts executions whose client disconnected before the end.
 	Cancelled int `json:"cancelled"`
-	// Resumed counts streams that were continued.
+	// Resumed counts resumptions of streams.
 	Resumed int `json:"resumed"`
 }
 
-// executions counts what one target ran.
+// executions counts a target's executions. It is safe for concurrent use.
 type executions struct {
 	mutex  sync.Mutex
 	counts Executions
@@ -36,7 +36,7 @@
 	return &executions{counts: Executions{Keys: make(map[string]int), Requests: make(map[string]int)}}
 }
 
-// begin counts one execution of the request and returns their number so far.
+// begin counts one execution of the request and returns the total so far.
 func (e *executions) begin(r *http.Request) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/io/btstandin/fault.go
+++ b/io/btstandin/fault.go
@@ -7,28 +7,29 @@
 	"sync"
 )
 
-// TargetFault is the body of PUT /control/fault of a target: how it fails from
-// now on. The zero value is a sound target.
+// TargetFault is the body of PUT /control/fault of a target: the fault to inject
+// from now on. The zero value injects none.
 type TargetFault struct {
-	// Slow multiplies the time that work takes; zero stands for 1.
+	// Slow multiplies the processing time; zero means 1.
 	Slow float64 `json:"slow"`
-	// FailShare is the share of requests, 0 to 1, that run and then answer 500.
+	// FailShare is the share of requests, 0 to 1, that are executed and then
+	// answered with 500.
 	FailShare float64 `json:"fail_share"`
-	// Refuse answers 503 with Retry-After; the request is not run.
+	// Refuse answers 503 with Retry-After without executing the request.
 	Refuse bool `json:"refuse"`
-	// Hang runs the request and never answers.
+	// Hang executes the request and never answers.
 	Hang bool `json:"hang"`
-	// CrashAfter closes the connection once that many events of the answer went
-	// out; an answer that is not streamed ends before its first byte. Nil is off.
+	// CrashAfter closes the connection after that many events of a stream; an
+	// unstreamed answer is closed before its first byte. Nil disables it.
 	CrashAfter *int `json:"crash_after_events"`
-	// CutBody ends the answer early: a stream closes cleanly but without its
-	// last event, any other body breaks off at its half.
+	// CutBody truncates the answer: a stream ends cleanly but without its last
+	// event, any other body is cut in the middle.
 	CutBody bool `json:"cut_body"`
-	// Times ends the fault after that many requests; zero leaves it in force.
+	// Times clears the fault after that many requests; zero keeps it in force.
 	Times int `json:"times"`
 }
 
-// Validate reports a number out of range.
+// Validate returns an error that wraps ErrInput if a number is out of range.
 func (f TargetFault) Validate() error {
 	if f.Slow < 0 || f.FailShare < 0 || f.FailShare > 1 || f.Times < 0 {
 		return fmt.Errorf("%w: slow and times must not be negative and fail_share lies in 0 to 1", ErrInput)
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// requestFault is what one request meets.
+// requestFault is the fault injected into one request.
 type requestFault struct {
 	slow       float64
 	refuse     bool
@@ -49,13 +50,13 @@
 	crashAfter *int
 }
 
-// crashes tells whether the connection is to close once so many events went
-// out.
+// crashes reports whether to close the connection after that many events.
 func (f requestFault) crashes(events int) bool {
 	return f.crashAfter != nil && events >= *f.crashAfter
 }
 
-// faults holds a target's fault and draws from it for each request.
+// faults holds a target's fault and samples it for each request. It is safe for
+// concurrent use.
 type faults struct {
 	mutex  sync.Mutex
 	fault  TargetFault
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// draw returns what the next request meets.
+// draw returns the fault for the next request and counts it against Times.
 func (f *faults) draw() requestFault {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// slow returns the factor in force by which work takes longer.
+// slow returns the current factor of the processing time.
 func (f *faults) slow() float64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/io/btstandin/generation.go
+++ b/io/btstandin/generation.go
@@ -8,20 +8,21 @@
 	"bilberrytide/core/btid"
 )
 
-// finishLength is the finish reason of every answer: it ends at its length.
+// finishLength is the finish reason of every answer, as each ends at its maximum
+// length.
 const finishLength = "length"
 
-// assistant is the role of every answer.
+// assistant is the message role of every answer.
 const assistant = "assistant"
 
-// doneEvent ends every whole stream.
+// doneEvent is the data of the last event of a complete stream.
 const doneEvent = "[DONE]"
 
 // streamRetention is how long after its start a stream can be resumed.
 const streamRetention = 2 * time.Minute
 
-// generation is one answer in the making. What it says is fixed by the request,
-// so that it can be resumed at any event.
+// generation is the state of one answer. Its text is a function of the request, so
+// that its stream can be resumed at any event.
 type generation struct {
 	engine  btid.Target
 	id      string
@@ -34,25 +35,25 @@
 	produced int
 }
 
-// events returns the number of events of the whole stream: one for each token,
-// one with the finish reason, and the last.
+// events returns the number of events of the complete stream: one per token, one
+// with the finish reason, and doneEvent.
 func (g *generation) events() int { return g.tokens + 2 }
 
-// made tells whether the token, counted from zero, was produced before.
-func (g *generation) made(token int) bool {
+// hasToken reports whether the token at the zero-based index was generated.
+func (g *generation) hasToken(token int) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return token < g.produced
 }
 
-// produce records that the tokens up to this one exist.
+// produce marks the tokens up to and including this one as generated.
 func (g *generation) produce(token int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.produced = max(g.produced, token+1)
 }
 
-// event returns the data of the stream's event, counted from zero.
+// event returns the data of the stream's event at the zero-based index.
 func (g *generation) event(index int) (string, error) {
 	if index > g.tokens {
 		return doneEvent, nil
@@ -80,8 +81,8 @@
 	return string(data), err
 }
 
-// whole returns the body of the answer that is not streamed.
-func (g *generation) whole() completion {
+// completion returns the body of the unstreamed answer.
+func (g *generation) completion() completion {
 	return completion{
 		ID:      g.answerID(),
 		Object:  "chat.completion",
@@ -103,7 +104,8 @@
 	return usage{PromptTokens: prompt, CompletionTokens: g.tokens, TotalTokens: prompt + g.tokens}
 }
 
-// streamTable remembers streams by request identity for the retention.
+// streamTable keeps streams by request id for streamRetention. It is safe for
+// concurrent use.
 type streamTable struct {
 	mutex   sync.Mutex
 	streams map[string]*generation
@@ -111,7 +113,7 @@
 
 func newStreamTable() *streamTable { return &streamTable{streams: make(map[string]*generation)} }
 
-// add remembers the stream and forgets those past the retention.
+// add stores the stream and removes those past the retention.
 func (t *streamTable) add(g *generation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/io/btstandin/group.go
+++ b/io/btstandin/group.go
@@ -16,34 +16,36 @@
 	DefaultZipfExponent  = 1.0
 )
 
-// GroupOptions sets up a Group. Zero numbers stand for the defaults.
+// GroupOptions configures a Group. Step, TokensPerStep and ZipfExponent default to
+// the constants above if zero.
 type GroupOptions struct {
 	Name  btid.Group
 	Shape GroupShape
-	// Engine sets up every rank's engine, its Clock and Seed also the group's.
-	// Its Name and DecodeRate are not used: rank r is called NAME-r and each
-	// running answer gets a token a step.
+	// Engine configures the engine of every rank; its Clock and Seed also apply
+	// to the group. Its Name and DecodeRate are ignored: rank r is called NAME-r,
+	// and each running answer gets one token per step.
 	Engine EngineOptions
-	// Step is how long a step takes when all ranks have the same load.
+	// Step is the duration of a step with equal load on all ranks.
 	Step time.Duration
-	// TokensPerStep is how many tokens each layer serves in a step.
+	// TokensPerStep is the number of tokens that each layer processes in a step.
 	TokensPerStep int
-	// ZipfExponent is how unequal the experts' popularity is.
+	// ZipfExponent is the exponent of the Zipf distribution of expert popularity.
 	ZipfExponent float64
-	// DriftPeriod is the time in which popularity turns into another; zero
-	// leaves it as it is.
+	// DriftPeriod is the time in which the popularity changes from one ranking of
+	// the experts to the next; zero keeps it constant.
 	DriftPeriod time.Duration
-	// Barrier tells whether engines know arm and commit.
+	// Barrier makes the engines support arm and commit.
 	Barrier bool
-	// UnsafeSwitch makes engines follow a switch while they are not held, as an
-	// engine does that doesn't look after its group.
+	// UnsafeSwitch makes engines accept a switch while they are not held, as does
+	// an engine that doesn't prevent steps on mixed maps.
 	UnsafeSwitch bool
-	// InitialMap is the map that all ranks start with. Nil stands for experts dealt
-	// in turn.
+	// InitialMap is the map that all ranks start with; nil assigns the experts
+	// round robin.
 	InitialMap *ExpertMap
 	// StartHeld makes all ranks start without a map, as after a restart.
 	StartHeld bool
-	// Weights is where staging gets weights from; nil makes them free.
+	// Weights is where staging pulls weights from; with nil, staging takes no
+	// time.
 	Weights WeightSource
 }
 
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// initial returns what the ranks start on, nil for no map.
+// initial returns the placement that the ranks start with, nil for none.
 func (o GroupOptions) initial() *placement {
 	switch {
 	case o.StartHeld:
@@ -83,7 +85,7 @@
 	case o.InitialMap != nil:
 		return initialPlacement(o.InitialMap)
 	}
-	return initialPlacement(o.Shape.deal())
+	return initialPlacement(o.Shape.roundRobinMap())
 }
 
 // Group stands in for the engines of one lock-step group. It is safe for
@@ -94,22 +96,22 @@
 	step    time.Duration
 	tokens  int
 	barrier bool
-	// unchecked engines switch though they are not held.
-	unchecked bool
-	weights   WeightSource
+	// unsafeSwitch is GroupOptions.UnsafeSwitch.
+	unsafeSwitch bool
+	weights      WeightSource
 
 	mutex      sync.Mutex
 	members    []*member
 	popularity *popularity
 	start      time.Time
-	// stepped is closed at the end of every step and then replaced.
+	// stepped is closed and replaced at the end of every step.
 	stepped chan struct{}
-	// changed is closed when a member's state changed and then replaced.
+	// changed is closed and replaced when a member's state changes.
 	changed chan struct{}
-	record  stepLog
+	log     stepLog
 }
 
-// NewGroup returns a group that steps once Run is called. The error wraps
+// NewGroup returns a group, which steps while Run is running. The error wraps
 // ErrOptions.
 func NewGroup(o GroupOptions) (*Group, error) {
 	o = o.withDefaults()
@@ -118,17 +120,17 @@
 	}
 	clock := o.Engine.Clock
 	g := &Group{
-		clock:      clock,
-		shape:      o.Shape,
-		step:       o.Step,
-		tokens:     o.TokensPerStep,
-		barrier:    o.Barrier,
-		unchecked:  o.UnsafeSwitch,
-		weights:    o.Weights,
-		popularity: newPopularity(o.Shape, o.ZipfExponent, o.DriftPeriod, o.Engine.Seed),
-		start:      clock.Now(),
-		stepped:    make(chan struct{}),
-		changed:    make(chan struct{}),
+		clock:        clock,
+		shape:        o.Shape,
+		step:         o.Step,
+		tokens:       o.TokensPerStep,
+		barrier:      o.Barrier,
+		unsafeSwitch: o.UnsafeSwitch,
+		weights:      o.Weights,
+		popularity:   newPopularity(o.Shape, o.ZipfExponent, o.DriftPeriod, o.Engine.Seed),
+		start:        clock.Now(),
+		stepped:      make(chan struct{}),
+		changed:      make(chan struct{}),
 	}
 	initial := o.initial()
 	for r := range o.Shape.Ranks {
@@ -137,14 +139,14 @@
 	return g, nil
 }
 
-// Rank returns the engine of the rank, from zero: an http.Handler that answers
-// the engine's protocol, the group's and the controls.
+// Rank returns the engine of the zero-based rank: an http.Handler that serves the
+// protocols of the engine and of the group, and the controls.
 func (g *Group) Rank(rank int) *Engine { return g.members[rank].engine }
 
 // Ranks returns the number of ranks.
 func (g *Group) Ranks() int { return g.shape.Ranks }
 
-// addRoutes adds the group's paths to one member's.
+// addRoutes adds the paths of the group's protocol to the member's.
 func (g *Group) addRoutes(mux *http.ServeMux, m *member) {
 	mux.HandleFunc("GET /group", m.serveState)
 	mux.HandleFunc("GET /group/map", m.serveMap)
@@ -152,8 +154,8 @@
 	mux.HandleFunc("GET /control/steps/records", g.controlRecords)
 }
 
-// wake lets Run look at the members again. The mutex must be held.
-func (g *Group) wake() {
+// notifyChange makes Run check the members again. The mutex must be held.
+func (g *Group) notifyChange() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
--- a/io/btstandin/group_map.go
+++ b/io/btstandin/group_map.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// ExpertMap says which experts each rank of a group holds in each layer. It
-// keeps the bytes that it was read from: their SHA-256 is its digest.
+// ExpertMap assigns experts to the ranks of a group in each layer. It keeps the
+// JSON from which it was decoded; the SHA-256 of these bytes is its digest.
 type ExpertMap struct {
-	// Layers lists, for each layer and in it each rank, the experts held.
+	// Layers holds the experts by layer and rank.
 	Layers [][][]int
 
 	encoded []byte
@@ -22,7 +22,7 @@
 	Layers [][][]int `json:"layers"`
 }
 
-// UnmarshalJSON reads a map and keeps its bytes.
+// UnmarshalJSON decodes a map and keeps a copy of its bytes.
 func (m *ExpertMap) UnmarshalJSON(data []byte) error {
 	var fields mapFields
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -34,10 +34,11 @@
 	return nil
 }
 
-// MarshalJSON returns the bytes that the map was read from.
+// MarshalJSON returns the bytes from which the map was decoded.
 func (m *ExpertMap) MarshalJSON() ([]byte, error) { return m.encoded, nil }
 
-// validate reports a map that doesn't fit the group.
+// validate returns an error that wraps ErrOrder if the map doesn't fit the shape
+// or leaves an expert without a rank.
 func (m *ExpertMap) validate(s GroupShape) error {
 	if m == nil {
 		return fmt.Errorf("%w: map: none", ErrOrder)
@@ -77,12 +78,12 @@
 	return nil
 }
 
-// GroupShape is the size of a group.
+// GroupShape holds the dimensions of a group.
 type GroupShape struct {
 	Ranks   int
 	Layers  int
 	Experts int
-	// SlotsPerRank is how many experts of one layer a rank holds.
+	// SlotsPerRank is the maximum number of experts of one layer on a rank.
 	SlotsPerRank int
 }
 
@@ -96,9 +97,9 @@
 	return nil
 }
 
-// deal returns the map that deals experts to ranks in turn until every slot is
-// full or every rank holds every expert.
-func (s GroupShape) deal() *ExpertMap {
+// roundRobinMap returns the map that assigns the experts to the ranks round robin
+// until every slot is full or every rank holds every expert.
+func (s GroupShape) roundRobinMap() *ExpertMap {
 	ranks := make([][]int, s.Ranks)
 	for i := range s.Ranks * min(s.SlotsPerRank, s.Experts) {
 		r := i % s.Ranks
@@ -112,20 +113,20 @@
 	for l := range fields.Layers {
 		fields.Layers[l] = ranks
 	}
-	// Numbers in slices always have a JSON form, and it reads back.
+	// Encoding and decoding nested slices of integers can't fail.
 	data, _ := json.Marshal(fields)
 	m := &ExpertMap{}
 	_ = m.UnmarshalJSON(data)
 	return m
 }
 
-// holds tells whether the rank holds the expert in the layer; no rank does in
-// a nil map.
+// holds reports whether the rank holds the expert of the layer; in a nil map none
+// does.
 func (m *ExpertMap) holds(layer, rank, expert int) bool {
 	return m != nil && slices.Contains(m.Layers[layer][rank], expert)
 }
 
-// replicas returns how many ranks hold each expert of each layer.
+// replicas returns the number of ranks that hold each expert, by layer and expert.
 func (m *ExpertMap) replicas(s GroupShape) [][]int {
 	counts := make([][]int, s.Layers)
 	for l, ranks := range m.Layers {
@@ -139,18 +140,19 @@
 	return counts
 }
 
-// placement is a map under the version that it was staged as.
+// placement is a map and the version under which it was staged.
 type placement struct {
 	version string
 	experts *ExpertMap
 }
 
-// initialPlacement is a map that no round staged: its version is its digest.
+// initialPlacement returns the placement of a map that no order staged; its version
+// is the map's digest.
 func initialPlacement(m *ExpertMap) *placement {
 	return &placement{version: m.digest, experts: m}
 }
 
-// name returns the version, empty for none.
+// name returns the version, empty for a nil placement.
 func (p *placement) name() string {
 	if p == nil {
 		return ""
@@ -158,8 +160,8 @@
 	return p.version
 }
 
-// mapped returns the placement's map, nil for none.
-func (p *placement) mapped() *ExpertMap {
+// expertMap returns the map, nil for a nil placement.
+func (p *placement) expertMap() *ExpertMap {
 	if p == nil {
 		return nil
 	}
--- a/io/btstandin/group_member.go
+++ b/io/btstandin/group_member.go
@@ -10,31 +10,34 @@
 	"bilberrytide/core/btid"
 )
 
-// GroupState is the body of GET /group: how one rank stands.
+// GroupState is the body of GET /group: the state of one rank.
 type GroupState struct {
-	// MapVersion is the version of the map in use, empty for none.
+	// MapVersion is the version of the map in use, empty if there is none.
 	MapVersion string `json:"map_version"`
-	// StagedVersion is the one whose weights are all here, empty for none.
+	// StagedVersion is the version whose weights are completely loaded, empty if
+	// there is none.
 	StagedVersion string `json:"staged_version"`
-	// LoadingVersion is the one whose weights are being pulled, empty for none.
+	// LoadingVersion is the version whose weights are being pulled, empty if
+	// there is none.
 	LoadingVersion string `json:"loading_version"`
-	// Held tells that the rank starts no further step: it is armed or paused, or
+	// Held is whether the rank starts no further step: it is armed or paused, or
 	// has no map.
 	Held bool `json:"held"`
-	// Armed tells that the rank is held until commit or abort.
+	// Armed is whether the rank is held until commit or abort.
 	Armed bool `json:"armed"`
-	// Paused tells that the rank is held until resume.
+	// Paused is whether the rank is held until resume.
 	Paused bool `json:"paused"`
 	// Fencing is the highest fencing number accepted.
 	Fencing uint64 `json:"fencing"`
-	// Step counts the steps since this engine's start.
+	// Step is the number of steps since the engine's start.
 	Step uint64 `json:"step"`
-	// Counts holds the tokens that this rank served, since its engine's start,
-	// for each layer and in it each expert.
+	// Counts holds the tokens that the rank processed since the engine's start,
+	// by layer and expert.
 	Counts [][]uint64 `json:"counts"`
-	// StepMillis is how long this rank worked on the last step, in milliseconds.
+	// StepMillis is the rank's own computing time in the last step, in
+	// milliseconds.
 	StepMillis float64 `json:"step_ms"`
-	// GroupStepMillis is how long the whole group took.
+	// GroupStepMillis is the duration of the group's last step, in milliseconds.
 	GroupStepMillis float64 `json:"group_step_ms"`
 }
 
@@ -45,7 +48,7 @@
 	engine *Engine
 
 	alive bool
-	// inUse is nil from a restart until the first switch.
+	// inUse is nil after a restart, until a commit or a switch.
 	inUse   *placement
 	staged  *placement
 	loading *loading
@@ -79,17 +82,17 @@
 	return counts
 }
 
-// held tells whether the member starts no step until it is ordered to.
+// held reports whether the member waits for an order before its next step.
 func (m *member) held() bool { return m.inUse == nil || m.armed || m.paused }
 
-// ready tells whether the member would start a step.
+// ready reports whether the member can start a step.
 func (m *member) ready() bool { return m.alive && !m.held() }
 
 func (m *member) killed() {
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
 	m.alive = false
-	m.endLoading()
+	m.cancelLoading()
 }
 
 func (m *member) restarted() {
@@ -102,11 +105,11 @@
 	m.paused = false
 	m.steps = 0
 	m.counts = zeroCounts(m.group.shape)
-	m.group.wake()
+	m.group.notifyChange()
 }
 
-// await returns at the end of the group's next step; how slow the rank is shows
-// in the step itself.
+// await returns at the end of the group's current or next step. It ignores the
+// slow factor, which step durations already include.
 func (m *member) await(ctx context.Context, _ float64) error {
 	m.group.mutex.Lock()
 	stepped := m.group.stepped
@@ -126,7 +129,7 @@
 }
 
 func (m *member) state() GroupState {
-	// The orders' lock is taken before the group's, as by an order.
+	// The lock of the orders comes before the group's, as in executing an order.
 	fencing := m.engine.orders.fencing().Fencing
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
@@ -148,7 +151,7 @@
 		Step:            m.steps,
 		Counts:          counts,
 		StepMillis:      millis(m.last),
-		GroupStepMillis: millis(m.group.record.last),
+		GroupStepMillis: millis(m.group.log.last),
 	}
 }
 
@@ -156,8 +159,8 @@
 	writeJSON(w, http.StatusOK, m.state())
 }
 
-// serveMap answers with the bytes of the map in use, or with ?staged=1 of the
-// staged one, as they came with the order.
+// serveMap answers with the bytes of the map in use as the order carried them, or
+// with ?staged=1 those of the staged map.
 func (m *member) serveMap(w http.ResponseWriter, r *http.Request) {
 	m.group.mutex.Lock()
 	shown := m.inUse
--- a/io/btstandin/group_orders.go
+++ b/io/btstandin/group_orders.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// loading is a staging whose weights are still being pulled.
+// loading is a placement whose weights are being pulled.
 type loading struct {
 	next   *placement
 	cancel context.CancelFunc
 }
 
-// name returns the version being loaded, empty for none.
+// name returns the version being loaded, empty for nil.
 func (l *loading) name() string {
 	if l == nil {
 		return ""
@@ -19,20 +19,20 @@
 	return l.next.name()
 }
 
-// execute carries out one order, or begins it. An order whose effect is there
-// already, as it was carried out before, succeeds and changes nothing.
+// execute carries out one order, or starts it where it takes long. It is
+// idempotent: repeating an order that was carried out succeeds without effect.
 func (m *member) execute(o Order) error {
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
-	if err := m.change(o); err != nil {
+	if err := m.apply(o); err != nil {
 		return err
 	}
-	m.group.wake()
+	m.group.notifyChange()
 	return nil
 }
 
-// change applies an order. The group's mutex must be held.
-func (m *member) change(o Order) error {
+// apply applies an order. The group's mutex must be held.
+func (m *member) apply(o Order) error {
 	switch o.Op {
 	case OpStage:
 		return m.stage(o)
@@ -46,7 +46,7 @@
 		m.paused = true
 		return nil
 	case OpSwitch:
-		return m.use(o.Version)
+		return m.switchMap(o.Version)
 	case OpResume:
 		return m.resume(o.Version)
 	default:
@@ -54,9 +54,9 @@
 	}
 }
 
-// stage begins to load a map in place of any staged or loading before. It
-// changes neither steps nor holds, and goes on when whoever ordered it has gone
-// away; it breaks off with abort, another stage or the engine's end.
+// stage starts to load a map and replaces any staged or loading one. Loading does
+// not affect steps or holds and continues after the request ends; an abort, another
+// stage or a kill of the engine cancels it.
 func (m *member) stage(o Order) error {
 	if o.Version == "" {
 		return fmt.Errorf("%w: version: none", ErrOrder)
@@ -70,7 +70,7 @@
 	if m.staged.name() == o.Version || m.loading.name() == o.Version {
 		return nil
 	}
-	m.endLoading()
+	m.cancelLoading()
 	m.staged = nil
 	next := &placement{version: o.Version, experts: o.Map}
 	if m.group.weights == nil {
@@ -78,33 +78,35 @@
 		return nil
 	}
 	ctx, cancel := context.WithCancel(m.engine.process())
-	mine := &loading{next: next, cancel: cancel}
-	m.loading = mine
-	go m.load(ctx, mine, m.inUse.mapped())
+	current := &loading{next: next, cancel: cancel}
+	m.loading = current
+	go m.load(ctx, current, m.inUse.expertMap())
 	return nil
 }
 
-// load pulls the weights that the map in use lacks and stages the map.
-func (m *member) load(ctx context.Context, mine *loading, inUse *ExpertMap) {
-	defer mine.cancel()
+// load pulls the weights of the experts that the rank doesn't hold yet and then
+// stages the map.
+func (m *member) load(ctx context.Context, current *loading, inUse *ExpertMap) {
+	defer current.cancel()
 	var err error
-	for l := range mine.next.experts.Layers {
-		if err = m.pullLayer(ctx, inUse, mine.next.experts, l); err != nil {
+	for l := range current.next.experts.Layers {
+		if err = m.pullLayer(ctx, inUse, current.next.experts, l); err != nil {
 			break
 		}
 	}
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
-	if m.loading != mine {
+	if m.loading != current {
 		return
 	}
 	m.loading = nil
 	if err == nil {
-		m.staged = mine.next
+		m.staged = current.next
 	}
 }
 
-// pullLayer pulls the experts of the layer that the map in use does not hold.
+// pullLayer pulls the weights of the layer's experts that the rank doesn't hold in
+// the map in use.
 func (m *member) pullLayer(ctx context.Context, inUse, next *ExpertMap, layer int) error {
 	for _, x := range next.Layers[layer][m.rank] {
 		if inUse.holds(layer, m.rank, x) {
@@ -117,8 +119,8 @@
 	return ctx.Err()
 }
 
-// endLoading breaks off a loading under way. The group's mutex must be held.
-func (m *member) endLoading() {
+// cancelLoading cancels a load in progress. The group's mutex must be held.
+func (m *member) cancelLoading() {
 	if m.loading != nil {
 		m.loading.cancel()
 		m.loading = nil
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// commit switches the armed member to the staged map and lets it go on. One
-// that comes again changes nothing, least of all a later round's hold.
+// commit switches the armed member to the staged map and ends its hold. A repeated
+// commit has no effect, so that it can't end the hold of a later round.
 func (m *member) commit(version string) error {
 	if m.staged.name() != version && m.inUse.name() == version {
 		return nil
@@ -155,30 +157,30 @@
 	return nil
 }
 
-// abort drops what is staged or being loaded. Only where exactly this version
-// was staged does it end the hold.
+// abort discards the staged or loading map of this version. It ends the hold only
+// if this version is staged, so that a late abort can't end a later round's hold.
 func (m *member) abort(version string) error {
 	switch {
 	case version != "" && m.staged.name() == version:
 		m.staged = nil
 		m.armed = false
 	case version != "" && m.loading.name() == version:
-		m.endLoading()
+		m.cancelLoading()
 	case m.held():
 		return fmt.Errorf("%w: map %q is not staged", ErrOrder, version)
 	}
 	return nil
 }
 
-// use switches the paused member to the staged map; it stays paused.
-func (m *member) use(version string) error {
+// switchMap switches the paused member to the staged map; the member stays paused.
+func (m *member) switchMap(version string) error {
 	if m.staged.name() != version && m.inUse.name() == version {
 		return nil
 	}
 	if err := m.requireStaged(version); err != nil {
 		return err
 	}
-	if !m.held() && !m.group.unchecked {
+	if !m.held() && !m.group.unsafeSwitch {
 		return fmt.Errorf("%w: not paused", ErrOrder)
 	}
 	m.inUse = m.staged
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// resume lets the member go on, on exactly the named map.
+// resume ends the pause if the map in use has this version.
 func (m *member) resume(version string) error {
 	if m.inUse == nil {
 		return fmt.Errorf("%w: no map", ErrOrder)
--- a/io/btstandin/group_steps.go
+++ b/io/btstandin/group_steps.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// fixedShare is the share of an even step that does not depend on experts.
+// fixedShare is the share of a balanced step's time that does not depend on the
+// load of the experts.
 const fixedShare = 0.5
 
-// maxRecords is how many steps a group remembers one by one.
+// maxRecords is the number of latest steps that a group keeps records of.
 const maxRecords = 256
 
-// StepRecord tells of one step.
+// StepRecord describes one step.
 type StepRecord struct {
 	Step uint64 `json:"step"`
 	// Digests holds the SHA-256 of the map that each rank used.
 	Digests []string `json:"digests"`
-	// Mixed tells that not all of them were the same.
+	// Mixed is whether the ranks used different maps.
 	Mixed bool `json:"mixed"`
-	// Skew is the step's time over the mean of the ranks' own, minus 1.
+	// Skew is the step's duration divided by the mean of the ranks' computing
+	// times, minus 1.
 	Skew float64 `json:"skew"`
-	// Duration is the step's time: in each layer that of the slowest rank.
+	// Duration is the sum over the layers of the slowest rank's time.
 	Duration time.Duration `json:"duration_ns"`
 }
 
@@ -29,20 +31,20 @@
 type StepTotals struct {
 	Steps      uint64 `json:"steps"`
 	MixedSteps uint64 `json:"mixed_steps"`
-	// SkewMean is the mean over all steps of their skew.
+	// SkewMean is the mean skew of all steps.
 	SkewMean float64 `json:"skew_mean"`
-	// HeldMillis is the time in which the group was ready for a step but for a
-	// rank that was armed, paused, killed or without a map.
+	// HeldMillis is the time, in milliseconds, for which a rank that was armed,
+	// paused, killed or without a map kept the group from starting a step.
 	HeldMillis float64 `json:"held_ms"`
 }
 
 // StepRecords is the body of GET /control/steps/records.
 type StepRecords struct {
-	// Records lists the last steps, oldest first.
+	// Records holds the latest steps, oldest first.
 	Records []StepRecord `json:"records"`
 }
 
-// stepLog is what a group remembers of its steps.
+// stepLog holds the totals and the latest records of a group's steps.
 type stepLog struct {
 	records []StepRecord
 	steps   uint64
@@ -54,14 +56,15 @@
 	heldSince time.Time
 }
 
-// step is one step under way: the times of the ranks and what they serve.
+// step is a step in progress: each rank's computing time, and its share of each
+// expert's tokens by layer.
 type step struct {
 	record StepRecord
 	times  []time.Duration
 	served [][][]float64
 }
 
-// Run steps until the context ends; it then returns nil.
+// Run makes steps until the context ends, and then returns nil.
 func (g *Group) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		s, changed := g.begin()
@@ -79,8 +82,8 @@
 	return nil
 }
 
-// Step makes one step at once, for tests that don't call Run; false where a
-// rank holds the group.
+// Step makes one step without waiting for its duration, for tests that don't call
+// Run. It returns false if a rank holds the group.
 func (g *Group) Step() (StepRecord, bool) {
 	s, _ := g.begin()
 	if s == nil {
@@ -90,54 +93,54 @@
 	return s.record, true
 }
 
-// Totals returns what the steps so far add up to.
+// Totals returns the totals of the steps so far.
 func (g *Group) Totals() StepTotals {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	held := g.record.held
-	if !g.record.heldSince.IsZero() {
-		held += g.clock.Now().Sub(g.record.heldSince)
+	held := g.log.held
+	if !g.log.heldSince.IsZero() {
+		held += g.clock.Now().Sub(g.log.heldSince)
 	}
 	return StepTotals{
-		Steps:      g.record.steps,
-		MixedSteps: g.record.mixed,
-		SkewMean:   g.record.skewSum / float64(max(1, g.record.steps)),
+		Steps:      g.log.steps,
+		MixedSteps: g.log.mixed,
+		SkewMean:   g.log.skewSum / float64(max(1, g.log.steps)),
 		HeldMillis: millis(held),
 	}
 }
 
-// Records returns the last steps, oldest first.
+// Records returns the latest steps, oldest first.
 func (g *Group) Records() StepRecords {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return StepRecords{Records: append([]StepRecord{}, g.record.records...)}
+	return StepRecords{Records: append([]StepRecord{}, g.log.records...)}
 }
 
-// begin starts a step on the maps that the ranks have now. Where a rank holds
-// the group it returns nil and the channel that the next change closes.
+// begin starts a step with the ranks' current maps. If a rank holds the group, it
+// returns nil and a channel that is closed at the next change of a member.
 func (g *Group) begin() (*step, <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.clock.Now()
 	for _, m := range g.members {
 		if !m.ready() {
-			if g.record.heldSince.IsZero() {
-				g.record.heldSince = now
+			if g.log.heldSince.IsZero() {
+				g.log.heldSince = now
 			}
 			return nil, g.changed
 		}
 	}
-	if !g.record.heldSince.IsZero() {
-		g.record.held += now.Sub(g.record.heldSince)
-		g.record.heldSince = time.Time{}
+	if !g.log.heldSince.IsZero() {
+		g.log.held += now.Sub(g.log.heldSince)
+		g.log.heldSince = time.Time{}
 	}
 	return g.plan(g.popularity.shares(now.Sub(g.start))), g.changed
 }
 
-// plan works out the step from the experts' shares of the tokens. The ranks
-// exchange tokens in every layer, so that each layer waits for its slowest rank.
+// plan computes the step from the experts' shares of the tokens. The ranks exchange
+// tokens in every layer, so each layer takes as long as its slowest rank.
 func (g *Group) plan(shares [][]float64) *step {
-	s := &step{record: StepRecord{Step: g.record.steps + 1}}
+	s := &step{record: StepRecord{Step: g.log.steps + 1}}
 	replicas := make(map[string][][]int)
 	slowest := make([]time.Duration, g.shape.Layers)
 	var sum time.Duration
@@ -147,7 +150,7 @@
 			replicas[digest] = m.inUse.experts.replicas(g.shape)
 		}
 		served := m.serve(shares, replicas[digest])
-		taken := m.work(served, slowest)
+		taken := m.stepTimes(served, slowest)
 		s.served = append(s.served, served)
 		s.times = append(s.times, taken)
 		s.record.Digests = append(s.record.Digests, digest)
@@ -162,8 +165,8 @@
 	return s
 }
 
-// serve returns the member's share of each expert's tokens, by its own map.
-// Replicas of an expert share its tokens evenly.
+// serve returns the share of each expert's tokens that the member processes by its
+// own map. An expert's tokens are divided evenly among its replicas.
 func (m *member) serve(shares [][]float64, replicas [][]int) [][]float64 {
 	served := zeroCounts(m.group.shape)
 	for l, ranks := range m.inUse.experts.Layers {
@@ -174,9 +177,9 @@
 	return served
 }
 
-// work returns the member's own time for a step, and raises each layer's
-// slowest time to its own.
-func (m *member) work(served [][]float64, slowest []time.Duration) time.Duration {
+// stepTimes returns the member's computing time for a step, and raises each layer's
+// entry in slowest to the member's time if that is larger.
+func (m *member) stepTimes(served [][]float64, slowest []time.Duration) time.Duration {
 	slow := m.engine.faults.slow()
 	layer := m.group.step / time.Duration(len(served))
 	var sum time.Duration
@@ -192,7 +195,7 @@
 	return sum
 }
 
-// finish records the step and lets every answer in the making have its token.
+// finish records the step and releases one token for every running answer.
 func (g *Group) finish(s *step) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -205,7 +208,7 @@
 			}
 		}
 	}
-	g.record.add(s.record)
+	g.log.add(s.record)
 	close(g.stepped)
 	g.stepped = make(chan struct{})
 }
--- a/io/btstandin/group_test.go
+++ b/io/btstandin/group_test.go
@@ -15,7 +15,7 @@
 	"bilberrytide/io/btstandin"
 )
 
-// Two maps of two ranks that hold four experts of one layer.
+// Two maps of four experts of one layer on two ranks.
 const (
 	mapA = `{"layers":[[[0,1],[2,3]]]}`
 	mapB = `{"layers":[[[0,2],[1,3]]]}`
@@ -33,7 +33,7 @@
 	return g
 }
 
-// order sends an order with the rank's next fencing number.
+// order sends an order with the rank's next fencing number and returns the status.
 func order(t *testing.T, g *btstandin.Group, rank int, fields string) int {
 	t.Helper()
 	last := decode[btstandin.Fencing](t, call(g.Rank(rank), http.MethodGet, "/orders", "")).Fencing
@@ -51,7 +51,9 @@
 	return decode[btstandin.GroupState](t, call(g.Rank(rank), http.MethodGet, "/group", ""))
 }
 
-func TestSwitchWithoutBarrierIsSeenAsMixed(t *testing.T) {
+// Tests of map switches rely on the group to record steps on mixed maps, as happens
+// when the ranks switch one after another without a hold.
+func TestSwitchWithoutBarrierRecordsMixedSteps(t *testing.T) {
 	g := newGroup(t, btstandin.GroupOptions{UnsafeSwitch: true})
 	for r := range g.Ranks() {
 		mustOrder(t, g, r, `"op":"stage","version":"aa","map":`+mapA)
@@ -69,13 +71,13 @@
 	assert.Equal(t, g.Totals().Steps, uint64(3))
 }
 
-// roundOps are the orders of a round, each given to all ranks before the next.
-type roundOps []string
+// orderOps are the operations of a round; each is sent to all ranks before the next.
+type orderOps []string
 
-// mixedSteps runs rounds that change the map to and fro, gives the orders of a phase
-// to the ranks in random order and lets the group step at random in between. It
-// returns how many steps were mixed.
-func mixedSteps(t *testing.T, barrier bool, ops roundOps, seed uint64) uint64 {
+// mixedSteps runs rounds that alternate between two maps. It sends each operation to
+// the ranks in random order, makes a random number of steps in between, and returns
+// the number of mixed steps.
+func mixedSteps(t *testing.T, barrier bool, ops orderOps, seed uint64) uint64 {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	g := newGroup(t, btstandin.GroupOptions{Barrier: barrier, UnsafeSwitch: true})
@@ -84,7 +86,7 @@
 		if round%2 == 1 {
 			version, next = "bb", mapB
 		}
-		for _, op := range append(roundOps{"stage"}, ops...) {
+		for _, op := range append(orderOps{"stage"}, ops...) {
 			for _, r := range random.Perm(g.Ranks()) {
 				mustOrder(t, g, r, fmt.Sprintf(`"op":%q,"version":%q,"map":%s`, op, version, next))
 				for random.IntN(2) == 0 {
@@ -97,14 +99,18 @@
 	return g.Totals().MixedSteps
 }
 
-func TestRoundsAreMixedOnlyWithoutABarrier(t *testing.T) {
+// Rounds with arm and commit, or with pause, switch and resume, must never mix maps,
+// whatever the order of ranks and steps; a bare switch must, or the check is blind.
+func TestOnlyUnsafeSwitchesMixSteps(t *testing.T) {
 	for seed := range uint64(20) {
-		assert.Equal(t, mixedSteps(t, true, roundOps{"arm", "commit"}, seed), uint64(0), "seed %d", seed)
-		assert.Equal(t, mixedSteps(t, false, roundOps{"pause", "switch", "resume"}, seed), uint64(0), "seed %d", seed)
-		assert.Assert(t, mixedSteps(t, false, roundOps{"switch"}, seed) > 0, "seed %d", seed)
+		assert.Equal(t, mixedSteps(t, true, orderOps{"arm", "commit"}, seed), uint64(0), "seed %d", seed)
+		assert.Equal(t, mixedSteps(t, false, orderOps{"pause", "switch", "resume"}, seed), uint64(0), "seed %d", seed)
+		assert.Assert(t, mixedSteps(t, false, orderOps{"switch"}, seed) > 0, "seed %d", seed)
 	}
 }
 
+// An armed rank must hold the whole group until an abort, and orders that don't fit
+// the rank's state or shape must be refused.
 func TestArmedRankHoldsTheGroup(t *testing.T) {
 	g := newGroup(t, btstandin.GroupOptions{Barrier: true})
 	assert.Equal(t, order(t, g, 0, `"op":"arm","version":"bb"`), http.StatusUnprocessableEntity)
@@ -127,7 +133,8 @@
 	assert.Equal(t, order(t, plain, 0, `"op":"stage","version":"cc","map":{"layers":[[[0],[1]]]}`), http.StatusUnprocessableEntity)
 }
 
-// Orders of an earlier round that come late end no later round's hold.
+// Orders of an earlier round that arrive late must not end the hold of a later
+// round, or the rank would step on another map than the rest of the group.
 func TestLateOrdersAreRefused(t *testing.T) {
 	g := newGroup(t, btstandin.GroupOptions{Barrier: true})
 	for _, op := range []string{"stage", "arm", "commit"} {
@@ -157,6 +164,7 @@
 	mustOrder(t, plain, 0, `"op":"resume","version":"bb"`)
 }
 
+// A killed rank must hold the group, and so must a restarted one until it gets a map.
 func TestRestartedRankHoldsUntilItHasAMap(t *testing.T) {
 	g := newGroup(t, btstandin.GroupOptions{Barrier: true})
 	g.Rank(1).Kill()
@@ -178,7 +186,9 @@
 	assert.Equal(t, record.Digests[1], digestOf(mapB))
 }
 
-func TestStepTimeIsTheSlowestRanks(t *testing.T) {
+// A slow rank must slow down the whole group, and the counts must add up to the
+// tokens of the steps.
+func TestStepTimeFollowsTheSlowestRank(t *testing.T) {
 	g := newGroup(t, btstandin.GroupOptions{TokensPerStep: 1000})
 	even, _ := g.Step()
 	control(t, g.Rank(1), "/control/fault", `{"slow":10}`)
@@ -196,6 +206,7 @@
 	assert.Assert(t, served >= 1996 && served <= 2004, "two steps of 1000 tokens, rounded: %d", served)
 }
 
+// The popularity of experts must change over time, or placement has nothing to do.
 func TestPopularityDrifts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, btstandin.GroupOptions{DriftPeriod: time.Minute, ZipfExponent: 2})
@@ -214,7 +225,9 @@
 	})
 }
 
-func TestRunningGroupMakesATokenAStep(t *testing.T) {
+// A running group must decode one token per step, stop while a rank is paused and
+// count the time for which it was held.
+func TestRunningGroupDecodesOneTokenPerStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, btstandin.GroupOptions{})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/io/btstandin/history.go
+++ b/io/btstandin/history.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// history remembers values by the time at which each was set, so that a
-// stand-in can answer late on purpose. It is not safe for concurrent use.
+// history keeps values by the time at which each was set, so that a stand-in can
+// answer with delayed or stale state. It is not safe for concurrent use.
 type history[T any] struct {
-	// keep is how long a value stays readable after the next one was set.
+	// keep is how long a value stays readable after its successor was set.
 	keep    time.Duration
-	entries []dated[T]
+	entries []timestamped[T]
 }
 
-type dated[T any] struct {
+type timestamped[T any] struct {
 	since time.Time
 	value T
 }
 
-// set records the value that holds from the time on.
+// set records the value as valid from now on.
 func (h *history[T]) set(now time.Time, value T) {
 	h.prune(now.Add(-h.keep))
-	h.entries = append(h.entries, dated[T]{since: now, value: value})
+	h.entries = append(h.entries, timestamped[T]{since: now, value: value})
 }
 
-// prune drops values that a later one had replaced before the cutoff.
+// prune removes the values that were replaced at or before the cutoff.
 func (h *history[T]) prune(cutoff time.Time) {
 	drop := 0
 	for drop+1 < len(h.entries) && !h.entries[drop+1].since.After(cutoff) {
@@ -30,7 +30,7 @@
 	h.entries = h.entries[drop:]
 }
 
-// at returns the value that held at the time; false where there was none yet.
+// at returns the value that was valid at the time, or false if none was set yet.
 func (h *history[T]) at(t time.Time) (T, bool) {
 	for i := len(h.entries) - 1; i >= 0; i-- {
 		if !h.entries[i].since.After(t) {
@@ -41,7 +41,7 @@
 	return none, false
 }
 
-// atOrFirst is at, but for a time before the first value it returns the first.
+// atOrFirst is like at, but returns the first value for earlier times.
 func (h *history[T]) atOrFirst(t time.Time) (T, bool) {
 	value, ok := h.at(t)
 	if !ok && len(h.entries) > 0 {
@@ -50,7 +50,7 @@
 	return value, ok
 }
 
-// latest returns the value set last; false where there is none.
+// latest returns the value that was set last, or false if there is none.
 func (h *history[T]) latest() (T, bool) {
 	if len(h.entries) == 0 {
 		var none T
--- a/io/btstandin/listen.go
+++ b/io/btstandin/listen.go
@@ -16,27 +16,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// headerTimeout bounds the wait for a request's header.
+// headerTimeout is the timeout for reading a request's header.
 const headerTimeout = 10 * time.Second
 
-// stopTimeout bounds how long a stop waits for requests in flight.
+// stopTimeout is how long a shutdown waits for requests in flight.
 const stopTimeout = 2 * time.Second
 
 // ErrListen is wrapped by the errors of Serve.
 var ErrListen = errors.New("stand-in listener")
 
-// Listener is one handler and where it listens.
+// Listener is a handler and the address that it is served on.
 type Listener struct {
 	Name string
-	// Address may have port 0; Serve reports the port that it got.
+	// Address may have port 0; Serve reports the port that was assigned.
 	Address netip.AddrPort
 	Handler http.Handler
 }
 
-// Serve runs the listeners until the context ends and then closes them. Once
-// all listen it writes a line "listening NAME ADDRESS" for each to the report,
-// and, unless the file's name is empty, the addresses, a line each in the order
-// given, to the file, which appears whole or not at all.
+// Serve runs the listeners until the context ends and then closes them. Once all
+// listen, it writes a line "listening NAME ADDRESS" for each to the report. Unless
+// addressFile is empty, it also writes the addresses to that file atomically, one
+// per line in the given order. The error wraps ErrListen.
 func Serve(ctx context.Context, listeners []Listener, addressFile string, report io.Writer) error {
 	sockets, err := listenAll(ctx, listeners)
 	if err != nil {
@@ -46,7 +46,7 @@
 	for i, l := range listeners {
 		group.Go(func() error { return serveOne(ctx, sockets[i], l.Handler) })
 	}
-	if err := announce(listeners, sockets, addressFile, report); err != nil {
+	if err := reportAddresses(listeners, sockets, addressFile, report); err != nil {
 		group.Go(func() error { return err })
 	}
 	return group.Wait()
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func announce(listeners []Listener, sockets []net.Listener, addressFile string, report io.Writer) error {
+func reportAddresses(listeners []Listener, sockets []net.Listener, addressFile string, report io.Writer) error {
 	var addresses strings.Builder
 	for i, l := range listeners {
 		address := sockets[i].Addr().String()
@@ -99,11 +99,11 @@
 	if addressFile == "" {
 		return nil
 	}
-	return writeWhole(addressFile, addresses.String())
+	return writeFileAtomically(addressFile, addresses.String())
 }
 
-// writeWhole writes a file under another name first and then renames it.
-func writeWhole(name, content string) error {
+// writeFileAtomically writes a temporary file in the same folder and renames it.
+func writeFileAtomically(name, content string) error {
 	file, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
 	if err != nil {
 		return fmt.Errorf("%w: address file: %w", ErrListen, err)
--- a/io/btstandin/listen_test.go
+++ b/io/btstandin/listen_test.go
@@ -16,6 +16,8 @@
 	"bilberrytide/io/btstandin"
 )
 
+// Scripts find stand-ins with assigned ports by the printed lines and the address
+// file, so both must list every listener, in order and ready to accept requests.
 func TestServeReportsItsAddresses(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "addresses")
 	reader, writer := io.Pipe()
--- a/io/btstandin/load.go
+++ b/io/btstandin/load.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Load is the body of GET /load. The first three fields lag.
+// Load is the body of GET /load. Running, Waiting and KVUsed lag by
+// EngineOptions.LoadLag.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// KVUsed is the share of the KV cache that running requests hold, 0 to 1.
+	// KVUsed is the share of the KV cache that running requests occupy, 0 to 1.
 	KVUsed float64 `json:"kv_used"`
 	// Steps counts decoding steps since the engine's start.
 	Steps uint64 `json:"steps"`
-	// StepMillis is how long this engine worked on its last step, in
-	// milliseconds.
+	// StepMillis is the engine's own time in the last step, in milliseconds.
 	StepMillis float64 `json:"step_ms"`
 }
 
-// loadMeter remembers the load so that reports can lag.
+// loadMeter keeps past loads so that reports can lag. It is safe for concurrent
+// use.
 type loadMeter struct {
 	clock    Clock
 	lag      time.Duration
@@ -44,7 +45,7 @@
 	m.past.set(m.clock.Now(), m.now)
 }
 
-// addTokens changes the number of tokens whose KV entries are held.
+// addTokens adds to the number of tokens in the KV cache; tokens may be negative.
 func (m *loadMeter) addTokens(tokens int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -53,7 +54,7 @@
 	m.past.set(m.clock.Now(), m.now)
 }
 
-// report returns the load as it stood before the lag.
+// report returns the load of one lag ago.
 func (m *loadMeter) report() Load {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/io/btstandin/orders.go
+++ b/io/btstandin/orders.go
@@ -9,16 +9,17 @@
 	"bilberrytide/core/btid"
 )
 
-// maxOrders is how many accepted orders an engine remembers for tests.
+// maxOrders is the number of latest accepted orders that an engine keeps for tests.
 const maxOrders = 1024
 
-// ErrOrder is wrapped by the error of an order that makes no sense now.
+// ErrOrder is wrapped by the error of an order that is malformed or not applicable
+// in the member's state.
 var ErrOrder = errors.New("order refused")
 
-// OrderOp names what an order asks for. An engine outside a group accepts any.
+// OrderOp is the operation of an order. An engine outside a group accepts any.
 type OrderOp string
 
-// The orders that a member of a group knows.
+// Operations that a member of a group supports.
 const (
 	OpStage  OrderOp = "stage"
 	OpArm    OrderOp = "arm"
@@ -31,18 +32,18 @@
 
 // Order is the body of POST /orders.
 type Order struct {
-	// Fencing is higher than that of any order before.
+	// Fencing must be above that of every previous order.
 	Fencing uint64  `json:"fencing"`
 	Op      OrderOp `json:"op"`
-	// Version names the staging of a map that the order is about; no two
-	// stagings share one. The engine compares it and reads nothing from it.
+	// Version identifies the staged map that the order refers to, and is unique
+	// to one staging. The engine treats it as opaque.
 	Version string `json:"version,omitempty"`
-	// Ranks and Map come with stage: who steps together, and on what.
+	// Ranks and Map are set for stage: the members of the group and their map.
 	Ranks []btid.Target `json:"ranks,omitempty"`
 	Map   *ExpertMap    `json:"map,omitempty"`
 }
 
-// Validate reports an order without an operation.
+// Validate returns an error that wraps ErrInput if there is no operation.
 func (o Order) Validate() error {
 	if o.Op == "" {
 		return fmt.Errorf("%w: op: none", ErrInput)
@@ -50,44 +51,44 @@
 	return nil
 }
 
-// Fencing is the body of GET /orders and of every answer to an order: the
-// highest number accepted since the engine's start, zero for none.
+// Fencing is the body of GET /orders and of the answers 200 and 409 to an order:
+// the highest number accepted since the engine's start, zero for none.
 type Fencing struct {
 	Fencing uint64 `json:"fencing"`
 }
 
 // OrderLog is the body of GET /control/orders.
 type OrderLog struct {
-	// Accepted lists the last orders accepted, oldest first, without their maps.
+	// Accepted holds the latest accepted orders, oldest first, without their maps.
 	Accepted []Order `json:"accepted"`
-	// Stale counts orders with a number not above the last, whether or not they
-	// were refused for it.
+	// Stale counts orders whose fencing number was not above the highest before,
+	// whether or not they were refused.
 	Stale int `json:"stale"`
 }
 
-// executor carries out orders that passed the check of fencing numbers, and
-// hears of its engine's kills and restarts.
+// executor carries out the orders that passed the check of fencing numbers, and is
+// notified of kills and restarts of its engine.
 type executor interface {
-	// execute does what an order asks for, or begins what takes long.
+	// execute carries out an order, or starts it where it takes long.
 	execute(o Order) error
 	killed()
-	// restarted comes before the restarted engine takes requests.
+	// restarted is called before the restarted engine accepts requests.
 	restarted()
 }
 
-// anyOrder accepts every order and does nothing.
-type anyOrder struct{}
+// noopExecutor accepts every order without effect.
+type noopExecutor struct{}
 
-var _ executor = anyOrder{}
+var _ executor = noopExecutor{}
 
-func (anyOrder) execute(Order) error { return nil }
+func (noopExecutor) execute(Order) error { return nil }
 
-func (anyOrder) killed() {}
+func (noopExecutor) killed() {}
 
-func (anyOrder) restarted() {}
+func (noopExecutor) restarted() {}
 
-// orderReceiver receives an engine's orders, checks their fencing numbers and has
-// them executed one at a time in the order in which they were accepted.
+// orderReceiver checks the fencing numbers of an engine's orders and executes the
+// accepted ones one at a time, in the order of acceptance.
 type orderReceiver struct {
 	checks   bool
 	executor executor
@@ -101,8 +102,9 @@
 	return &orderReceiver{checks: checks, executor: x}
 }
 
-// take executes the order; false where the engine refuses its number as old.
-func (d *orderReceiver) take(o Order) (accepted bool, err error) {
+// receive executes the order, or returns false if its fencing number is refused as
+// stale.
+func (d *orderReceiver) receive(o Order) (accepted bool, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.accept(o) {
@@ -128,7 +130,7 @@
 	return true
 }
 
-// reset forgets the last number, as a restart does; the log for tests stays.
+// reset clears the highest fencing number, as a restart does, but not the log.
 func (d *orderReceiver) reset() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -147,8 +149,8 @@
 	return OrderLog{Accepted: append([]Order{}, d.log.Accepted...), Stale: d.log.Stale}
 }
 
-// servePost answers 200 once the order is carried out or begun, 409 to an old
-// number and 422 to an order that makes no sense now.
+// servePost answers 200 once the order was carried out or started, 409 to a stale
+// fencing number and 422 to an order that the executor refuses.
 func (d *orderReceiver) servePost(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if !readJSON(w, r, &order) {
@@ -158,7 +160,7 @@
 		writeError(w, http.StatusBadRequest, "%v", err)
 		return
 	}
-	accepted, err := d.take(order)
+	accepted, err := d.receive(order)
 	if !accepted {
 		writeJSON(w, http.StatusConflict, d.fencing())
 		return
--- a/io/btstandin/plain.go
+++ b/io/btstandin/plain.go
@@ -11,17 +11,17 @@
 	"bilberrytide/core/btid"
 )
 
-// PlainOptions sets up a Plain.
+// PlainOptions configures a Plain.
 type PlainOptions struct {
 	Name  btid.Target
 	Clock Clock
-	// Delay is how long each request takes.
+	// Delay is the processing time of a request.
 	Delay time.Duration
-	// Seed fixes which requests meet a failing share.
+	// Seed determines which requests fail under TargetFault.FailShare.
 	Seed uint64
 }
 
-// Echo is the body of every answer of a plain service.
+// Echo is the body of a plain service's answers with status 200.
 type Echo struct {
 	Target btid.Target `json:"target"`
 	Method string      `json:"method"`
@@ -31,7 +31,8 @@
 	// and X-Echo-* headers, by canonical name.
 	Headers map[string]string `json:"headers"`
 	Body    string            `json:"body"`
-	// Execution is how many requests the target had run, this one included.
+	// Execution is the number of requests that the target executed so far,
+	// including this one.
 	Execution int `json:"execution"`
 }
 
@@ -79,13 +80,14 @@
 	return nil
 }
 
-// ServeHTTP answers any method and path with an echo, and the controls.
+// ServeHTTP serves the controls and answers any other method and path with an
+// Echo.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Executions returns what the service ran so far.
+// Executions returns the service's execution counts.
 func (p *Plain) Executions() Executions { return p.executions.snapshot() }
 
-// SetFault puts the fault in force. The error wraps ErrInput.
+// SetFault replaces the fault in force. The error wraps ErrInput.
 func (p *Plain) SetFault(f TargetFault) error { return p.faults.set(f) }
 
 func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +123,8 @@
 	}, fault)
 }
 
-// work takes the request's time; false where the client went away first.
+// work waits for the processing time, or returns false if the client disconnects
+// first.
 func (p *Plain) work(r *http.Request, fault requestFault) bool {
 	if fault.hang {
 		<-r.Context().Done()
@@ -136,11 +139,12 @@
 		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
-	writeMaybeCut(w, body, fault)
+	writeBody(w, body, fault)
 }
 
-// writeMaybeCut writes a JSON body, or its half where the fault cuts it.
-func writeMaybeCut(w http.ResponseWriter, body []byte, fault requestFault) {
+// writeBody writes a JSON body; with cutBody it sends the first half and closes the
+// connection.
+func writeBody(w http.ResponseWriter, body []byte, fault requestFault) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if fault.cutBody {
--- a/io/btstandin/plain_test.go
+++ b/io/btstandin/plain_test.go
@@ -22,6 +22,8 @@
 	return p
 }
 
+// An answer must echo the request, and executions must be counted by idempotency key
+// and by request id.
 func TestPlainEchoesAndCounts(t *testing.T) {
 	p := newPlain(t)
 	for range 2 {
@@ -37,7 +39,9 @@
 	assert.DeepEqual(t, got.Requests, map[string]int{"r1": 1})
 }
 
-func TestRefusedIsNotRunButFailedIs(t *testing.T) {
+// A refused request must not count as executed, but a failed one must, and the share
+// of failures must match the fault.
+func TestOnlyRefusedRequestsAreNotExecuted(t *testing.T) {
 	p := newPlain(t)
 	control(t, p, "/control/fault", `{"refuse":true,"times":1}`)
 	assert.Equal(t, call(p, http.MethodPost, "/", "").Code, http.StatusServiceUnavailable)
@@ -57,7 +61,8 @@
 	assert.Equal(t, call(p, http.MethodPut, "/control/fault", `{"fail_share":2}`).Code, http.StatusBadRequest)
 }
 
-func TestHangEndsWithTheClient(t *testing.T) {
+// A hanging request must end when its client disconnects, and count as cancelled.
+func TestHangEndsOnClientDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlain(t)
 		control(t, p, "/control/fault", `{"hang":true}`)
@@ -68,7 +73,8 @@
 	})
 }
 
-func TestCutBodyCantBeTakenForWhole(t *testing.T) {
+// A client must be able to detect a truncated body by its Content-Length.
+func TestTruncatedBodyIsDetectable(t *testing.T) {
 	p := newPlain(t)
 	control(t, p, "/control/fault", `{"cut_body":true}`)
 	server := httptest.NewServer(p)
--- a/io/btstandin/platform.go
+++ b/io/btstandin/platform.go
@@ -12,30 +12,31 @@
 	"bilberrytide/core/btid"
 )
 
-// MaxConfigBytes is the largest value that the configuration service holds.
+// MaxConfigBytes is the maximum size of a configuration value.
 const MaxConfigBytes = 1 << 20
 
-// DefaultReadsPerSecond is the rate of configuration reads over all readers.
+// DefaultReadsPerSecond is the rate limit of configuration reads by all readers
+// together.
 const DefaultReadsPerSecond = 2000
 
-// DefaultExpertBytes is the size of one expert's weights where neither the
-// options nor the request give one.
+// DefaultExpertBytes is the size of one expert's weights if neither the options nor
+// the request set it.
 const DefaultExpertBytes = 64 << 10
 
-// configHistory is how far back a stale configuration service can answer.
+// configHistory is the maximum age of the state that a stale platform can serve.
 const configHistory = 24 * time.Hour
 
-// HostState tells whether a host stays in the fleet.
+// HostState is whether a host stays in the fleet.
 type HostState string
 
 const (
 	// HostLive is the state of a host in service.
 	HostLive HostState = "live"
-	// HostLeaving is the state of a host that is about to be taken away.
+	// HostLeaving is the state of a host that is about to be removed.
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one line of the platform's host list.
+// Host is an entry of the platform's host list.
 type Host struct {
 	Name  btid.Host `json:"name"`
 	State HostState `json:"state"`
@@ -46,7 +47,7 @@
 	Hosts []Host `json:"hosts"`
 }
 
-// Validate reports a malformed name or state.
+// Validate returns an error that wraps ErrInput for an invalid name or state.
 func (l HostList) Validate() error {
 	for i, h := range l.Hosts {
 		if err := btid.CheckName(string(h.Name)); err != nil {
@@ -59,23 +60,23 @@
 	return nil
 }
 
-// clone returns a copy whose JSON is a list even where it is empty.
+// clone returns a copy whose hosts encode as a JSON list even if there are none.
 func (l HostList) clone() HostList { return HostList{Hosts: append([]Host{}, l.Hosts...)} }
 
-// PlatformOptions sets up a Platform.
+// PlatformOptions configures a Platform.
 type PlatformOptions struct {
 	Clock Clock
-	// Hosts is the host list at the start, visible at once.
+	// Hosts is the initial host list; HostListLag does not delay it.
 	Hosts HostList
-	// ReadsPerSecond bounds configuration reads over all readers; zero stands
-	// for DefaultReadsPerSecond.
+	// ReadsPerSecond limits the configuration reads of all readers together; zero
+	// means DefaultReadsPerSecond.
 	ReadsPerSecond int
-	// WeightBytesPerSecond bounds the weight store; zero leaves it unbounded.
+	// WeightBytesPerSecond limits the weight store; zero means no limit.
 	WeightBytesPerSecond int64
-	// ExpertBytes is the size of one expert's weights where a request gives
-	// none; zero stands for DefaultExpertBytes.
+	// ExpertBytes is the size of one expert's weights if a request sets none; zero
+	// means DefaultExpertBytes.
 	ExpertBytes int64
-	// HostListLag is how long a change of hosts stays invisible.
+	// HostListLag is how long readers don't see a change of the host list.
 	HostListLag time.Duration
 }
 
@@ -124,7 +125,7 @@
 	return p, nil
 }
 
-// ServeHTTP answers the published protocol and the controls.
+// ServeHTTP serves the published protocol and the controls.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
 // PutHosts replaces the host list; readers see it after the lag. The error
@@ -135,7 +136,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.hosts.set(p.stamp(), l.clone())
+	p.hosts.set(p.changeTime(), l.clone())
 	return nil
 }
 
@@ -151,25 +152,25 @@
 	return mux
 }
 
-// serveHosts answers with the host list as it stood before the lag.
+// serveHosts answers with the host list of one lag ago.
 func (p *Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
 	p.count(func(c *PlatformCounts) { c.HostReads++ })
-	if !p.admit(w, r) {
+	if !p.applyFault(w, r) {
 		return
 	}
 	p.mutex.Lock()
-	list, _ := p.hosts.atOrFirst(p.asOf().Add(-p.lag))
+	list, _ := p.hosts.atOrFirst(p.visibleTime().Add(-p.lag))
 	p.mutex.Unlock()
 	writeJSON(w, http.StatusOK, list)
 }
 
-// newReadLimiter allows a tenth of a second's reads at once, so that the limit
-// binds within any second to a tenth more than the rate.
+// newReadLimiter allows bursts of a tenth of a second's reads, so that no second
+// exceeds the rate by more than a tenth.
 func newReadLimiter(perSecond int) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/10))
 }
 
-// newWeightLimiter allows a second's bytes at once.
+// newWeightLimiter allows bursts of a second's bytes.
 func newWeightLimiter(bytesPerSecond int64) *rate.Limiter {
 	if bytesPerSecond == 0 {
 		return rate.NewLimiter(rate.Inf, math.MaxInt32)
--- a/io/btstandin/platform_config.go
+++ b/io/btstandin/platform_config.go
@@ -10,18 +10,18 @@
 	"bilberrytide/core/btbundle"
 )
 
-// RevisionHeader carries the revision of a configuration value. The first value
-// of a key has revision 1 and each later one the next number.
+// RevisionHeader carries the revision of a configuration value. The first value of
+// a key has revision 1, and each change increments it.
 const RevisionHeader = "Revision"
 
-// configValue is one revision of one key.
+// configValue is one revision of a key's value.
 type configValue struct {
 	revision uint64
 	body     []byte
 }
 
-// PutConfig sets the key's value and returns its revision. The error wraps
-// ErrInput where the value is over MaxConfigBytes.
+// PutConfig sets the key's value and returns its revision. The error wraps ErrInput
+// if the value exceeds MaxConfigBytes.
 func (p *Platform) PutConfig(key string, body []byte) (uint64, error) {
 	if len(body) > MaxConfigBytes {
 		return 0, fmt.Errorf("%w: value of key %q is %d bytes, at most %d", ErrInput, key, len(body), MaxConfigBytes)
@@ -35,12 +35,13 @@
 	}
 	last, _ := h.latest()
 	next := configValue{revision: last.revision + 1, body: body}
-	h.set(p.stamp(), next)
-	p.wake()
+	h.set(p.changeTime(), next)
+	p.notifyChange()
 	return next.revision, nil
 }
 
-// serveConfig answers a read or a watch. Either counts as one call.
+// serveConfig answers a read or a watch (long poll). Each counts as one read
+// towards the rate limit.
 func (p *Platform) serveConfig(w http.ResponseWriter, r *http.Request) {
 	p.count(func(c *PlatformCounts) { c.ConfigReads++ })
 	if !p.reads.AllowN(p.clock.Now(), 1) {
@@ -53,7 +54,7 @@
 		return
 	}
 	wait, ok := queryWait(w, r)
-	if !ok || !p.admit(w, r) {
+	if !ok || !p.applyFault(w, r) {
 		return
 	}
 	watching := r.URL.Query().Has("after")
@@ -72,8 +73,8 @@
 	}
 }
 
-// await returns the key's value as soon as its revision is over after, and
-// what there is when the wait ends or the service goes down.
+// await returns the key's value as soon as its revision exceeds after, or the
+// current value when the wait or the context ends or the platform goes down.
 func (p *Platform) await(ctx context.Context, key string, after uint64, wait time.Duration) (configValue, bool) {
 	timeout := p.clock.After(wait)
 	for {
@@ -91,8 +92,8 @@
 	}
 }
 
-// read returns the key's visible value and the channel that the next change
-// closes.
+// read returns the value that readers see and a channel that is closed at the next
+// change.
 func (p *Platform) read(key string) (configValue, bool, <-chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,12 +105,12 @@
 		value, found := h.latest()
 		return value, found, p.changed
 	}
-	value, found := h.at(p.fault.shown)
+	value, found := h.at(p.fault.staleAsOf)
 	return value, found, p.changed
 }
 
-// wake lets every watch look again. The mutex must be held.
-func (p *Platform) wake() {
+// notifyChange makes every watch read again. The mutex must be held.
+func (p *Platform) notifyChange() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -119,10 +120,10 @@
 	if text == "" {
 		return 0, true
 	}
-	var span btbundle.Duration
-	if err := span.UnmarshalText([]byte(text)); err != nil {
+	var wait btbundle.Duration
+	if err := wait.UnmarshalText([]byte(text)); err != nil {
 		writeError(w, http.StatusBadRequest, "query parameter wait: %v", err)
 		return 0, false
 	}
-	return span.Duration, true
+	return wait.Duration, true
 }
--- a/io/btstandin/platform_control.go
+++ b/io/btstandin/platform_control.go
@@ -9,34 +9,34 @@
 	"bilberrytide/core/btbundle"
 )
 
-// PlatformMode is how the platform fails.
+// PlatformMode is the kind of the platform's fault.
 type PlatformMode string
 
 const (
-	// PlatformHealthy is the mode without a fault.
+	// PlatformHealthy injects no fault.
 	PlatformHealthy PlatformMode = "none"
 	// PlatformDown answers every read with 503, or closes the connection.
 	PlatformDown PlatformMode = "down"
-	// PlatformStale answers every read with what held when the fault was set.
+	// PlatformStale answers every read with the state that held
+	// PlatformFault.Age before the fault was set.
 	PlatformStale PlatformMode = "stale"
 	// PlatformSlow delays every read.
 	PlatformSlow PlatformMode = "slow"
 )
 
-// PlatformFault is the body of PUT /control/fault. It stays in force until the
-// next one.
+// PlatformFault is the body of PUT /control/fault. It stays in force until it is
+// replaced.
 type PlatformFault struct {
 	Mode PlatformMode `json:"mode"`
-	// Delay is how long slow reads wait.
+	// Delay is the delay of reads in the mode slow.
 	Delay btbundle.Duration `json:"delay"`
-	// Close makes a service that is down close the connection instead of
-	// answering 503.
+	// Close makes the mode down close the connection instead of answering 503.
 	Close bool `json:"close"`
-	// Age is how long before the fault was set the stale state held.
+	// Age is how old the state served in the mode stale is when the fault is set.
 	Age btbundle.Duration `json:"age"`
 }
 
-// Validate reports an unknown mode.
+// Validate returns an error that wraps ErrInput if the mode is unknown.
 func (f PlatformFault) Validate() error {
 	switch f.Mode {
 	case PlatformHealthy, PlatformDown, PlatformStale, PlatformSlow:
@@ -45,44 +45,45 @@
 	return fmt.Errorf("%w: mode %q is none of none, down, stale, slow", ErrInput, f.Mode)
 }
 
-// platformFault is the fault in force with the time that a stale service shows.
+// platformFault is the fault in force and the time whose state the mode stale
+// serves.
 type platformFault struct {
 	PlatformFault
-	shown time.Time
+	staleAsOf time.Time
 }
 
 // PlatformCounts is the body of GET /control/counts.
 type PlatformCounts struct {
-	// ConfigReads counts every read and watch, refused ones included.
+	// ConfigReads counts every read and watch, including refused ones.
 	ConfigReads uint64 `json:"config_reads"`
 	// ConfigRefused counts those answered 429.
 	ConfigRefused uint64 `json:"config_refused"`
 	HostReads     uint64 `json:"host_reads"`
-	// WeightReads counts every read of weights, refused ones included.
+	// WeightReads counts every read of weights, including refused ones.
 	WeightReads uint64 `json:"weight_reads"`
 	// WeightRefused counts those answered 429.
 	WeightRefused uint64 `json:"weight_refused"`
-	// WeightBytes counts the bytes that the store allowed.
+	// WeightBytes counts the bytes of the reads that the rate limit allowed.
 	WeightBytes int64 `json:"weight_bytes"`
 }
 
-// Counts returns the calls counted so far.
+// Counts returns the numbers of reads so far.
 func (p *Platform) Counts() PlatformCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.counts
 }
 
-// SetFault puts the fault in force and lets every waiting watch see it. The
-// error wraps ErrInput.
+// SetFault replaces the fault in force and applies it to waiting watches. The error
+// wraps ErrInput.
 func (p *Platform) SetFault(f PlatformFault) error {
 	if err := f.Validate(); err != nil {
 		return err
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.fault = platformFault{PlatformFault: f, shown: p.clock.Now().Add(-f.Age.Duration)}
-	p.wake()
+	p.fault = platformFault{PlatformFault: f, staleAsOf: p.clock.Now().Add(-f.Age.Duration)}
+	p.notifyChange()
 	return nil
 }
 
@@ -92,9 +93,9 @@
 	add(&p.counts)
 }
 
-// admit applies the fault in force to a read; it answers and returns false
-// where the read fails.
-func (p *Platform) admit(w http.ResponseWriter, r *http.Request) bool {
+// applyFault delays a read in the mode slow. In the mode down it answers the read
+// and returns false; it also returns false if the client disconnects.
+func (p *Platform) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	p.mutex.Lock()
 	f := p.fault
 	p.mutex.Unlock()
@@ -124,20 +125,22 @@
 	writeRetryAfter(w, http.StatusServiceUnavailable, time.Second, "platform down")
 }
 
-// asOf returns the time whose state readers see. The mutex must be held.
-func (p *Platform) asOf() time.Time {
+// visibleTime returns the time whose state readers see, before HostListLag. The
+// mutex must be held.
+func (p *Platform) visibleTime() time.Time {
 	if p.fault.Mode == PlatformStale {
-		return p.fault.shown
+		return p.fault.staleAsOf
 	}
 	return p.clock.Now()
 }
 
-// stamp returns the time to record a change at: now, but never at the very time
-// that a stale service shows, so that it stays hidden. The mutex must be held.
-func (p *Platform) stamp() time.Time {
+// changeTime returns the time to record a change at: now, or in the mode stale
+// just after staleAsOf if that is not in the past, so that the change stays hidden.
+// The mutex must be held.
+func (p *Platform) changeTime() time.Time {
 	now := p.clock.Now()
-	if p.fault.Mode == PlatformStale && !now.After(p.fault.shown) {
-		return p.fault.shown.Add(time.Nanosecond)
+	if p.fault.Mode == PlatformStale && !now.After(p.fault.staleAsOf) {
+		return p.fault.staleAsOf.Add(time.Nanosecond)
 	}
 	return now
 }
--- a/io/btstandin/platform_test.go
+++ b/io/btstandin/platform_test.go
@@ -21,6 +21,8 @@
 	return p
 }
 
+// Each change of a value must increment its revision, and oversized values must be
+// refused.
 func TestConfigReadAndRevision(t *testing.T) {
 	p := newPlatform(t, btstandin.PlatformOptions{})
 	assert.Equal(t, call(p, http.MethodGet, "/v1/config/bundle", "").Code, http.StatusNotFound)
@@ -35,7 +37,9 @@
 	assert.Equal(t, p.Counts().ConfigReads, uint64(2))
 }
 
-func TestWatchCountsOnceAndWakes(t *testing.T) {
+// A watch must count as one read, return when its own key changes and not when
+// another does, and end with 304 after its wait.
+func TestWatchCountsOnceAndReturnsOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t, btstandin.PlatformOptions{})
 		_, err := p.PutConfig("bundle", []byte("first"))
@@ -58,6 +62,8 @@
 	})
 }
 
+// The limit of reads must bind within the burst of a tenth of a second, and refusals
+// must be counted.
 func TestReadsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, seconds = 100, 5
@@ -81,6 +87,8 @@
 	})
 }
 
+// Each fault mode must affect reads as documented; the mode stale must also hide a
+// change made at the very moment of the fault.
 func TestPlatformFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t, btstandin.PlatformOptions{})
@@ -112,7 +120,8 @@
 	})
 }
 
-func TestDownEndsWatches(t *testing.T) {
+// An outage must end watches that are already waiting.
+func TestOutageEndsWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t, btstandin.PlatformOptions{})
 		answers := make(chan *httptest.ResponseRecorder)
@@ -123,6 +132,7 @@
 	})
 }
 
+// A change of the host list must become visible exactly after the lag.
 func TestHostListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		live := btstandin.HostList{Hosts: []btstandin.Host{{Name: "h1", State: btstandin.HostLive}}}
@@ -141,6 +151,8 @@
 	})
 }
 
+// The weight store must refuse reads over its rate, with the time to wait, and must
+// not count refused bytes.
 func TestWeightStoreIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t, btstandin.PlatformOptions{WeightBytesPerSecond: 1000})
--- a/io/btstandin/platform_weights.go
+++ b/io/btstandin/platform_weights.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// zeros is the content of all weights: only their size matters here.
+// zeros reads as zeros, the content of all weights, as only their size matters.
 type zeros struct{}
 
 // Read fills the buffer with zeros.
@@ -16,11 +16,11 @@
 	return len(p), nil
 }
 
-// serveWeights answers with one expert's weights of one layer, or 429 where
-// the store's rate doesn't allow them yet.
+// serveWeights answers with the weights of one expert of one layer, or with 429 if
+// they exceed the rate limit.
 func (p *Platform) serveWeights(w http.ResponseWriter, r *http.Request) {
 	p.count(func(c *PlatformCounts) { c.WeightReads++ })
-	if !p.admit(w, r) {
+	if !p.applyFault(w, r) {
 		return
 	}
 	size, ok := p.weightSize(w, r)
@@ -38,7 +38,8 @@
 	_, _ = io.CopyN(w, zeros{}, size)
 }
 
-// weightSize checks the path and returns the size to send, or answers 400.
+// weightSize validates the request and returns the size to send, or answers 400 and
+// returns false.
 func (p *Platform) weightSize(w http.ResponseWriter, r *http.Request) (int64, bool) {
 	for _, name := range []string{"layer", "expert"} {
 		if _, err := strconv.ParseUint(r.PathValue(name), 10, 31); err != nil {
@@ -57,8 +58,8 @@
 	return orDefault(int64(size), p.expertBytes), true
 }
 
-// reserveWeights takes the bytes from the store's rate and returns zero, or
-// takes none and returns the time until they would be there.
+// reserveWeights takes the bytes from the rate limiter and returns zero, or takes
+// none and returns the time until they are available.
 func (p *Platform) reserveWeights(size int64) time.Duration {
 	now := p.clock.Now()
 	reservation := p.weights.ReserveN(now, int(size))
--- a/io/btstandin/popularity.go
+++ b/io/btstandin/popularity.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// popularity says which share of a layer's tokens each expert serves: a Zipf
-// distribution over an order of the experts that drifts into another one in
-// every period. It is not safe for concurrent use.
+// popularity models each expert's share of a layer's tokens: a Zipf distribution
+// over a random ranking of the experts, interpolated towards the next ranking in
+// each period. It is not safe for concurrent use.
 type popularity struct {
 	layers  int
 	experts int
@@ -29,8 +29,8 @@
 		seed:    seed,
 		zipf:    zipfShares(shape.Experts, exponent),
 	}
-	p.from = p.orders(0)
-	p.to = p.orders(1)
+	p.from = p.rankings(0)
+	p.to = p.rankings(1)
 	return p
 }
 
@@ -47,8 +47,8 @@
 	return shares
 }
 
-// orders returns the place of each expert of each layer in the epoch.
-func (p *popularity) orders(epoch uint64) [][]int {
+// rankings returns each expert's position in the ranking of the epoch, by layer.
+func (p *popularity) rankings(epoch uint64) [][]int {
 	orders := make([][]int, p.layers)
 	for l := range orders {
 		random := rand.New(rand.NewPCG(p.seed, epoch<<16|uint64(l)))
@@ -57,8 +57,8 @@
 	return orders
 }
 
-// shares returns each expert's share of each layer's tokens after the time
-// since the start. The shares of a layer add up to 1.
+// shares returns the experts' shares of the tokens by layer, at the time since the
+// start. The shares of a layer add up to 1.
 func (p *popularity) shares(since time.Duration) [][]float64 {
 	progress := p.advance(since)
 	shares := make([][]float64, p.layers)
@@ -73,8 +73,8 @@
 	return shares
 }
 
-// advance moves to the epoch of the time and returns how far it has gone, 0 to
-// 1.
+// advance moves to the epoch of the time and returns the elapsed fraction of that
+// epoch, from 0 to below 1.
 func (p *popularity) advance(since time.Duration) float64 {
 	if p.period == 0 {
 		return 0
@@ -82,8 +82,8 @@
 	epoch := uint64(since / p.period)
 	if epoch != p.epoch {
 		p.epoch = epoch
-		p.from = p.orders(epoch)
-		p.to = p.orders(epoch + 1)
+		p.from = p.rankings(epoch)
+		p.to = p.rankings(epoch + 1)
 	}
 	return float64(since%p.period) / float64(p.period)
 }
--- a/io/btstandin/puller.go
+++ b/io/btstandin/puller.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// pullRetry is the wait after a failed pull that names no other.
+// pullRetry is the delay before a retry if the failed pull had no Retry-After.
 const pullRetry = time.Second
 
-// WeightSource is where a group's engines get expert weights from.
+// WeightSource supplies a group's engines with expert weights.
 type WeightSource interface {
 	// Pull returns once the expert's weights of the layer have been fetched, or
 	// with the context's error.
 	Pull(ctx context.Context, layer, expert int) error
 }
 
-// WeightPullerOptions sets up a WeightPuller.
+// WeightPullerOptions configures a WeightPuller.
 type WeightPullerOptions struct {
 	Clock  Clock
 	Client *http.Client
-	// Platform is where the weight store listens.
+	// Platform is the address of the weight store.
 	Platform netip.AddrPort
 	Model    string
-	// ExpertBytes is the size of one expert's weights; zero leaves it to the
-	// store.
+	// ExpertBytes is the size to request for one expert's weights; zero uses the
+	// store's default.
 	ExpertBytes int64
 }
 
-// WeightPuller pulls weights from the platform's weight store and tries again,
-// when the store says so, for as long as it takes.
+// WeightPuller pulls weights from the platform's weight store. It retries failed
+// pulls without limit, after the delay that the store states.
 type WeightPuller struct {
 	options WeightPullerOptions
 }
@@ -49,7 +49,7 @@
 	return &WeightPuller{options: o}, nil
 }
 
-// Pull reads the weights and drops them.
+// Pull fetches the weights and discards them.
 func (p *WeightPuller) Pull(ctx context.Context, layer, expert int) error {
 	for {
 		wait, err := p.try(ctx, layer, expert)
@@ -62,7 +62,8 @@
 	}
 }
 
-// try pulls once and returns with an error how long to wait.
+// try makes one attempt. On failure it returns the error and the delay before the
+// next.
 func (p *WeightPuller) try(ctx context.Context, layer, expert int) (time.Duration, error) {
 	o := p.options
 	address := fmt.Sprintf("http://%s/v1/weights/%s/%d/%d", o.Platform, url.PathEscape(o.Model), layer, expert)
--- a/io/btstandin/request_test.go
+++ b/io/btstandin/request_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// call sends one request to the handler without a socket.
+// call sends one request to the handler directly, without a socket.
 func call(h http.Handler, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	return callContext(context.Background(), h, method, path, body, headers...)
 }
@@ -26,7 +26,7 @@
 	return w
 }
 
-// closes tells whether the handler closes the connection on the request.
+// closes reports whether the handler closes the connection instead of answering.
 func closes(h http.Handler, method, path, body string) (closed bool) {
 	defer func() { closed = recover() == http.ErrAbortHandler }()
 	call(h, method, path, body)
--- a/io/btstandin/respond.go
+++ b/io/btstandin/respond.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// ErrOptions is wrapped by the error of every option out of range.
+// ErrOptions is wrapped by the errors of invalid options.
 var ErrOptions = errors.New("bad stand-in options")
 
-// ErrInput is wrapped by the error of every control value out of range.
+// ErrInput is wrapped by the errors of invalid request bodies and control values.
 var ErrInput = errors.New("bad input")
 
-// maxBody is the largest body that a stand-in reads, in bytes.
+// maxBody is the maximum size of a request body in bytes.
 const maxBody = 8 << 20
 
-// errorBody is the JSON body of every refusal.
+// errorBody is the JSON body of error answers.
 type errorBody struct {
 	Error string `json:"error"`
 }
@@ -34,7 +34,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// A client that has gone away needs no answer.
+	// A failed write means that the client has disconnected.
 	_, _ = w.Write(body)
 }
 
@@ -42,7 +42,8 @@
 	writeJSON(w, status, errorBody{Error: fmt.Sprintf(format, args...)})
 }
 
-// writeRetryAfter refuses with the whole seconds after which to try again.
+// writeRetryAfter answers with an error and a Retry-After header, rounded up to whole
+// seconds.
 func writeRetryAfter(w http.ResponseWriter, status int, wait time.Duration, format string, args ...any) {
 	seconds := max(1, int(math.Ceil(wait.Seconds())))
 	w.Header().Set("Retry-After", strconv.Itoa(seconds))
@@ -51,8 +52,8 @@
 
 // readJSON decodes the body, or answers 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
-	// The body is read to its end, as only then net/http notices a client that
-	// closes its connection.
+	// net/http notices that a client has closed its connection only after the body
+	// was read to its end.
 	body, ok := readBody(w, r, maxBody)
 	if !ok {
 		return false
@@ -79,8 +80,8 @@
 	return body, true
 }
 
-// queryNumber returns the query parameter as a number, zero where it is
-// missing, or answers 400 and returns false.
+// queryNumber returns the query parameter as a number, zero if it is missing, or
+// answers 400 and returns false.
 func queryNumber(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -94,5 +95,6 @@
 	return n, true
 }
 
-// closeConnection ends the connection with no further byte.
+// closeConnection aborts the handler, so that net/http closes the connection without
+// completing the answer.
 func closeConnection() { panic(http.ErrAbortHandler) }
--- a/io/btstandin/slots.go
+++ b/io/btstandin/slots.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// slots lets a bounded number of requests run; the others wait, the highest
-// priority first and within one priority the oldest.
+// slots is a semaphore with a priority queue: waiting requests get a slot by
+// descending priority, and in order of arrival within a priority.
 type slots struct {
 	mutex   sync.Mutex
 	free    int
 	running int
 	waiting waiters
 	next    uint64
-	// changed is called under the mutex with the new numbers.
+	// changed is called with the new counts while the mutex is held.
 	changed func(running, waiting int)
 }
 
-// waiter is one request that waits for a slot.
+// waiter is a request that waits for a slot.
 type waiter struct {
 	priority int
 	order    uint64
@@ -30,19 +30,19 @@
 	return &slots{free: count, changed: changed}
 }
 
-// acquire waits for a slot or the end of the context, whose error it returns.
+// acquire waits for a slot, or returns the context's error if that ends first.
 func (s *slots) acquire(ctx context.Context, priority int) error {
-	w := s.enter(priority)
+	w := s.enqueue(priority)
 	select {
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
-		s.giveUp(w)
+		s.abandon(w)
 		return ctx.Err()
 	}
 }
 
-func (s *slots) enter(priority int) *waiter {
+func (s *slots) enqueue(priority int) *waiter {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.next++
@@ -52,8 +52,9 @@
 	return w
 }
 
-// giveUp takes the waiter out, or returns the slot that it got meanwhile.
-func (s *slots) giveUp(w *waiter) {
+// abandon removes the waiter from the queue, or releases the slot that it was
+// granted meanwhile.
+func (s *slots) abandon(w *waiter) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	select {
@@ -66,7 +67,7 @@
 	s.grant()
 }
 
-// release returns a slot.
+// release frees a slot.
 func (s *slots) release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,7 +76,7 @@
 	s.grant()
 }
 
-// grant hands free slots to those first in line. The mutex must be held.
+// grant gives free slots to the first waiters. The mutex must be held.
 func (s *slots) grant() {
 	for s.free > 0 && len(s.waiting) > 0 {
 		w := heap.Pop(&s.waiting).(*waiter)
@@ -86,15 +87,15 @@
 	s.changed(s.running, len(s.waiting))
 }
 
-// waiters is a heap with the next to be granted first.
+// waiters is a heap whose first element is the next to get a slot.
 type waiters []*waiter
 
 var _ heap.Interface = (*waiters)(nil)
 
-// Len returns how many wait.
+// Len returns the number of waiters.
 func (w waiters) Len() int { return len(w) }
 
-// Less tells whether waiter i goes before waiter j.
+// Less reports whether waiter i gets a slot before waiter j.
 func (w waiters) Less(i, j int) bool {
 	if w[i].priority != w[j].priority {
 		return w[i].priority > w[j].priority
--- a/io/btstandin/staging_test.go
+++ b/io/btstandin/staging_test.go
@@ -13,12 +13,12 @@
 	"bilberrytide/io/btstandin"
 )
 
-// handlerTransport is an HTTP client's way to a handler without a socket.
+// handlerTransport is an http.RoundTripper that calls a handler without a socket.
 type handlerTransport struct {
 	handler http.Handler
 }
 
-// RoundTrip has the handler answer the request.
+// RoundTrip returns the handler's answer to the request.
 func (h handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	h.handler.ServeHTTP(w, r)
@@ -38,7 +38,9 @@
 	return w
 }
 
-func TestStagingPullsWhatIsMissingAtTheStoresRate(t *testing.T) {
+// Staging must return at once, pull only the experts that a rank lacks, at the
+// store's rate, and do nothing when repeated.
+func TestStagingPullsMissingExpertsAtTheStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t, btstandin.PlatformOptions{WeightBytesPerSecond: 1000})
 		g := newGroup(t, btstandin.GroupOptions{Weights: newPuller(t, p, 1000)})
@@ -48,8 +50,8 @@
 		}
 		assert.Equal(t, time.Since(start), time.Duration(0), "an order to stage is answered at once")
 		synctest.Wait()
-		// Experts are dealt in turn at the start, so that each rank lacks one, and
-		// the store gives one a second.
+		// In the initial round robin map each rank lacks one expert of mapA, and the
+		// store's rate allows one expert per second.
 		loaded := 0
 		for r := range g.Ranks() {
 			got := state(t, g, r)
@@ -70,7 +72,8 @@
 	})
 }
 
-func TestAbortBreaksOffStaging(t *testing.T) {
+// An abort must cancel a staging whose pulls are being retried, for good.
+func TestAbortCancelsStaging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t, btstandin.PlatformOptions{})
 		g := newGroup(t, btstandin.GroupOptions{Barrier: true, Weights: newPuller(t, p, 1000)})
