--- a/io/btstandin/btinprocess/btinprocess.go
+++ b/io/btstandin/btinprocess/btinprocess.go
@@ -1,8 +1,8 @@
-// Package btinprocess is the set-up of tests that run entries and agents in one
-// process, over real sockets on loopback, beside a stand-in of the platform.
+// Package btinprocess is a test fixture that runs entries and agents within one
+// process, over loopback sockets, with a stand-in for the platform.
 //
-// A test changes the fleet's bundle, lists what it wants, publishes the bundle
-// and starts processes. All of it ends with the test.
+// A test edits the fleet's bundle, adds entries and targets, publishes the bundle
+// and starts the entries and agents. Everything is stopped when the test ends.
 package btinprocess
 
 import (
@@ -30,50 +30,49 @@
 )
 
 const (
-	// DataCentre is where all processes stand.
+	// DataCentre is the data centre of all processes.
 	DataCentre btid.DataCentre = "north"
 	// CallerKey is the key of the one client account.
 	CallerKey = "caller-key"
 
 	configKey = "bundle"
-	// patience bounds the wait for a state that is reached by itself; look is how
-	// often it is looked at.
-	patience = time.Minute
-	look     = 5 * time.Millisecond
-	// life is how long certificates are good for.
-	life = time.Hour
+	// awaitTimeout is how long Await waits, and awaitInterval how often it checks.
+	awaitTimeout  = time.Minute
+	awaitInterval = 5 * time.Millisecond
+	// certificateValidity is the validity of the CA and of issued certificates.
+	certificateValidity = time.Hour
 )
 
-// free has the system choose a port.
-var free = netip.MustParseAddrPort("127.0.0.1:0")
+// anyPort lets the system choose a port.
+var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// quiet drops log lines.
-var quiet = slog.New(slog.DiscardHandler)
+// discardLog discards all log messages.
+var discardLog = slog.New(slog.DiscardHandler)
 
-// Fleet is the platform, the trust and the bundle that processes share.
+// Fleet holds the platform, the signing keys and the bundle that processes share.
 type Fleet struct {
 	TB       testing.TB
 	Platform *btstandin.Platform
-	// Approvers are whose signatures approve the bundle: the fleet's own.
+	// Approvers holds the public key of the fleet's approver.
 	Approvers btbundle.Approvers
-	// Bundle is what Publish approves next.
+	// Bundle is the draft that Publish signs next.
 	Bundle btbundle.Bundle
-	// Meters holds the meter of each process by its name.
+	// Meters holds each process's meter by the name of its node.
 	Meters map[string]*btmetric.Meter
-	// Suspended is for how long, in nanoseconds, all hosts were suspended. Timers and the
-	// steady clock know nothing of it.
+	// Suspended is the total time, in nanoseconds, for which all hosts were
+	// suspended. It is part of Elapsed, but not of timers or the monotonic clock.
 	Suspended atomic.Int64
 
-	authority *btkeys.Authority
-	approver  ed25519.PrivateKey
-	platform  netip.AddrPort
-	seed      uint64
+	authority       *btkeys.Authority
+	approver        ed25519.PrivateKey
+	platformAddress netip.AddrPort
+	seed            uint64
 }
 
-// New returns a fleet without processes, whose bundle is a Draft.
+// New returns a fleet without processes, with Draft as its bundle.
 func New(tb testing.TB) *Fleet {
 	tb.Helper()
-	authority, err := btkeys.NewAuthority("fleet", time.Now(), life)
+	authority, err := btkeys.NewAuthority("fleet", time.Now(), certificateValidity)
 	assert.NilError(tb, err)
 	public, private, err := ed25519.GenerateKey(nil)
 	assert.NilError(tb, err)
@@ -88,27 +87,27 @@
 		authority: authority,
 		approver:  private,
 	}
-	f.platform = f.Listen(store)
+	f.platformAddress = f.Listen(store)
 	return f
 }
 
-// Draft returns a bundle that lists nothing but a data centre and a client
-// account.
+// Draft returns a bundle with one data centre and one client account, but no
+// processes or services.
 func Draft() btbundle.Bundle {
 	return btbundle.Bundle{
 		Version:     1,
 		Created:     time.Now().UTC().Truncate(time.Second),
-		Timeouts:    btbundle.Timeouts{Request: span(20 * time.Second), RequestMax: span(30 * time.Second), Heartbeat: span(300 * time.Millisecond), TargetLease: span(5 * time.Second)},
-		Idempotency: btbundle.Idempotency{Retention: span(10 * time.Minute), ClockError: span(500 * time.Millisecond), Lease: span(3 * time.Second)},
-		Retry:       btbundle.Retry{BudgetShare: 0.2, MaxAttempts: 3, Backoff: span(time.Millisecond)},
-		Ejection:    btbundle.Ejection{MaxShare: 0.3, Failures: 5, SlowFactor: 50, Duration: span(5 * time.Second)},
-		Placement:   btbundle.Placement{SkewWeight: 1, MoveWeight: 1, Interval: span(10 * time.Second), Horizon: span(5 * time.Minute)},
+		Timeouts:    btbundle.Timeouts{Request: duration(20 * time.Second), RequestMax: duration(30 * time.Second), Heartbeat: duration(300 * time.Millisecond), TargetLease: duration(5 * time.Second)},
+		Idempotency: btbundle.Idempotency{Retention: duration(10 * time.Minute), ClockError: duration(500 * time.Millisecond), Lease: duration(3 * time.Second)},
+		Retry:       btbundle.Retry{BudgetShare: 0.2, MaxAttempts: 3, Backoff: duration(time.Millisecond)},
+		Ejection:    btbundle.Ejection{MaxShare: 0.3, Failures: 5, SlowFactor: 50, Duration: duration(5 * time.Second)},
+		Placement:   btbundle.Placement{SkewWeight: 1, MoveWeight: 1, Interval: duration(10 * time.Second), Horizon: duration(5 * time.Minute)},
 		DataCentres: []btbundle.DataCentre{{Name: DataCentre, Region: "home"}},
 		Accounts:    []btbundle.Account{{Name: "families", KeyHashes: []btbundle.Digest{btbundle.HashKey(CallerKey)}, Rate: 1e6, Burst: 1_000_000, Concurrency: 1000, Weight: 1}},
 	}
 }
 
-func span(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
+func duration(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
 
 // Listen serves the handler over HTTP until the test ends.
 func (f *Fleet) Listen(h http.Handler) netip.AddrPort {
@@ -118,13 +117,13 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// AddEntry lists an entry.
+// AddEntry adds an entry to the bundle.
 func (f *Fleet) AddEntry(name btid.Entry, address netip.AddrPort) {
 	f.Bundle.Entries = append(f.Bundle.Entries, btbundle.Entry{Name: name, Host: HostOf(string(name)), DataCentre: DataCentre, Address: address})
 }
 
-// AddTarget lists a target, and with the first its service. The target is a key
-// home of its service.
+// AddTarget adds a target to the bundle as a key home of its service, and adds the
+// service itself if this is its first target.
 func (f *Fleet) AddTarget(t btbundle.Target, kind btbundle.Kind) {
 	t.Host = HostOf(string(t.Name))
 	t.DataCentre = DataCentre
@@ -139,10 +138,10 @@
 	f.Bundle.Services = append(f.Bundle.Services, btbundle.Service{Name: t.Service, Kind: kind, MaxBody: 1 << 20, Epochs: []btbundle.HomeEpoch{epoch}})
 }
 
-// HostOf returns the host that a process stands on.
+// HostOf returns the host of a process.
 func HostOf(process string) btid.Host { return btid.Host("host-" + process) }
 
-// Sign returns the bundle, checked and approved.
+// Sign validates the bundle and returns it signed by the approver.
 func (f *Fleet) Sign() btbundle.Signed {
 	f.TB.Helper()
 	document, err := toml.Marshal(f.Bundle)
@@ -153,7 +152,7 @@
 	return btbundle.Signed{Document: document, Signatures: []btbundle.Signature{btbundle.Sign(document, f.approver)}}
 }
 
-// Publish approves and publishes the bundle as the given version.
+// Publish signs the bundle as the given version and publishes it.
 func (f *Fleet) Publish(version btid.BundleVersion) {
 	f.TB.Helper()
 	f.Bundle.Version = version
@@ -163,14 +162,14 @@
 	f.PublishRaw(f.Sign().Bytes())
 }
 
-// PublishRaw publishes any bytes in the bundle's place.
+// PublishRaw publishes arbitrary bytes under the bundle's configuration key.
 func (f *Fleet) PublishRaw(data []byte) {
 	f.TB.Helper()
 	_, err := f.Platform.PutConfig(configKey, data)
 	assert.NilError(f.TB, err)
 }
 
-// Await waits for a state that is reached by itself.
+// Await polls until reached returns true; it fails the test after a minute.
 func (f *Fleet) Await(what string, reached func() bool) {
 	f.TB.Helper()
 	poll.WaitOn(f.TB, func(poll.LogT) poll.Result {
@@ -178,20 +177,20 @@
 			return poll.Success()
 		}
 		return poll.Continue("%s: not reached", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(look))
+	}, poll.WithTimeout(awaitTimeout), poll.WithDelay(awaitInterval))
 }
 
-// Run runs a process until the test ends, or until the function that it returns
-// ends it like a killed one.
-func (f *Fleet) Run(node *btpeer.Node, run func(context.Context) error) (end func()) {
+// Run runs a process until the test ends or the returned function is called, which
+// ends the process without an orderly stop.
+func (f *Fleet) Run(node *btpeer.Node, run func(context.Context) error) (kill func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() { _ = run(ctx) })
-	end = sync.OnceFunc(func() {
+	kill = sync.OnceFunc(func() {
 		cancel()
 		_ = node.Close(ctx)
 		group.Wait()
 	})
-	f.TB.Cleanup(end)
-	return end
+	f.TB.Cleanup(kill)
+	return kill
 }
--- a/io/btstandin/btinprocess/process.go
+++ b/io/btstandin/btinprocess/process.go
@@ -20,16 +20,17 @@
 	"bilberrytide/io/btprocess"
 )
 
-// hostsEvery is how often entries read the host list.
-const hostsEvery = 200 * time.Millisecond
+// hostListInterval is the interval at which entries read the host list.
+const hostListInterval = 200 * time.Millisecond
 
-// keptDecisions is how many decisions a process keeps.
-const keptDecisions = 32
+// maxDecisions is the number of latest decisions that a process keeps.
+const maxDecisions = 32
 
-// panics fails a test whose process violates an invariant.
-var panics = btassert.New(btassert.Panic())
+// panicOnViolation panics, and so fails the test, if a process violates an
+// invariant.
+var panicOnViolation = btassert.New(btassert.Panic())
 
-// Process is what an entry and an agent are made of.
+// Process holds the components that entries and agents have in common.
 type Process struct {
 	Node      *btpeer.Node
 	Bundles   *btprocess.Bundles
@@ -39,12 +40,12 @@
 	random    *rand.Rand
 }
 
-// Node returns a node with a certificate of the identity, on a free port.
-func (f *Fleet) Node(id btpeer.Identity) *btpeer.Node { return f.NodeAt(id, free) }
+// Node returns a node with a certificate for the identity, on a free port.
+func (f *Fleet) Node(id btpeer.Identity) *btpeer.Node { return f.NodeAt(id, anyPort) }
 
 // NodeAt returns a node that listens at the address.
 func (f *Fleet) NodeAt(id btpeer.Identity, listen netip.AddrPort) *btpeer.Node {
-	issued, err := f.authority.Issue(id, time.Now(), life)
+	issued, err := f.authority.Issue(id, time.Now(), certificateValidity)
 	assert.NilError(f.TB, err)
 	files, err := issued.Write(f.TB.TempDir())
 	assert.NilError(f.TB, err)
@@ -57,18 +58,18 @@
 	return node
 }
 
-// Process returns a process behind the node that has not started. The seeds are
-// the entries that it asks for the bundle.
+// Process returns the components of a process that uses the node, without starting
+// them. The seeds are the entries that it asks for the bundle.
 func (f *Fleet) Process(node *btpeer.Node, seeds ...btpeer.Endpoint) *Process {
 	f.seed++
 	name := node.Identity().Name
 	p := &Process{
 		Node:      node,
-		Decisions: btmetric.NewDecisions(keptDecisions, quiet),
+		Decisions: btmetric.NewDecisions(maxDecisions, discardLog),
 		Meter:     f.Meters[name],
 		random:    rand.New(rand.NewPCG(1, f.seed)),
 	}
-	p.platform = btplatform.New(btplatform.Options{Address: f.platform, Registry: p.Meter.Registry()})
+	p.platform = btplatform.New(btplatform.Options{Address: f.platformAddress, Registry: p.Meter.Registry()})
 	p.Bundles = btprocess.NewBundles(btprocess.BundlesOptions{
 		DataCentre: DataCentre,
 		Host:       HostOf(name),
@@ -79,65 +80,65 @@
 		Seeds:      seeds,
 		Meter:      p.Meter,
 		Decisions:  p.Decisions,
-		Log:        quiet,
+		Log:        discardLog,
 		Clock:      time.Now,
-		Assert:     panics,
+		Assert:     panicOnViolation,
 		Random:     rand.New(rand.NewPCG(2, f.seed)),
 	})
 	return p
 }
 
-// elapsed is the processes' clock that runs on while their hosts are suspended.
+// elapsed is the processes' boot clock, which advances while hosts are suspended.
 func (f *Fleet) elapsed() time.Time { return time.Now().Add(f.suspended()) }
 
 func (f *Fleet) suspended() time.Duration { return time.Duration(f.Suspended.Load()) }
 
-// Entry is an entry that runs.
+// Entry is a running entry.
 type Entry struct {
 	*btentry.Entry
 	Node *btpeer.Node
-	// URL is where callers reach it.
+	// URL is the base URL for callers.
 	URL string
-	// Kill ends it at once, like a killed one.
+	// Kill ends the entry at once, without an orderly stop.
 	Kill func()
 }
 
-// StartEntry starts an entry behind the node.
+// StartEntry starts an entry that uses the node.
 func (f *Fleet) StartEntry(node *btpeer.Node) *Entry {
 	p := f.Process(node)
-	listener, err := net.Listen("tcp", free.String())
+	listener, err := net.Listen("tcp", anyPort.String())
 	assert.NilError(f.TB, err)
 	entry := btentry.New(btentry.Options{
 		Name:             btid.Entry(node.Identity().Name),
 		DataCentre:       DataCentre,
-		HostListInterval: hostsEvery,
+		HostListInterval: hostListInterval,
 		Listener:         listener,
 		Node:             node,
 		Bundles:          p.Bundles,
 		Platform:         p.platform,
 		Meter:            p.Meter,
 		Decisions:        p.Decisions,
-		Log:              quiet,
+		Log:              discardLog,
 		Clock:            time.Now,
 		Elapsed:          f.elapsed,
-		Assert:           panics,
+		Assert:           panicOnViolation,
 		Random:           p.random,
 	})
 	return &Entry{Entry: entry, Node: node, URL: "http://" + listener.Addr().String(), Kill: f.Run(node, entry.Run)}
 }
 
-// Agent is an agent that runs.
+// Agent is a running agent.
 type Agent struct {
 	*btagent.Agent
 	Node *btpeer.Node
-	// Kill ends it at once, like a killed one.
+	// Kill ends the agent at once, without an orderly stop.
 	Kill func()
 }
 
-// StartAgent starts an agent behind the node.
+// StartAgent starts an agent that uses the node and the system clock.
 func (f *Fleet) StartAgent(node *btpeer.Node) *Agent { return f.StartAgentWithClock(node, time.Now) }
 
-// StartAgentWithClock starts an agent behind the node that goes by the clock.
+// StartAgentWithClock starts an agent that uses the node and the given clock.
 func (f *Fleet) StartAgentWithClock(node *btpeer.Node, clock btloop.Clock) *Agent {
 	p := f.Process(node)
 	agent := btagent.New(btagent.Options{
@@ -147,10 +148,10 @@
 		Bundles:    p.Bundles,
 		Meter:      p.Meter,
 		Decisions:  p.Decisions,
-		Log:        quiet,
+		Log:        discardLog,
 		Clock:      clock,
 		Elapsed:    func() time.Time { return clock().Add(f.suspended()) },
-		Assert:     panics,
+		Assert:     panicOnViolation,
 		Random:     p.random,
 	})
 	return &Agent{Agent: agent, Node: node, Kill: f.Run(node, agent.Run)}
