--- a/io/btstandin/btfleet/btfleet.go
+++ b/io/btstandin/btfleet/btfleet.go
@@ -1,11 +1,10 @@
 // Package btfleet runs a small fleet of real processes on loopback for tests:
-// the built programs of the product, and stand-ins for the platform and the
-// targets.
+// built binaries of the product, and stand-ins for the platform and the targets.
 //
-// It writes keys, settings and a signed bundle, starts the processes, sends
-// calls, and looks at what became of them. It kills, freezes and stops
-// processes by their id, and Close ends every one that it started. It builds no
-// program and belongs to tests only: in the product no process starts another.
+// It writes keys, settings and a signed bundle, starts the processes, sends calls
+// and checks their outcomes. It kills, freezes and stops processes by their process
+// id, and Close kills every one that it started. It doesn't build the binaries. It
+// is for tests only: in the product no process starts another.
 package btfleet
 
 import (
@@ -24,17 +23,17 @@
 	"bilberrytide/core/btid"
 )
 
-// Names of what every fleet has.
+// Names that are the same in every fleet.
 const (
 	// Plain is the plain service, whose targets are plain-1, plain-2 and so on.
 	Plain btid.Service = "plain"
 	// Model is the model service, whose targets are model-1, model-2 and so on.
 	Model btid.Service = "model"
-	// Platform is the process that stands in for the platform.
+	// Platform is the name of the process that stands in for the platform.
 	Platform = "platform"
 )
 
-// Programs are the paths of the built programs.
+// Programs holds the paths of the built binaries.
 type Programs struct {
 	// Product is cmd/bilberrytide.
 	Product string
@@ -42,24 +41,25 @@
 	Standin string
 }
 
-// Options say what a fleet consists of.
+// Options configures a Fleet.
 type Options struct {
 	Programs Programs
 	// Folder is an existing folder for keys, settings and logs.
 	Folder string
-	// Entries, Plains and Models are how many there are of each.
+	// Entries, Plains and Models are the numbers of entries, plain targets and
+	// model targets.
 	Entries int
 	Plains  int
 	Models  int
-	// Slots and Queue are those of every target.
+	// Slots and Queue are the bundle's limits of every target.
 	Slots int
 	Queue int
-	// Delay is how long a plain target works on a request.
+	// Delay is the processing time of a request at a plain target.
 	Delay time.Duration
-	// DecodeRate is how many tokens of an answer a model target makes a second.
+	// DecodeRate is the tokens per second that a model target generates for each
+	// answer.
 	DecodeRate float64
-	// Threads bounds the threads that run Go code in each process; zero leaves
-	// it to the machine.
+	// Threads is GOMAXPROCS of each process; zero keeps the default.
 	Threads int
 }
 
@@ -71,33 +71,33 @@
 	draft     btbundle.Bundle
 	processes map[string]*Process
 	started   []*Process
-	// platform is where the platform's stand-in answers.
+	// platform is the address of the platform's stand-in.
 	platform netip.AddrPort
-	// callers and status hold where entries take calls, and where each process
-	// serves its pages for operators.
+	// callers holds the addresses at which entries accept calls, and status those
+	// of each process's operator pages.
 	callers map[string]netip.AddrPort
 	status  map[string]netip.AddrPort
-	// targets holds where each stand-in of a target answers.
+	// targets holds the addresses of the targets' stand-ins.
 	targets map[string]netip.AddrPort
 }
 
-// controlWait bounds one question to a process about itself, so that a frozen
-// one is not waited for.
-const controlWait = 2 * time.Second
+// controlTimeout bounds each control or status request, so that a frozen process
+// doesn't block the test.
+const controlTimeout = 2 * time.Second
 
-// Start writes all files, starts all processes and publishes a first bundle.
-// It returns once each process says that it is ready. The caller must Close the
-// fleet, also after an error.
+// Start writes all files, starts all processes and publishes the first bundle. It
+// returns once every process is ready. The caller must Close the fleet, also after
+// an error.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{
 		options:   o,
-		client:    &http.Client{Timeout: controlWait},
+		client:    &http.Client{Timeout: controlTimeout},
 		processes: map[string]*Process{},
 		callers:   map[string]netip.AddrPort{},
 		status:    map[string]netip.AddrPort{},
 		targets:   map[string]netip.AddrPort{},
 	}
-	steps := []func(context.Context) error{f.makeKeys, f.startStandins, f.writeDraft, f.publishFirst, f.startProduct, f.ready}
+	steps := []func(context.Context) error{f.makeKeys, f.startStandins, f.writeDraft, f.publishFirst, f.startProduct, f.awaitReady}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return f, err
@@ -106,7 +106,7 @@
 	return f, nil
 }
 
-// Close ends every process that the fleet started, and waits for them.
+// Close kills every process that the fleet started, and waits for them to end.
 func (f *Fleet) Close() {
 	for _, p := range f.started {
 		_ = p.Kill()
@@ -131,10 +131,10 @@
 	return append(names(string(Plain), f.options.Plains), names(string(Model), f.options.Models)...)
 }
 
-// Agent returns the name of the process beside a target.
+// Agent returns the name of a target's agent.
 func Agent(target string) string { return "agent-" + target }
 
-// ProductProcesses returns the names of the product's processes.
+// ProductProcesses returns the names of all entries and agents.
 func (f *Fleet) ProductProcesses() []string { return append(f.Entries(), f.Agents()...) }
 
 func names(prefix string, count int) []string {
@@ -145,14 +145,14 @@
 	return list
 }
 
-// hostOf returns the host that a process of the product runs on.
+// hostOf returns the host of an entry or a target.
 func hostOf(name string) btid.Host { return btid.Host("host-" + name) }
 
 // HostOf returns the host of a target.
 func HostOf(target string) btid.Host { return hostOf(target) }
 
-// Process returns a process by name: "platform", an entry's or an agent's
-// name, or "target-" and a target's name. It panics for any other.
+// Process returns a process by name: "platform", an entry's or agent's name, or
+// "target-" and a target's name. It panics for any other name.
 func (f *Fleet) Process(name string) *Process {
 	p := f.processes[name]
 	if p == nil {
@@ -161,8 +161,8 @@
 	return p
 }
 
-// Restart starts a process anew that has ended, with the same command line and
-// nothing remembered.
+// Restart starts a process again after it has ended, with the same command line
+// and none of its former state.
 func (f *Fleet) Restart(name string) error {
 	old := f.Process(name)
 	if old.Running() {
@@ -183,11 +183,11 @@
 
 func (f *Fleet) path(name string) string { return filepath.Join(f.options.Folder, name) }
 
-// pollEvery is how often WaitUntil checks its condition.
-const pollEvery = 25 * time.Millisecond
+// pollInterval is how often WaitUntil checks its condition.
+const pollInterval = 25 * time.Millisecond
 
-// WaitUntil waits until the condition returns nil. The error names what was waited
-// for and wraps the condition's last.
+// WaitUntil polls until the condition returns nil. The error names what was waited
+// for and wraps the condition's last error and the context's.
 func WaitUntil(ctx context.Context, what string, condition func() error) error {
 	for {
 		err := condition()
@@ -197,17 +197,17 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s: %w", what, errors.Join(ctx.Err(), err))
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// ready waits until every process of the product says that it is, and every
-// entry gives work to every target.
-func (f *Fleet) ready(ctx context.Context) error {
+// awaitReady waits until every process of the product reports that it is ready and
+// every entry has every target in rotation.
+func (f *Fleet) awaitReady(ctx context.Context) error {
 	for _, name := range f.ProductProcesses() {
 		if err := WaitUntil(ctx, name+" ready", func() error { return f.Ready(name) }); err != nil {
-			return errors.Join(err, f.lastLines(name))
+			return errors.Join(err, f.logTail(name))
 		}
 	}
 	for _, name := range f.Entries() {
@@ -231,18 +231,19 @@
 	return nil
 }
 
-// LogTails returns the end of every log of the product, without the lines of
-// single requests, to explain a failure.
+// LogTails returns the last lines of every log of the product, without those of
+// single requests, to help explain a failure.
 func (f *Fleet) LogTails() string {
 	var all strings.Builder
 	for _, name := range f.ProductProcesses() {
-		fmt.Fprintf(&all, "%s:\n%v\n", name, f.lastLines(name))
+		fmt.Fprintf(&all, "%s:\n%v\n", name, f.logTail(name))
 	}
 	return all.String()
 }
 
-// lastLines returns the end of a process's log as an error.
-func (f *Fleet) lastLines(name string) error {
+// logTail returns the last lines of a process's log, without those of single
+// requests, as an error.
+func (f *Fleet) logTail(name string) error {
 	const shown = 12
 	data, err := os.ReadFile(f.path(name + ".log"))
 	if err != nil {
--- a/io/btstandin/btfleet/bundle.go
+++ b/io/btstandin/btfleet/bundle.go
@@ -17,39 +17,40 @@
 )
 
 const (
-	// bearerKey is the key of the fleet's one client account.
+	// bearerKey is the key of the fleet's only client account.
 	bearerKey = "fleet-caller-key"
 	// bundleKey is the configuration key under which the bundle is published.
 	bundleKey = "bilberrytide-bundle"
 
-	// ClockError is the bundle's; all processes share one clock.
+	// ClockError is the bundle's bound of clock errors. All processes share one
+	// clock, so it can be small.
 	ClockError = 50 * time.Millisecond
 	// RequestMax is the longest deadline of a request.
 	RequestMax = 10 * time.Second
-	// unlimited is a rate and concurrency that no test reaches.
+	// unlimited is a rate, burst and concurrency that no test reaches.
 	unlimited = 1_000_000
-	// maxBody is the largest body of a request.
+	// maxBody is the maximum size of a request body in bytes.
 	maxBody = 1 << 20
 )
 
-func span(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
+func duration(d time.Duration) btbundle.Duration { return btbundle.Duration{Duration: d} }
 
-// writeDraft makes the first version of the bundle.
+// writeDraft creates the first version of the bundle.
 func (f *Fleet) writeDraft(ctx context.Context) error {
-	made := time.Now().UTC().Truncate(time.Second)
+	created := time.Now().UTC().Truncate(time.Second)
 	f.draft = btbundle.Bundle{
 		Version: 1,
-		Created: made,
+		Created: created,
 		Timeouts: btbundle.Timeouts{
-			Request:     span(RequestMax),
-			RequestMax:  span(RequestMax),
-			Heartbeat:   span(250 * time.Millisecond),
-			TargetLease: span(3 * time.Second),
+			Request:     duration(RequestMax),
+			RequestMax:  duration(RequestMax),
+			Heartbeat:   duration(250 * time.Millisecond),
+			TargetLease: duration(3 * time.Second),
 		},
-		Idempotency: btbundle.Idempotency{Retention: span(10 * time.Minute), ClockError: span(ClockError), Lease: span(2 * time.Second)},
-		Retry:       btbundle.Retry{BudgetShare: 0.2, MaxAttempts: 3, Backoff: span(10 * time.Millisecond)},
-		Ejection:    btbundle.Ejection{MaxShare: 0.4, Failures: 5, SlowFactor: 4, Duration: span(5 * time.Second)},
-		Placement:   btbundle.Placement{SkewWeight: 1, MoveWeight: 1, Interval: span(10 * time.Second), Horizon: span(time.Minute)},
+		Idempotency: btbundle.Idempotency{Retention: duration(10 * time.Minute), ClockError: duration(ClockError), Lease: duration(2 * time.Second)},
+		Retry:       btbundle.Retry{BudgetShare: 0.2, MaxAttempts: 3, Backoff: duration(10 * time.Millisecond)},
+		Ejection:    btbundle.Ejection{MaxShare: 0.4, Failures: 5, SlowFactor: 4, Duration: duration(5 * time.Second)},
+		Placement:   btbundle.Placement{SkewWeight: 1, MoveWeight: 1, Interval: duration(10 * time.Second), Horizon: duration(time.Minute)},
 		DataCentres: []btbundle.DataCentre{{Name: north, Region: "home"}, {Name: south, Region: "home"}},
 		Groups:      []btbundle.Group{},
 		Accounts: []btbundle.Account{{
@@ -61,13 +62,13 @@
 			Weight:      1,
 		}},
 	}
-	f.addService(Plain, btbundle.Plain, names(string(Plain), f.options.Plains), made)
-	f.addService(Model, btbundle.Model, names(string(Model), f.options.Models), made)
-	return f.addPlaces(ctx)
+	f.addService(Plain, btbundle.Plain, names(string(Plain), f.options.Plains), created)
+	f.addService(Model, btbundle.Model, names(string(Model), f.options.Models), created)
+	return f.assignAddresses(ctx)
 }
 
-// addService lists a service whose key homes are all its targets.
-func (f *Fleet) addService(name btid.Service, kind btbundle.Kind, targets []string, made time.Time) {
+// addService adds a service and its targets, which are all key homes.
+func (f *Fleet) addService(name btid.Service, kind btbundle.Kind, targets []string, created time.Time) {
 	if len(targets) == 0 {
 		return
 	}
@@ -78,7 +79,7 @@
 			Name:       homes[i],
 			Service:    name,
 			Host:       hostOf(t),
-			DataCentre: centreOf(t),
+			DataCentre: dataCentreOf(t),
 			Endpoint:   f.targets[t],
 			Slots:      f.options.Slots,
 			Queue:      f.options.Queue,
@@ -88,12 +89,12 @@
 		Name:    name,
 		Kind:    kind,
 		MaxBody: maxBody,
-		Epochs:  []btbundle.HomeEpoch{{Number: 1, Since: made, Homes: homes}},
+		Epochs:  []btbundle.HomeEpoch{{Number: 1, Since: created, Homes: homes}},
 	})
 }
 
-// addPlaces gives every process of the product its addresses.
-func (f *Fleet) addPlaces(ctx context.Context) error {
+// assignAddresses assigns free addresses to every process of the product.
+func (f *Fleet) assignAddresses(ctx context.Context) error {
 	free, err := f.ports(ctx, 3*f.options.Entries+2*len(f.draft.Targets))
 	if err != nil {
 		return err
@@ -107,7 +108,7 @@
 		f.draft.Entries = append(f.draft.Entries, btbundle.Entry{
 			Name:       btid.Entry(name),
 			Host:       hostOf(name),
-			DataCentre: centreOf(name),
+			DataCentre: dataCentreOf(name),
 			Address:    next(),
 		})
 		f.callers[name] = next()
@@ -126,19 +127,19 @@
 	Raw      []byte
 }
 
-// Version returns the first bundle as another version, changed and signed by
-// the operator.
+// Version returns the first bundle with another version number and the change
+// applied, signed by the operator. change may be nil.
 func (f *Fleet) Version(version btid.BundleVersion, change func(*btbundle.Bundle)) (File, error) {
 	return f.signedBy(f.trust.approver, version, change)
 }
 
-// Forged returns a version that is signed with a key that no process trusts.
+// Forged returns a version signed with a key that no process trusts.
 func (f *Fleet) Forged(version btid.BundleVersion) (File, error) {
-	_, stranger, err := ed25519.GenerateKey(nil)
+	_, untrusted, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return File{}, err
 	}
-	return f.signedBy(stranger, version, nil)
+	return f.signedBy(untrusted, version, nil)
 }
 
 func (f *Fleet) signedBy(approver ed25519.PrivateKey, version btid.BundleVersion, change func(*btbundle.Bundle)) (File, error) {
@@ -156,8 +157,8 @@
 		Document:   document,
 		Signatures: []btbundle.Signature{btbundle.Sign(document, approver)},
 	}
-	order := btbundle.Revision{Version: version, Digest: btbundle.DigestOf(document)}
-	return File{Revision: order, Raw: signed.Bytes()}, nil
+	revision := btbundle.Revision{Version: version, Digest: btbundle.DigestOf(document)}
+	return File{Revision: revision, Raw: signed.Bytes()}, nil
 }
 
 func (f *Fleet) publishFirst(ctx context.Context) error {
@@ -168,23 +169,23 @@
 	return f.Publish(ctx, first.Raw)
 }
 
-// Publish puts a file into the configuration service, as the platform's own
-// tool would.
+// Publish writes a file to the configuration service, as the platform's own tool
+// would.
 func (f *Fleet) Publish(ctx context.Context, raw []byte) error {
 	return f.put(ctx, f.platform, "/control/config/"+bundleKey, raw)
 }
 
-// FailPlatform sets how the platform fails from now on.
+// FailPlatform replaces the platform's fault.
 func (f *Fleet) FailPlatform(ctx context.Context, fault btstandin.PlatformFault) error {
 	return f.control(ctx, f.platform, "fault", fault)
 }
 
-// FailTarget sets how a target fails from now on.
+// FailTarget replaces a target's fault.
 func (f *Fleet) FailTarget(ctx context.Context, target string, fault btstandin.TargetFault) error {
 	return f.control(ctx, f.targets[target], "fault", fault)
 }
 
-// InForce returns nil where a process has exactly this bundle in force.
+// InForce returns nil if a process has exactly this bundle in force.
 func (f *Fleet) InForce(name string, want btbundle.Revision) error {
 	status, err := f.Status(name)
 	if err != nil {
--- a/io/btstandin/btfleet/caller.go
+++ b/io/btstandin/btfleet/caller.go
@@ -17,36 +17,37 @@
 
 // Call is one request to the plain service.
 type Call struct {
-	// Path is below the service's own.
+	// Path is relative to the service's path.
 	Path string
 	Body string
-	// Key marks a call as not repeatable.
+	// Key is the idempotency key; with one, the call must run at most once.
 	Key btrequest.Key
-	// Timeout is the deadline that the caller asks for; zero for none.
+	// Timeout is the timeout that the caller requests; zero requests none.
 	Timeout time.Duration
 }
 
-// Answer is what a caller received.
+// Answer is the result of a call as the caller sees it.
 type Answer struct {
 	Call  Call
 	Entry string
-	// Began is when the call was sent, and Took how long it lasted.
+	// Began is when the call was sent, and Took its duration.
 	Began time.Time
 	Took  time.Duration
-	// Request is the identity that the entry gave the request.
+	// Request is the request id that the entry assigned.
 	Request  string
 	Outcome  btrequest.Outcome
 	Reason   btrequest.Reason
 	Status   int
 	Replayed bool
-	// Echo is the target's answer where the outcome is done.
+	// Echo is the target's answer if the outcome is done.
 	Echo btstandin.Echo
-	// Err tells that no whole answer came: the caller knows nothing.
+	// Err is set if no complete answer arrived; the outcome is then unknown to the
+	// caller.
 	Err error
 }
 
-// callerWait bounds a call from the caller's side, beyond every deadline.
-const callerWait = RequestMax + 5*time.Second
+// callTimeout is the caller's own timeout, which exceeds every request deadline.
+const callTimeout = RequestMax + 5*time.Second
 
 // Caller sends requests as a client of the services does. It is safe for
 // concurrent use.
@@ -55,16 +56,17 @@
 	client *http.Client
 }
 
-// NewCaller returns a caller that keeps up to so many connections to an entry.
+// NewCaller returns a caller that keeps at most this many idle connections to each
+// entry.
 func (f *Fleet) NewCaller(connections int) *Caller {
 	transport := &http.Transport{MaxIdleConnsPerHost: connections, MaxIdleConns: 0}
-	return &Caller{fleet: f, client: &http.Client{Transport: transport, Timeout: callerWait}}
+	return &Caller{fleet: f, client: &http.Client{Transport: transport, Timeout: callTimeout}}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Request returns a request to a service, by way of an entry.
+// Request returns a request that is sent through an entry.
 func (c *Caller) Request(ctx context.Context, entry, path string, body []byte) (*http.Request, error) {
 	url := "http://" + c.fleet.callers[entry].String() + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -75,13 +77,13 @@
 	return request, nil
 }
 
-// Direct returns a request to a target without the product.
+// Direct returns a request that is sent to a target directly, bypassing the product.
 func (c *Caller) Direct(ctx context.Context, target, path string, body []byte) (*http.Request, error) {
 	url := "http://" + c.fleet.targets[target].String() + path
 	return http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 }
 
-// Do sends a request and returns the status with the whole body.
+// Do sends a request and returns the response and its complete body.
 func (c *Caller) Do(request *http.Request) (*http.Response, []byte, error) {
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -112,11 +114,11 @@
 		answer.Err = err
 		return answer
 	}
-	answer.take(response, body)
+	answer.readResponse(response, body)
 	return answer
 }
 
-func (a *Answer) take(response *http.Response, body []byte) {
+func (a *Answer) readResponse(response *http.Response, body []byte) {
 	a.Status = response.StatusCode
 	a.Request = response.Header.Get(bthttp.HeaderRequest)
 	a.Outcome = btrequest.Outcome(response.Header.Get(bthttp.HeaderOutcome))
@@ -130,8 +132,8 @@
 	}
 }
 
-// CheckEcho returns nil unless an answer called done is another request's, or not
-// whole.
+// CheckEcho returns an error if an answer with outcome done is incomplete or
+// belongs to another request.
 func (a *Answer) CheckEcho() error {
 	if a.Outcome != btrequest.Done {
 		return nil
@@ -140,15 +142,15 @@
 		return a.Err
 	}
 	got := a.Echo
-	own := got.Body == a.Call.Body && got.Path == a.Call.Path &&
+	matches := got.Body == a.Call.Body && got.Path == a.Call.Path &&
 		got.Headers[btstandin.IdempotencyKeyHeader] == string(a.Call.Key)
-	if !own {
+	if !matches {
 		return fmt.Errorf("%s: call %q got the answer to %q", a.Request, a.Call.Body, got.Body)
 	}
 	return nil
 }
 
-// String describes the answer in a line.
+// String describes the answer in one line.
 func (a *Answer) String() string {
 	parts := []string{a.Entry, a.Request, a.Call.Body, string(a.Outcome), string(a.Reason), a.Took.String()}
 	if a.Err != nil {
--- a/io/btstandin/btfleet/check.go
+++ b/io/btstandin/btfleet/check.go
@@ -12,10 +12,10 @@
 	"bilberrytide/io/btstandin"
 )
 
-// Check returns every promise that was broken so far: an invariant violated in
-// any process, an answer that belongs to another request, a request told
-// not_run that a target ran, a key that ran twice. All processes must be awake,
-// and what they had queued done.
+// Check returns an error for every guarantee that was violated so far: an invariant
+// violated in any process, an answer that belongs to another request, a request
+// answered not_run that a target executed, a key that was executed twice. All
+// processes must be unfrozen and their queues empty.
 func (f *Fleet) Check(answers []Answer) error {
 	errs := []error{f.checkInvariants(), f.checkLogs()}
 	ran, err := f.Executions()
@@ -29,8 +29,8 @@
 	return errors.Join(errs...)
 }
 
-// checkInvariants adds up the counters of violated invariants of all processes
-// that run.
+// checkInvariants sums the counters of violated invariants over all running
+// processes.
 func (f *Fleet) checkInvariants() error {
 	var sum int64
 	for _, name := range f.ProductProcesses() {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// faults are what no log of any process, ended ones included, may hold.
-var faults = [][]byte{[]byte("invariant violated"), []byte("panic: "), []byte("fatal error: ")}
+// logFailures must not occur in the log of any process, including ended ones.
+var logFailures = [][]byte{[]byte("invariant violated"), []byte("panic: "), []byte("fatal error: ")}
 
 func (f *Fleet) checkLogs() error {
 	var errs []error
@@ -61,7 +61,7 @@
 			continue
 		}
 		for line := range bytes.Lines(data) {
-			for _, fault := range faults {
+			for _, fault := range logFailures {
 				if bytes.Contains(line, fault) {
 					errs = append(errs, fmt.Errorf("%s: %s", name, bytes.TrimSpace(line)))
 				}
@@ -71,8 +71,8 @@
 	return errors.Join(errs...)
 }
 
-// checkOutcome holds what one caller was told against what ran under the
-// identity of its request.
+// checkOutcome compares the outcome of one call with the executions counted for its
+// request id.
 func checkOutcome(a *Answer, ran btstandin.Executions) error {
 	count := ran.Requests[a.Request]
 	switch {
@@ -90,25 +90,25 @@
 	return nil
 }
 
-// checkKeys holds what callers were told of each key against how often it ran.
+// checkKeys compares the outcomes of all calls of each key with its executions.
 func checkKeys(answers []Answer, ran btstandin.Executions) []error {
-	told := map[btrequest.Key]map[btrequest.Outcome]int{}
+	outcomesByKey := map[btrequest.Key]map[btrequest.Outcome]int{}
 	for i := range answers {
 		a := &answers[i]
 		if a.Call.Key == "" {
 			continue
 		}
-		if told[a.Call.Key] == nil {
-			told[a.Call.Key] = map[btrequest.Outcome]int{}
+		if outcomesByKey[a.Call.Key] == nil {
+			outcomesByKey[a.Call.Key] = map[btrequest.Outcome]int{}
 		}
 		outcome := a.Outcome
 		if a.Err != nil {
 			outcome = btrequest.Unknown
 		}
-		told[a.Call.Key][outcome]++
+		outcomesByKey[a.Call.Key][outcome]++
 	}
 	var errs []error
-	for key, outcomes := range told {
+	for key, outcomes := range outcomesByKey {
 		count := ran.Keys[string(key)]
 		switch {
 		case count > 1:
--- a/io/btstandin/btfleet/killwithparent_linux.go
+++ b/io/btstandin/btfleet/killwithparent_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// endWithParent has the kernel end the child when the test process dies before
-// it could close its fleet.
-func endWithParent(c *exec.Cmd) {
+// killWithParent makes the kernel kill the child if the test process dies before it
+// closes its fleet.
+func killWithParent(c *exec.Cmd) {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/io/btstandin/btfleet/killwithparent_other.go
+++ b/io/btstandin/btfleet/killwithparent_other.go
@@ -4,5 +4,5 @@
 
 import "os/exec"
 
-// endWithParent changes nothing: this system has no such signal.
-func endWithParent(*exec.Cmd) {}
+// killWithParent does nothing; a parent death signal is used on Linux only.
+func killWithParent(*exec.Cmd) {}
--- a/io/btstandin/btfleet/load.go
+++ b/io/btstandin/btfleet/load.go
@@ -11,24 +11,24 @@
 	"bilberrytide/core/btrequest"
 )
 
-// LoadOptions say what a load consists of.
+// LoadOptions configures a Load.
 type LoadOptions struct {
-	// Workers send one call after another.
+	// Workers is the number of workers; each sends one call after another.
 	Workers int
-	// Seed fixes every choice.
+	// Seed determines every random choice.
 	Seed uint64
 	// KeyShare is the share of calls that carry an idempotency key.
 	KeyShare float64
-	// Entries are those that the workers send to.
+	// Entries are the names of the entries that the workers send to.
 	Entries []string
-	// Retries is how often a caller sends a call with a key again, to any entry,
-	// after it learned of no end.
+	// Retries is how often a worker sends a call with a key again, to any entry,
+	// while its outcome is not done.
 	Retries int
 }
 
-// refusedPause is how long a worker waits after a refusal. Callers come back
-// sooner than they are told, so that more of them meet the failure.
-const refusedPause = 20 * time.Millisecond
+// retryDelay is how long a worker waits after a call that is not done. It is shorter
+// than the advised Retry-After, so that more calls are sent during a failure.
+const retryDelay = 20 * time.Millisecond
 
 // Load sends calls until it is stopped.
 type Load struct {
@@ -50,7 +50,7 @@
 	return l
 }
 
-// Stop lets every call that is under way end and returns all answers.
+// Stop waits for the calls in progress and returns all answers.
 func (l *Load) Stop() []Answer {
 	close(l.stop)
 	l.ended.Wait()
@@ -58,7 +58,7 @@
 	return l.answers
 }
 
-// Answers returns those of so far.
+// Answers returns the answers so far.
 func (l *Load) Answers() []Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// send makes one call and repeats it where that is safe.
+// send sends one call and repeats it if it has a key, which makes that safe.
 func (l *Load) send(ctx context.Context, random *rand.Rand, call Call) {
 	for range l.options.Retries + 1 {
 		entry := l.options.Entries[random.IntN(len(l.options.Entries))]
@@ -97,7 +97,7 @@
 		select {
 		case <-l.stop:
 			return
-		case <-time.After(refusedPause):
+		case <-time.After(retryDelay):
 		}
 		if call.Key == "" {
 			return
@@ -105,23 +105,24 @@
 	}
 }
 
-// Keys makes idempotency keys; all of them but the time comes from a seed.
+// Keys generates idempotency keys. Everything in a key but its time is derived from
+// a seed.
 type Keys struct{ random *rand.ChaCha8 }
 
-// NewKeys returns keys of a seed.
+// NewKeys returns a generator with the seed.
 func NewKeys(seed uint64) *Keys {
-	var long [32]byte
+	var seedBytes [32]byte
 	for i := range 8 {
-		long[i] = byte(seed >> (8 * i))
+		seedBytes[i] = byte(seed >> (8 * i))
 	}
-	return &Keys{random: rand.NewChaCha8(long)}
+	return &Keys{random: rand.NewChaCha8(seedBytes)}
 }
 
-// Next returns a key made now.
+// Next returns a key with the current time.
 func (k *Keys) Next() btrequest.Key {
 	key, err := btclaim.NewKey(time.Now(), k.random)
 	if err != nil {
-		// The source never fails.
+		// Reading from ChaCha8 never fails.
 		panic(err)
 	}
 	return key
--- a/io/btstandin/btfleet/observe.go
+++ b/io/btstandin/btfleet/observe.go
@@ -16,7 +16,7 @@
 	"bilberrytide/io/btstandin"
 )
 
-// control sends a stand-in one of its controls.
+// control sends a value to one of a stand-in's control paths.
 func (f *Fleet) control(ctx context.Context, address netip.AddrPort, name string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return f.put(ctx, address, "/control/"+name, body)
 }
 
-// get reads JSON from a process.
+// get reads JSON from a path of a process.
 func get[T any](f *Fleet, address netip.AddrPort, path string) (T, error) {
 	var value T
 	response, err := f.client.Get("http://" + address.String() + path)
@@ -39,7 +39,7 @@
 	return value, json.NewDecoder(response.Body).Decode(&value)
 }
 
-// Ready returns nil where a process of the product says that it is ready.
+// Ready returns nil if a process of the product reports that it is ready.
 func (f *Fleet) Ready(name string) error {
 	if !f.Process(name).Running() {
 		return fmt.Errorf("%s has ended", name)
@@ -55,17 +55,17 @@
 	return nil
 }
 
-// Status reads a process's page for operators.
+// Status reads the status of a process of the product.
 func (f *Fleet) Status(name string) (btprocess.Status, error) {
 	return get[btprocess.Status](f, f.status[name], "/status")
 }
 
-// metric is the part of a metric that counters have.
+// metric holds the field of a metric that counters have.
 type metric struct {
 	Count int64 `json:"count"`
 }
 
-// Counter reads one counter of a process; one that it never used is 0.
+// Counter reads a counter of a process; a counter that was never incremented is 0.
 func (f *Fleet) Counter(name, counter string) (int64, error) {
 	all, err := get[map[string]json.RawMessage](f, f.status[name], "/metrics")
 	if err != nil || all[counter] == nil {
@@ -75,7 +75,7 @@
 	return m.Count, json.Unmarshal(all[counter], &m)
 }
 
-// Executions returns what all targets ran, added up.
+// Executions returns the sum of the execution counts of all targets.
 func (f *Fleet) Executions() (btstandin.Executions, error) {
 	sum := btstandin.Executions{Keys: map[string]int{}, Requests: map[string]int{}}
 	for _, t := range f.Targets() {
@@ -95,13 +95,13 @@
 	return sum, nil
 }
 
-// ExecutionsAt returns what one target ran.
+// ExecutionsAt returns the execution counts of one target.
 func (f *Fleet) ExecutionsAt(target string) (btstandin.Executions, error) {
 	return get[btstandin.Executions](f, f.targets[target], "/control/executions")
 }
 
-// CheckKeyLeases returns nil where every key home of the plain service grants keys
-// that are made from now on.
+// CheckKeyLeases returns nil if every key home of the plain service has held its
+// lease long enough to grant keys that are made from now on.
 func (f *Fleet) CheckKeyLeases() error {
 	for _, t := range names(string(Plain), f.options.Plains) {
 		status, err := f.Status(Agent(t))
@@ -111,19 +111,19 @@
 		if status.Home == nil || !status.Home.Leased {
 			return fmt.Errorf("%s holds no lease", t)
 		}
-		if time.Since(status.Home.Since) <= youngAfter {
+		if time.Since(status.Home.Since) <= leaseMargin {
 			return fmt.Errorf("%s has held its lease since %s", t, status.Home.Since)
 		}
 	}
 	return nil
 }
 
-// youngAfter is how long a home must have held its lease before a key made now
-// is younger than the lease beyond doubt.
-const youngAfter = 2 * ClockError
+// leaseMargin is how long a home must have held its lease before it accepts that a
+// key made now is younger than the lease: btclaim requires twice ClockError.
+const leaseMargin = 2 * ClockError
 
-// Eligible returns nil where an entry gives a target new work, else an error
-// with the entry's cause. An entry that has ended gives none.
+// Eligible returns nil if an entry sends new requests to a target, otherwise an
+// error with the entry's cause. An entry that has ended sends none.
 func (f *Fleet) Eligible(entry, target string) error {
 	if !f.Process(entry).Running() {
 		return fmt.Errorf("%s has ended", entry)
@@ -143,18 +143,18 @@
 	return fmt.Errorf("%s is unknown to %s", target, entry)
 }
 
-// inForce finds the versions that came into force in a log.
-var inForce = regexp.MustCompile(`msg="bundle in force" bundle_version=(\d+)`)
+// inForcePattern matches the log line of a bundle that came into force.
+var inForcePattern = regexp.MustCompile(`msg="bundle in force" bundle_version=(\d+)`)
 
-// History returns the versions that a process put in force, in the order of its
-// log; its earlier lives come first.
+// History returns the bundle versions that a process put in force, in the order of
+// its log, which includes those before a restart.
 func (f *Fleet) History(name string) ([]btid.BundleVersion, error) {
 	data, err := os.ReadFile(f.path(name + ".log"))
 	if err != nil {
 		return nil, err
 	}
 	var versions []btid.BundleVersion
-	for _, found := range inForce.FindAllSubmatch(data, -1) {
+	for _, found := range inForcePattern.FindAllSubmatch(data, -1) {
 		version, err := strconv.ParseUint(string(found[1]), 10, 64)
 		if err != nil {
 			return nil, err
--- a/io/btstandin/btfleet/ports.go
+++ b/io/btstandin/btfleet/ports.go
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// handed holds the ports that fleets of this process were given, so that two
-// that start at the same time get none twice.
-var handed = struct {
+// assignedPorts holds the ports that fleets of this process were given, so that two
+// fleets that start at the same time don't get the same port.
+var assignedPorts = struct {
 	sync.Mutex
 	ports map[uint16]bool
 }{ports: map[uint16]bool{}}
 
-// loopback is the address of every process.
+// loopback is the IP address of every process.
 var loopback = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
-// ports returns loopback addresses that are free just now.
+// ports returns loopback addresses whose ports are currently free.
 func (f *Fleet) ports(ctx context.Context, count int) ([]netip.AddrPort, error) {
 	var list []netip.AddrPort
 	for len(list) < count {
@@ -33,7 +33,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("free ports: %w", err)
 			}
-			if hand(uint16(port)) {
+			if claimPort(uint16(port)) {
 				list = append(list, netip.AddrPortFrom(loopback, uint16(port)))
 			}
 		}
@@ -41,13 +41,13 @@
 	return list, nil
 }
 
-// hand tells whether the port was not handed out before.
-func hand(port uint16) bool {
-	handed.Lock()
-	defer handed.Unlock()
-	if handed.ports[port] {
+// claimPort records the port as assigned, and reports whether it wasn't before.
+func claimPort(port uint16) bool {
+	assignedPorts.Lock()
+	defer assignedPorts.Unlock()
+	if assignedPorts.ports[port] {
 		return false
 	}
-	handed.ports[port] = true
+	assignedPorts.ports[port] = true
 	return true
 }
--- a/io/btstandin/btfleet/process.go
+++ b/io/btstandin/btfleet/process.go
@@ -12,20 +12,21 @@
 
 // Process is one child process.
 type Process struct {
-	// Name is the process's in the fleet.
+	// Name is the name of the process in its fleet.
 	Name      string
 	arguments []string
 	command   *exec.Cmd
 	ended     chan struct{}
 }
 
-// StartProcess starts a program with more variables in its environment; its
-// output is added to the log file.
+// StartProcess starts a program with additional environment variables. Its output is
+// appended to the log file.
 func StartProcess(name, log string, variables []string, arguments ...string) (*Process, error) {
 	return startWith(name, log, append(os.Environ(), variables...), arguments)
 }
 
-// startProcess starts a program; its output is added to the log file.
+// startProcess starts a program with GOMAXPROCS set to threads, unless that is zero.
+// Its output is appended to the log file.
 func startProcess(name, log string, threads int, arguments []string) (*Process, error) {
 	var environment []string
 	if threads > 0 {
@@ -34,7 +35,7 @@
 	return startWith(name, log, environment, arguments)
 }
 
-// startWith starts a program; without an environment it gets this process's.
+// startWith starts a program; with a nil environment it inherits this process's.
 func startWith(name, log string, environment, arguments []string) (*Process, error) {
 	output, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -50,22 +51,22 @@
 	p.command.Stdout = output
 	p.command.Stderr = output
 	p.command.Env = environment
-	endWithParent(p.command)
+	killWithParent(p.command)
 	if err := p.command.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	go func() {
 		defer close(p.ended)
-		// The state tells how it ended.
+		// ProcessState holds the result, so the error adds nothing.
 		_ = p.command.Wait()
 	}()
 	return p, nil
 }
 
-// ID returns the process's number.
+// ID returns the process id.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// Running tells whether the process has not ended; a frozen one runs.
+// Running reports whether the process has not ended; a frozen process is running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.ended:
@@ -75,7 +76,8 @@
 	}
 }
 
-// Wait returns the exit code once the process has ended, -1 after a signal.
+// Wait waits for the process to end and returns its exit code, -1 if a signal ended
+// it. The error wraps the context's.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.ended:
@@ -85,7 +87,7 @@
 	}
 }
 
-// Kill ends the process at once, also a frozen one, and waits until it is gone.
+// Kill sends SIGKILL, which ends also a frozen process, and waits for its end.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -94,19 +96,19 @@
 	return nil
 }
 
-// Freeze stops the process where it stands.
+// Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
 
-// Terminate asks the process for a planned stop.
+// Terminate requests an orderly stop with SIGTERM.
 func (p *Process) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// Reload asks the process to read its settings again.
+// Reload makes the process read its settings again, with SIGHUP.
 func (p *Process) Reload() error { return p.signal(syscall.SIGHUP) }
 
-// signal sends a signal; one to a process that has ended changes nothing.
+// signal sends a signal; it does nothing if the process has ended.
 func (p *Process) signal(s syscall.Signal) error {
 	err := p.command.Process.Signal(s)
 	if errors.Is(err, os.ErrProcessDone) {
--- a/io/btstandin/btfleet/settings.go
+++ b/io/btstandin/btfleet/settings.go
@@ -19,14 +19,15 @@
 	"bilberrytide/io/btstandin"
 )
 
-// trust holds the operator's secrets and what processes verify them with.
+// trust holds the operator's private keys and the approvers that processes verify
+// bundles with.
 type trust struct {
 	authority *btkeys.Authority
 	approver  ed25519.PrivateKey
 	approvers btbundle.Approvers
 }
 
-// keyValidity is longer than any test.
+// keyValidity is the validity of certificates, longer than any test runs.
 const keyValidity = 24 * time.Hour
 
 func (f *Fleet) makeKeys(context.Context) error {
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// startStandins starts the platform and the targets, and learns where they
-// listen.
+// startStandins starts the stand-ins of the platform and the targets and records
+// their addresses.
 func (f *Fleet) startStandins(ctx context.Context) error {
 	var err error
 	if f.platform, err = f.standin(ctx, Platform, "platform", "--host-list-lag", "100ms", "--hosts", f.hosts()); err != nil {
@@ -74,7 +75,7 @@
 
 func standinOf(target string) string { return "target-" + target }
 
-// standin starts one stand-in and waits until it tells its address.
+// standin starts one stand-in and returns its address once it listens.
 func (f *Fleet) standin(ctx context.Context, name string, arguments ...string) (netip.AddrPort, error) {
 	file := f.path(name + ".address")
 	command := append([]string{f.options.Programs.Standin, "--address-file", file}, arguments...)
@@ -93,7 +94,7 @@
 	return address, err
 }
 
-// hosts lists the hosts of all processes of the product, for the platform.
+// hosts returns the hosts of all processes of the product, separated by commas.
 func (f *Fleet) hosts() string {
 	var list []string
 	for _, name := range append(f.Entries(), f.Targets()...) {
@@ -102,8 +103,9 @@
 	return strings.Join(list, ",")
 }
 
-// centreOf deals processes out to two data centres.
-func centreOf(name string) btid.DataCentre {
+// dataCentreOf assigns processes to two data centres by the last digit of their
+// name.
+func dataCentreOf(name string) btid.DataCentre {
 	if strings.HasSuffix(name, "1") || strings.HasSuffix(name, "3") {
 		return north
 	}
@@ -194,7 +196,7 @@
 	return btsettings.TLS{CA: files.Authority, Cert: files.Certificate, Key: files.Key}, err
 }
 
-// MarkHostLeaving has the platform's host list call a host leaving.
+// MarkHostLeaving reports a host as leaving in the platform's host list.
 func (f *Fleet) MarkHostLeaving(ctx context.Context, leaving btid.Host) error {
 	list := btstandin.HostList{}
 	for name := range strings.SplitSeq(f.hosts(), ",") {
--- a/io/btstandin/btfleet/usage.go
+++ b/io/btstandin/btfleet/usage.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Usage is what a process has used so far.
+// Usage holds the resources that a process uses.
 type Usage struct {
-	// CPU is its processor time, to 10 ms.
+	// CPU is the processor time used so far, with a resolution of 10 ms.
 	CPU time.Duration
-	// Resident is its resident memory in bytes.
+	// Resident is the resident set size in bytes.
 	Resident int64
 }
 
 const (
-	// tick is the unit of processor times in /proc, on every Linux platform
-	// that Go supports.
-	tick = 10 * time.Millisecond
-	// userField is the place of the user time in /proc/<pid>/stat after the
-	// command's name; the system time and, further on, the resident pages follow.
+	// clockTick is the unit of processor times in /proc, which is 1/100 s on every
+	// Linux platform that Go supports.
+	clockTick = 10 * time.Millisecond
+	// Indexes into /proc/<pid>/stat, counted from the field after the command name:
+	// user time, system time and resident pages.
 	userField     = 11
 	systemField   = userField + 1
 	residentField = 21
 )
 
-// Usage reads what the process has used, on systems with /proc.
+// Usage reads the process's resource usage, on systems with /proc.
 func (p *Process) Usage() (Usage, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.ID()))
 	if err != nil {
@@ -46,7 +46,7 @@
 		}
 	}
 	return Usage{
-		CPU:      time.Duration(values[0]+values[1]) * tick,
+		CPU:      time.Duration(values[0]+values[1]) * clockTick,
 		Resident: values[2] * int64(os.Getpagesize()),
 	}, nil
 }
