--- a/cmd/bilberrytide-standin/engine.go
+++ b/cmd/bilberrytide-standin/engine.go
@@ -10,28 +10,28 @@
 	"bilberrytide/io/btstandin"
 )
 
-// engineFlags are the flags that a single engine and a group's engines share.
+// engineFlags holds the flags that the commands engine and group share.
 type engineFlags struct {
-	slots         *int
-	prefillRate   *float64
-	cacheBlocks   *int
-	loadLag       *time.Duration
-	eventDelay    *time.Duration
-	eventDrop     *uint64
-	checksFencing *bool
-	seed          *uint64
+	slots          *int
+	prefillRate    *float64
+	cacheBlocks    *int
+	loadLag        *time.Duration
+	eventDelay     *time.Duration
+	eventDropEvery *uint64
+	checksFencing  *bool
+	seed           *uint64
 }
 
 func newEngineFlags(clause *kingpin.CmdClause) engineFlags {
 	return engineFlags{
-		slots:         clause.Flag("slots", "Requests that run at a time.").Default("16").Int(),
-		prefillRate:   clause.Flag("prefill-rate", "Prompt tokens worked through in a second.").Default("20000").Float64(),
-		cacheBlocks:   clause.Flag("prefix-cache-blocks", "Blocks of prompts that stay cached.").Default("1024").Int(),
-		loadLag:       clause.Flag("load-lag", "How late load reports are.").Default("200ms").Duration(),
-		eventDelay:    clause.Flag("cache-event-delay", "How late cache events are.").Default("200ms").Duration(),
-		eventDrop:     clause.Flag("cache-event-drop-every", "Lose every n-th cache event; 0 loses none.").Default("0").Uint64(),
-		checksFencing: clause.Flag("checks-fencing", "Refuse orders with an old fencing number.").Bool(),
-		seed:          clause.Flag("seed", "Seed of all that is random.").Default("1").Uint64(),
+		slots:          clause.Flag("slots", "Requests that run at a time.").Default("16").Int(),
+		prefillRate:    clause.Flag("prefill-rate", "Prompt tokens worked through in a second.").Default("20000").Float64(),
+		cacheBlocks:    clause.Flag("prefix-cache-blocks", "Blocks of prompts that stay cached.").Default("1024").Int(),
+		loadLag:        clause.Flag("load-lag", "How late load reports are.").Default("200ms").Duration(),
+		eventDelay:     clause.Flag("cache-event-delay", "How late cache events are.").Default("200ms").Duration(),
+		eventDropEvery: clause.Flag("cache-event-drop-every", "Lose every n-th cache event; 0 loses none.").Default("0").Uint64(),
+		checksFencing:  clause.Flag("checks-fencing", "Refuse orders with an old fencing number.").Bool(),
+		seed:           clause.Flag("seed", "Seed of all that is random.").Default("1").Uint64(),
 	}
 }
 
@@ -42,15 +42,15 @@
 		PrefillRate:       *f.prefillRate,
 		PrefixCacheBlocks: *f.cacheBlocks,
 		LoadLag:           *f.loadLag,
-		CacheFault:        btstandin.CacheFault{Delay: btbundle.Duration{Duration: *f.eventDelay}, DropEvery: *f.eventDrop},
+		CacheFault:        btstandin.CacheFault{Delay: btbundle.Duration{Duration: *f.eventDelay}, DropEvery: *f.eventDropEvery},
 		ChecksFencing:     *f.checksFencing,
 		Seed:              *f.seed,
 	}
 }
 
-// engineCommand starts the stand-in of a model engine.
+// engineCommand runs the stand-in for a model engine.
 type engineCommand struct {
-	idle
+	noBackgroundWork
 	engineFlags
 	name       *string
 	listen     *string
--- a/cmd/bilberrytide-standin/group.go
+++ b/cmd/bilberrytide-standin/group.go
@@ -16,24 +16,25 @@
 	"bilberrytide/io/btstandin"
 )
 
-// groupCommand starts the stand-in of all engines of a lock-step group.
+// groupCommand runs the stand-in for all engines of a lock-step group, with one
+// listener per rank.
 type groupCommand struct {
 	engineFlags
-	name         *string
-	listen       *string
-	layers       *int
-	experts      *int
-	slotsPerRank *int
-	step         *time.Duration
-	tokens       *int
-	zipf         *float64
-	drift        *time.Duration
-	barrier      *bool
-	initialMap   *string
-	startHeld    *bool
-	platform     *string
-	model        *string
-	expertBytes  *int64
+	name          *string
+	listen        *string
+	layers        *int
+	experts       *int
+	slotsPerRank  *int
+	step          *time.Duration
+	tokensPerStep *int
+	zipfExponent  *float64
+	driftPeriod   *time.Duration
+	barrier       *bool
+	initialMap    *string
+	startHeld     *bool
+	platform      *string
+	model         *string
+	expertBytes   *int64
 
 	group *btstandin.Group
 }
@@ -43,22 +44,22 @@
 func newGroupCommand(app *kingpin.Application) *groupCommand {
 	clause := app.Command("group", "All engines of a lock-step group, rank by rank.")
 	return &groupCommand{
-		engineFlags:  newEngineFlags(clause),
-		name:         clause.Flag("name", "Name of the group; rank r is called NAME-r.").Required().String(),
-		listen:       clause.Flag("listen", "IP address and port of each rank, separated by commas.").Required().String(),
-		layers:       clause.Flag("layers", "Layers with experts.").Default("4").Int(),
-		experts:      clause.Flag("experts", "Experts of each layer.").Default("16").Int(),
-		slotsPerRank: clause.Flag("slots-per-rank", "Experts of one layer that a rank holds.").Default("4").Int(),
-		step:         clause.Flag("step", "Time of a step when all ranks have the same load.").Default("4500us").Duration(),
-		tokens:       clause.Flag("tokens-per-step", "Tokens that each layer serves in a step.").Default("1024").Int(),
-		zipf:         clause.Flag("zipf", "Exponent of the experts' popularity.").Default("1").Float64(),
-		drift:        clause.Flag("drift-period", "Time in which popularity turns into another; 0 leaves it as it is.").Default("0s").Duration(),
-		barrier:      clause.Flag("barrier", "Engines know arm and commit.").Bool(),
-		initialMap:   clause.Flag("initial-map", "JSON file of the map to start with.").String(),
-		startHeld:    clause.Flag("start-held", "Start without a map, as after a restart.").Bool(),
-		platform:     clause.Flag("platform", "IP address and port of the weight store; without it weights are free.").String(),
-		model:        clause.Flag("model", "Model whose weights are pulled.").Default("model").String(),
-		expertBytes:  clause.Flag("expert-bytes", "Size of one expert's weights; 0 leaves it to the store.").Default("0").Int64(),
+		engineFlags:   newEngineFlags(clause),
+		name:          clause.Flag("name", "Name of the group; rank r is called NAME-r.").Required().String(),
+		listen:        clause.Flag("listen", "IP address and port of each rank, separated by commas.").Required().String(),
+		layers:        clause.Flag("layers", "Layers with experts.").Default("4").Int(),
+		experts:       clause.Flag("experts", "Experts of each layer.").Default("16").Int(),
+		slotsPerRank:  clause.Flag("slots-per-rank", "Experts of one layer that a rank holds.").Default("4").Int(),
+		step:          clause.Flag("step", "Time of a step when all ranks have the same load.").Default("4500us").Duration(),
+		tokensPerStep: clause.Flag("tokens-per-step", "Tokens that each layer serves in a step.").Default("1024").Int(),
+		zipfExponent:  clause.Flag("zipf", "Exponent of the experts' popularity.").Default("1").Float64(),
+		driftPeriod:   clause.Flag("drift-period", "Time in which popularity turns into another; 0 leaves it as it is.").Default("0s").Duration(),
+		barrier:       clause.Flag("barrier", "Engines know arm and commit.").Bool(),
+		initialMap:    clause.Flag("initial-map", "JSON file of the map to start with.").String(),
+		startHeld:     clause.Flag("start-held", "Start without a map, as after a restart.").Bool(),
+		platform:      clause.Flag("platform", "IP address and port of the weight store; without it weights are free.").String(),
+		model:         clause.Flag("model", "Model whose weights are pulled.").Default("model").String(),
+		expertBytes:   clause.Flag("expert-bytes", "Size of one expert's weights; 0 leaves it to the store.").Default("0").Int64(),
 	}
 }
 
@@ -85,11 +86,11 @@
 }
 
 func (c *groupCommand) build(ranks int) error {
-	weights, err := c.weights()
+	weights, err := c.newWeightSource()
 	if err != nil {
 		return err
 	}
-	initial, err := c.initial()
+	initial, err := c.readInitialMap()
 	if err != nil {
 		return err
 	}
@@ -103,9 +104,9 @@
 		},
 		Engine:        c.options(),
 		Step:          *c.step,
-		TokensPerStep: *c.tokens,
-		ZipfExponent:  *c.zipf,
-		DriftPeriod:   *c.drift,
+		TokensPerStep: *c.tokensPerStep,
+		ZipfExponent:  *c.zipfExponent,
+		DriftPeriod:   *c.driftPeriod,
 		Barrier:       *c.barrier,
 		InitialMap:    initial,
 		StartHeld:     *c.startHeld,
@@ -114,7 +115,7 @@
 	return err
 }
 
-func (c *groupCommand) weights() (btstandin.WeightSource, error) {
+func (c *groupCommand) newWeightSource() (btstandin.WeightSource, error) {
 	if *c.platform == "" {
 		return nil, nil
 	}
@@ -131,7 +132,7 @@
 	})
 }
 
-func (c *groupCommand) initial() (*btstandin.ExpertMap, error) {
+func (c *groupCommand) readInitialMap() (*btstandin.ExpertMap, error) {
 	if *c.initialMap == "" {
 		return nil, nil
 	}
--- a/cmd/bilberrytide-standin/main.go
+++ b/cmd/bilberrytide-standin/main.go
@@ -1,5 +1,5 @@
-// Command bilberrytide-standin runs a small stand-in for the platform or for
-// targets, for tests and the demo only. docs/standin.md states its protocol.
+// Command bilberrytide-standin runs a stand-in for the platform or for targets, for
+// tests and the demo only. docs/standin.md describes the protocols.
 package main
 
 import (
@@ -14,11 +14,11 @@
 	"bilberrytide/io/btstandin"
 )
 
-// command is one stand-in that the command line can start.
+// command is a subcommand that runs a stand-in.
 type command interface {
-	// listeners returns what to serve, made from the parsed flags.
+	// listeners returns the handlers to serve, configured by the parsed flags.
 	listeners() ([]btstandin.Listener, error)
-	// run does the stand-in's own work until the context ends.
+	// run does the stand-in's background work until the context ends.
 	run(ctx context.Context) error
 }
 
--- a/cmd/bilberrytide-standin/plain.go
+++ b/cmd/bilberrytide-standin/plain.go
@@ -9,9 +9,9 @@
 	"bilberrytide/io/btstandin"
 )
 
-// plainCommand starts the stand-in of an application instance.
+// plainCommand runs the stand-in for an application instance.
 type plainCommand struct {
-	idle
+	noBackgroundWork
 	name   *string
 	listen *string
 	delay  *time.Duration
--- a/cmd/bilberrytide-standin/platform.go
+++ b/cmd/bilberrytide-standin/platform.go
@@ -12,16 +12,16 @@
 	"bilberrytide/io/btstandin"
 )
 
-// platformCommand starts the platform's stand-in.
+// platformCommand runs the stand-in for the platform.
 type platformCommand struct {
-	idle
-	listen      *string
-	config      *map[string]string
-	hosts       *string
-	reads       *int
-	weightRate  *int64
-	expertBytes *int64
-	hostListLag *time.Duration
+	noBackgroundWork
+	listen         *string
+	config         *map[string]string
+	hosts          *string
+	readsPerSecond *int
+	weightRate     *int64
+	expertBytes    *int64
+	hostListLag    *time.Duration
 }
 
 var _ command = (*platformCommand)(nil)
@@ -29,13 +29,13 @@
 func newPlatformCommand(app *kingpin.Application) *platformCommand {
 	clause := app.Command("platform", "Configuration service, host list and weight store.")
 	return &platformCommand{
-		listen:      listenFlag(clause),
-		config:      clause.Flag("config", "Key and the file that holds its value, as KEY=FILE; may be repeated.").StringMap(),
-		hosts:       clause.Flag("hosts", "Names of the live hosts, separated by commas.").String(),
-		reads:       clause.Flag("reads-per-second", "Configuration reads a second over all readers.").Default("2000").Int(),
-		weightRate:  clause.Flag("weight-bytes-per-second", "Rate of the weight store; 0 leaves it unbounded.").Default("0").Int64(),
-		expertBytes: clause.Flag("expert-bytes", "Size of one expert's weights where a request gives none.").Default("65536").Int64(),
-		hostListLag: clause.Flag("host-list-lag", "How long a change of hosts stays invisible.").Default("2s").Duration(),
+		listen:         listenFlag(clause),
+		config:         clause.Flag("config", "Key and the file that holds its value, as KEY=FILE; may be repeated.").StringMap(),
+		hosts:          clause.Flag("hosts", "Names of the live hosts, separated by commas.").String(),
+		readsPerSecond: clause.Flag("reads-per-second", "Configuration reads a second over all readers.").Default("2000").Int(),
+		weightRate:     clause.Flag("weight-bytes-per-second", "Rate of the weight store; 0 leaves it unbounded.").Default("0").Int64(),
+		expertBytes:    clause.Flag("expert-bytes", "Size of one expert's weights where a request gives none.").Default("65536").Int64(),
+		hostListLag:    clause.Flag("host-list-lag", "How long a change of hosts stays invisible.").Default("2s").Duration(),
 	}
 }
 
@@ -46,8 +46,8 @@
 func (c *platformCommand) build() (btstandin.Listener, error) {
 	platform, err := btstandin.NewPlatform(btstandin.PlatformOptions{
 		Clock:                btstandin.SystemClock{},
-		Hosts:                liveHosts(*c.hosts),
-		ReadsPerSecond:       *c.reads,
+		Hosts:                parseLiveHosts(*c.hosts),
+		ReadsPerSecond:       *c.readsPerSecond,
 		WeightBytesPerSecond: *c.weightRate,
 		ExpertBytes:          *c.expertBytes,
 		HostListLag:          *c.hostListLag,
@@ -67,7 +67,7 @@
 	return btstandin.Listener{Handler: platform}, nil
 }
 
-func liveHosts(names string) btstandin.HostList {
+func parseLiveHosts(names string) btstandin.HostList {
 	list := btstandin.HostList{Hosts: []btstandin.Host{}}
 	if names == "" {
 		return list
--- a/cmd/bilberrytide-standin/serve.go
+++ b/cmd/bilberrytide-standin/serve.go
@@ -12,7 +12,8 @@
 	"bilberrytide/io/btstandin"
 )
 
-// serve runs the stand-in and its listeners until the context ends.
+// serve runs the stand-in's background work and its listeners until the context
+// ends or one of them fails.
 func serve(ctx context.Context, c command, listeners []btstandin.Listener, addressFile string) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return c.run(ctx) })
@@ -20,12 +21,12 @@
 	return group.Wait()
 }
 
-// idle is embedded by commands whose stand-in only answers requests.
-type idle struct{}
+// noBackgroundWork is embedded by commands whose stand-in only answers requests.
+type noBackgroundWork struct{}
 
-func (idle) run(context.Context) error { return nil }
+func (noBackgroundWork) run(context.Context) error { return nil }
 
-// listenFlag adds the address that a stand-in of one listener listens on.
+// listenFlag adds the flag --listen of stand-ins that have one listener.
 func listenFlag(clause *kingpin.CmdClause) *string {
 	return clause.Flag("listen", "IP address and port to listen on; port 0 takes a free one.").Default("127.0.0.1:0").String()
 }
