--- a/io/btstandin/btfleet/caller.go
+++ b/io/btstandin/btfleet/caller.go
@@ -128,7 +128,7 @@
 		return
 	}
 	if err := json.Unmarshal(body, &a.Echo); err != nil {
-		a.Err = fmt.Errorf("answer called done: %w", err)
+		a.Err = fmt.Errorf("decode the body of an answer with outcome done: %w", err)
 	}
 }
 
--- a/io/btstandin/btfleet/check.go
+++ b/io/btstandin/btfleet/check.go
@@ -79,13 +79,13 @@
 	case a.Err != nil:
 		return nil
 	case a.Request == "" || !a.Outcome.Valid():
-		return fmt.Errorf("an answer without identity or outcome: %s", a)
+		return fmt.Errorf("answer without request id or valid outcome: %s", a)
 	case a.Outcome == btrequest.NotRun && count > 0:
-		return fmt.Errorf("told not_run, but ran %d times: %s", count, a)
+		return fmt.Errorf("answered not_run, but executed %d times: %s", count, a)
 	case a.Outcome == btrequest.Done && !a.Replayed && count == 0:
-		return fmt.Errorf("told done, but never ran: %s", a)
+		return fmt.Errorf("answered done, but never executed: %s", a)
 	case a.Call.Key != "" && count > 1:
-		return fmt.Errorf("ran %d times: %s", count, a)
+		return fmt.Errorf("executed %d times in spite of its key: %s", count, a)
 	}
 	return nil
 }
@@ -112,11 +112,11 @@
 		count := ran.Keys[string(key)]
 		switch {
 		case count > 1:
-			errs = append(errs, fmt.Errorf("key %s ran %d times: %v", key, count, outcomes))
+			errs = append(errs, fmt.Errorf("key %s was executed %d times: %v", key, count, outcomes))
 		case outcomes[btrequest.Done] > 0 && count != 1:
-			errs = append(errs, fmt.Errorf("key %s was done but ran %d times: %v", key, count, outcomes))
+			errs = append(errs, fmt.Errorf("key %s was answered done, but executed %d times: %v", key, count, outcomes))
 		case count > 0 && outcomes[btrequest.Done]+outcomes[btrequest.Unknown] == 0:
-			errs = append(errs, fmt.Errorf("key %s ran, but callers heard only not_run", key))
+			errs = append(errs, fmt.Errorf("key %s was executed, but every call was answered not_run", key))
 		}
 	}
 	return errs
