--- a/cmd/bilberrytide-soak/main.go
+++ b/cmd/bilberrytide-soak/main.go
@@ -1,5 +1,5 @@
-// Command bilberrytide-soak runs the fault soak: the real programs as processes,
-// faults from outside, and the promises checked while they run.
+// Command bilberrytide-soak runs the fault soak: it runs the built program as processes,
+// injects faults from outside and checks the guarantees meanwhile.
 package main
 
 import (
@@ -30,13 +30,13 @@
 	duration := app.Flag("duration", "How long faults come, for each seed.").Default("20s").Duration()
 	entries := app.Flag("entries", "How many entries.").Default("3").Int()
 	ranks := app.Flag("ranks", "How many engines with agents.").Default("6").Int()
-	pages := app.Flag("targets", "How many plain targets.").Default("3").Int()
+	plainTargets := app.Flag("targets", "How many plain targets.").Default("3").Int()
 	callers := app.Flag("callers", "How many callers at once.").Default("12").Int()
 	copies := app.Flag("copies", "How often the store comes back from a copy.").Default("1").Int()
 	rates := app.Flag("rates", "How many targets name a rate of requests, one after the other.").Default("1").Int()
 	fatal := app.Flag("fatal", "How many requests come that end the targets which run them.").Default("1").Int()
 	restarts := app.Flag("restarts", "How many targets start again under their IDs, and how many records of other writers come.").Default("3").Int()
-	folder := app.Flag("logs", "Where logs of failed runs are kept.").Default("run/soak").String()
+	logDir := app.Flag("logs", "Where logs of failed runs are kept.").Default("run/soak").String()
 	verbose := app.Flag("verbose", "Print each fault.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *first == 0 {
@@ -46,8 +46,8 @@
 	for i := range *seeds {
 		o := btsoak.Options{
 			Program: *program, Seed: *first + uint64(i), Duration: *duration,
-			Entries: *entries, Ranks: *ranks, Pages: *pages, Callers: *callers, Fatal: *fatal, Rates: *rates, Copies: *copies, Restarts: *restarts,
-			Folder: filepath.Join(*folder, strconv.FormatUint(*first+uint64(i), 10)),
+			Entries: *entries, Ranks: *ranks, PlainTargets: *plainTargets, Callers: *callers, CrashingRequests: *fatal, RateLimits: *rates, Restores: *copies, Restarts: *restarts,
+			Dir: filepath.Join(*logDir, strconv.FormatUint(*first+uint64(i), 10)),
 		}
 		if !soak(o, *verbose) {
 			failed++
@@ -59,21 +59,22 @@
 	}
 }
 
-// soak runs one seed, and tells whether all promises were kept.
+// soak runs the soak with one seed and prints the report. It returns whether the run
+// succeeded without violations, and removes the logs then.
 func soak(o btsoak.Options, verbose bool) bool {
 	began := time.Now()
-	o.Say = func(format string, args ...any) {
+	o.Logf = func(format string, args ...any) {
 		if verbose {
 			fmt.Printf("%8.3f %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 		}
 	}
-	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
+	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		fmt.Println(err)
 		return false
 	}
 	report, err := btsoak.Run(o)
 	if err != nil {
-		fmt.Printf("seed %d: %v; logs in %s\n", o.Seed, err, o.Folder)
+		fmt.Printf("seed %d: %v; logs in %s\n", o.Seed, err, o.Dir)
 		return false
 	}
 	fmt.Println(report)
@@ -81,10 +82,10 @@
 		fmt.Println("  broken:", v)
 	}
 	if len(report.Violations) > 0 {
-		fmt.Println("  logs in", o.Folder)
+		fmt.Println("  logs in", o.Dir)
 		return false
 	}
-	if err := os.RemoveAll(o.Folder); err != nil {
+	if err := os.RemoveAll(o.Dir); err != nil {
 		fmt.Println(err)
 	}
 	return true
