--- a/commands/btruncmd/btruncmd.go
+++ b/commands/btruncmd/btruncmd.go
@@ -1,4 +1,5 @@
-// Package btruncmd adds the commands that run a process: "entry" and "agent".
+// Package btruncmd adds the commands "entry" and "agent", which run a process of
+// the load balancer until its planned stop.
 package btruncmd
 
 import (
@@ -21,9 +22,9 @@
 	"bilberrytide/io/btsettings"
 )
 
-// ErrSettings is wrapped by the error of settings that a process can't start
-// with; a process ends with code 1 for it.
-var ErrSettings = errors.New("cannot start")
+// ErrStart is wrapped by the error for settings with which a process can't start.
+// The program then exits with code 1.
+var ErrStart = errors.New("cannot start")
 
 const entryHelp = `Run an entry: the process that takes callers' requests.
 
@@ -44,7 +45,8 @@
 
 Exit codes: 0 stopped as planned, 1 could not start or failed, 2 wrong usage.`
 
-// Register adds the commands to the application; log lines go to logs.
+// Register adds the commands to the application. The processes write their log to
+// logs.
 func Register(app *kingpin.Application, logs io.Writer) {
 	entry := &runCommand{logs: logs}
 	entry.register(app.Command("entry", entryHelp), entry.runEntry)
@@ -65,17 +67,17 @@
 func (c *runCommand) runEntry(*kingpin.ParseContext) error {
 	s, err := btsettings.LoadEntry(c.settings)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrSettings, err)
+		return fmt.Errorf("%w: %w", ErrStart, err)
 	}
 	common := btprocess.CommonSettings{Host: s.Host, DataCentre: s.DataCentre, PeerListen: s.PeerListen, Tables: s.Tables}
 	runtime, err := btprocess.NewRuntime(btkeys.Entry, common, c.logs)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrSettings, c.settings, err)
+		return fmt.Errorf("%w: %s: %w", ErrStart, c.settings, err)
 	}
 	defer runtime.Close()
 	listener, err := net.Listen("tcp", s.Listen.String())
 	if err != nil {
-		return fmt.Errorf("%w: %s: listen: %w", ErrSettings, c.settings, err)
+		return fmt.Errorf("%w: %s: listen: %w", ErrStart, c.settings, err)
 	}
 	entry := btentry.New(btentry.Options{
 		Name:        s.Name,
@@ -100,12 +102,12 @@
 func (c *runCommand) runAgent(*kingpin.ParseContext) error {
 	s, err := btsettings.LoadAgent(c.settings)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrSettings, err)
+		return fmt.Errorf("%w: %w", ErrStart, err)
 	}
 	common := btprocess.CommonSettings{Host: s.Host, DataCentre: s.DataCentre, PeerListen: s.PeerListen, Tables: s.Tables}
 	runtime, err := btprocess.NewRuntime(btkeys.Agent, common, c.logs)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrSettings, c.settings, err)
+		return fmt.Errorf("%w: %s: %w", ErrStart, c.settings, err)
 	}
 	defer runtime.Close()
 	agent := btagent.New(btagent.Options{
@@ -126,7 +128,7 @@
 	return run(runtime, agent)
 }
 
-// process is what an entry and an agent have in common.
+// process is the common interface of entries and agents.
 type process interface {
 	Run(ctx context.Context) error
 	Stop() *btprocess.Stop
@@ -139,7 +141,8 @@
 	_ process = (*btagent.Agent)(nil)
 )
 
-// run works until the planned stop that SIGTERM or SIGINT begins is complete.
+// run runs the process until the planned stop that SIGTERM or SIGINT begins is
+// complete.
 func run(runtime *btprocess.Runtime, p process) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -156,15 +159,15 @@
 	})
 	group.Go(func() error { return runtime.Keys.Run(ctx, 0) })
 	group.Go(func() error {
-		stopOn(ctx, signals, p.Stop())
+		terminateOnSignal(ctx, signals, p.Stop())
 		return nil
 	})
 	return group.Wait()
 }
 
-// stopOn begins the planned stop with each signal; all but the first change
-// nothing.
-func stopOn(ctx context.Context, signals <-chan os.Signal, stop *btprocess.Stop) {
+// terminateOnSignal begins the planned stop at the first signal. Later signals have
+// no effect.
+func terminateOnSignal(ctx context.Context, signals <-chan os.Signal, stop *btprocess.Stop) {
 	for {
 		select {
 		case <-ctx.Done():
