--- a/commands/btdirectcmd/btdirectcmd.go
+++ b/commands/btdirectcmd/btdirectcmd.go
@@ -1,5 +1,5 @@
-// Package btdirectcmd adds the commands that run a process on the users'
-// platform: "direct entry" and "direct agent".
+// Package btdirectcmd adds the commands "direct entry" and "direct agent", which
+// run a process on the users' platform.
 package btdirectcmd
 
 import (
@@ -32,7 +32,8 @@
 
 Exit codes: 0 stopped as planned, 1 could not start or failed, 2 wrong usage.`
 
-// Register adds the commands to the application; log lines go to logs.
+// Register adds the commands to the application. The processes write their log to
+// logs.
 func Register(app *kingpin.Application, logs io.Writer) {
 	direct := app.Command("direct", "Run a process on the users' platform.")
 	direct.Command("entry", entryHelp).Action(func(*kingpin.ParseContext) error { return runEntry(logs) })
@@ -61,7 +62,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.serveMetrics(ctx)
-	r.follow(ctx, entry.Stop, entry.Reload)
+	r.watch(ctx, entry.Stop, entry.Reload)
 	if err := entry.Run(ctx); err != nil {
 		r.log.Error("ended", "error", err)
 		return err
@@ -91,7 +92,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.serveMetrics(ctx)
-	r.follow(ctx, cancel, agent.Reload)
+	r.watch(ctx, cancel, agent.Reload)
 	if err := agent.Run(ctx); err != nil {
 		r.log.Error("ended", "error", err)
 		return err
--- a/commands/btdirectcmd/common.go
+++ b/commands/btdirectcmd/runtime.go
@@ -24,25 +24,27 @@
 	btadapter "bilberrytide/platform"
 )
 
-// ErrStart is wrapped by the error of a process that can't start.
+// ErrStart is wrapped by the error of a process that can't start because of its
+// settings or its clock.
 var ErrStart = errors.New("cannot start")
 
 const (
-	// logFlush bounds the writing of the last lines at the end of a process.
-	logFlush = 200 * time.Millisecond
-	// heapShare is the part of the process's memory limit that the heap may take
-	// before collection works harder: stacks and buffers need the rest.
+	// logFlushTimeout limits how long a process writes buffered log lines at its end.
+	logFlushTimeout = 200 * time.Millisecond
+	// heapShare is the share of the process's memory limit that is set as the Go
+	// runtime's soft limit, above which garbage is collected more often. The rest
+	// is left for stacks and buffers.
 	heapShare = 0.7
-	// settingsEvery is how often the settings file is looked at, as it may change
-	// without a signal.
-	settingsEvery = 2 * time.Second
-	// metricsPort is where metrics are served, as the deploy file says.
+	// settingsPollInterval is the time between two reads of the settings file,
+	// which may change without a signal.
+	settingsPollInterval = 2 * time.Second
+	// metricsPort is the port that the deploy file names for metrics.
 	metricsPort = 9190
-	// metricsHeaderWait bounds the reading of a request for metrics.
-	metricsHeaderWait = 5 * time.Second
+	// metricsHeaderTimeout limits how long the header of a metrics request is read.
+	metricsHeaderTimeout = 5 * time.Second
 )
 
-// runtime is what an entry and an agent have in common.
+// runtime holds the settings and services that entries and agents share.
 type runtime struct {
 	path     string
 	contents []byte
@@ -54,7 +56,8 @@
 	clock    *btclock.Clock
 }
 
-// newRuntime reads the settings and makes what every process needs.
+// newRuntime loads the settings from the file that the environment names and
+// creates the log, the metrics and the clock.
 func newRuntime(logs io.Writer) (*runtime, error) {
 	path := os.Getenv(btadapter.SettingsVariable)
 	if path == "" {
@@ -83,10 +86,10 @@
 	return r, nil
 }
 
-func (r *runtime) close() { r.sink.Close(logFlush) }
+func (r *runtime) close() { r.sink.Close(logFlushTimeout) }
 
-// serveMetrics serves the metrics as text until the context ends. A process
-// without its metrics works on.
+// serveMetrics serves the metrics as text until the context ends. If they can't be
+// served, a warning is logged and the process keeps running.
 func (r *runtime) serveMetrics(ctx context.Context) {
 	address := netip.AddrPortFrom(r.settings.Agent.Addr(), metricsPort)
 	listener, err := net.Listen("tcp", address.String())
@@ -96,7 +99,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", r.meter.TextHandler())
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderWait}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -105,13 +108,13 @@
 	}()
 }
 
-// follow stops the process at SIGTERM, and puts changed settings in force at
-// SIGHUP and whenever the file has changed. Neither ends the process.
-func (r *runtime) follow(ctx context.Context, stop func(), apply func(btdirect.Settings)) {
+// watch calls stop at SIGTERM or SIGINT. At SIGHUP, and when the settings file has
+// changed, it calls apply with the new settings; the process keeps running.
+func (r *runtime) watch(ctx context.Context, stop func(), apply func(btdirect.Settings)) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	go func() {
-		ticker := time.NewTicker(settingsEvery)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -130,8 +133,8 @@
 	}()
 }
 
-// reload reads the settings again. Without force it does so only where the file
-// has changed. Settings that can't be used leave the earlier ones in force.
+// reload loads the settings and applies them. Without force it does so only if the
+// file has changed. Invalid settings are logged and the earlier ones stay in force.
 func (r *runtime) reload(cause string, force bool, apply func(btdirect.Settings)) {
 	contents, err := os.ReadFile(r.path)
 	if err != nil {
