--- a/commands/btstatuscmd/btstatuscmd.go
+++ b/commands/btstatuscmd/btstatuscmd.go
@@ -1,5 +1,5 @@
-// Package btstatuscmd adds the command "status", which shows how processes are
-// and why they did what they did.
+// Package btstatuscmd adds the command "status", which prints the state of processes
+// and, on request, their last decisions with the causes.
 package btstatuscmd
 
 import (
@@ -15,7 +15,7 @@
 	"bilberrytide/io/btprocess"
 )
 
-// ErrUnreachable is wrapped by the error of a process that gave no status.
+// ErrUnreachable is wrapped by the error for a process whose status can't be read.
 var ErrUnreachable = errors.New("no status")
 
 const help = `Show how processes are: bundle in force, targets, refusals and their reasons.
@@ -31,15 +31,15 @@
 const (
 	outputText = "text"
 	outputJSON = "json"
-	// callWait bounds the wait for one process.
-	callWait = 5 * time.Second
-	// statusBytes is the longest status page read.
-	statusBytes = 16 << 20
+	// requestTimeout limits the request to one process.
+	requestTimeout = 5 * time.Second
+	// maxStatusBytes limits how much of a status page is read.
+	maxStatusBytes = 16 << 20
 )
 
-// Register adds the command to the application; it writes to out.
+// Register adds the command to the application. Its output goes to out.
 func Register(app *kingpin.Application, out io.Writer) {
-	c := &statusCommand{out: out, client: &http.Client{Timeout: callWait}}
+	c := &statusCommand{out: out, client: &http.Client{Timeout: requestTimeout}}
 	command := app.Command("status", help)
 	command.Arg("address", "Where a process serves its status.").Required().StringsVar(&c.addresses)
 	command.Flag("why", "Show the last decisions and their causes.").BoolVar(&c.why)
@@ -58,7 +58,7 @@
 func (c *statusCommand) run(*kingpin.ParseContext) error {
 	var failures []error
 	for _, address := range c.addresses {
-		status, err := c.read(address)
+		status, err := c.fetch(address)
 		if err != nil {
 			failures = append(failures, fmt.Errorf("%w: %s: %w", ErrUnreachable, address, err))
 			continue
@@ -70,7 +70,7 @@
 	return errors.Join(failures...)
 }
 
-func (c *statusCommand) read(address string) (btprocess.Status, error) {
+func (c *statusCommand) fetch(address string) (btprocess.Status, error) {
 	var status btprocess.Status
 	response, err := c.client.Get("http://" + address + "/status")
 	if err != nil {
@@ -80,7 +80,7 @@
 	if response.StatusCode != http.StatusOK {
 		return status, fmt.Errorf("answer %s", response.Status)
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, statusBytes)).Decode(&status)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status)
 	return status, err
 }
 
@@ -90,10 +90,10 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(s)
 	}
-	printHead(c.out, s)
+	printSummary(c.out, s)
 	printTargets(c.out, s)
 	printLimits(c.out, s)
-	printHome(c.out, s)
+	printKeyHome(c.out, s)
 	printGroup(c.out, s)
 	printCounters(c.out, s)
 	if c.why {
--- a/commands/btstatuscmd/btstatuscmd_test.go
+++ b/commands/btstatuscmd/btstatuscmd_test.go
@@ -35,7 +35,7 @@
 	return out.String()
 }
 
-func TestEveryPartIsShown(t *testing.T) {
+func TestStatusShowsEverySection(t *testing.T) {
 	at := time.Date(2026, 1, 31, 12, 0, 0, 0, time.UTC)
 	text := show(t, btprocess.Status{
 		Process:         "entry/e1",
--- a/commands/btstatuscmd/print.go
+++ b/commands/btstatuscmd/print.go
@@ -10,7 +10,7 @@
 	"bilberrytide/io/btprocess"
 )
 
-// table writes rows of cells in columns.
+// table writes rows with aligned columns.
 type table struct{ w *tabwriter.Writer }
 
 func newTable(w io.Writer, title ...any) *table {
@@ -29,11 +29,11 @@
 	fmt.Fprintln(t.w)
 }
 
-// end writes the table out. The writer's error is seen by the last line of the
-// page.
-func (t *table) end() { _ = t.w.Flush() }
+// flush writes the buffered table. Its error is ignored: the command returns the
+// error of its last write, which fails on the same writer.
+func (t *table) flush() { _ = t.w.Flush() }
 
-func printHead(w io.Writer, s btprocess.Status) {
+func printSummary(w io.Writer, s btprocess.Status) {
 	fmt.Fprintf(w, "%s in %s, up since %s, ready %t, stopping %t, certificate good for %d days\n",
 		s.Process, s.DataCentre, s.Started.UTC().Format(time.RFC3339), s.Ready, s.Stopping, s.CertificateDays)
 	if s.Bundle.Version == 0 {
@@ -65,10 +65,11 @@
 		t.row(target.Target, target.Service, stateOf(target), target.Running, target.Waiting,
 			target.StepTime, target.CachedPrefixes, target.ReportAge.Round(time.Millisecond))
 	}
-	t.end()
+	t.flush()
 }
 
-// stateOf says whether the target gets work, and if not, why.
+// stateOf returns "in_rotation" for a target that gets work, otherwise the reason
+// why it gets none.
 func stateOf(t btprocess.TargetStatus) string {
 	switch {
 	case !t.Eligible && t.Cause != "":
@@ -95,10 +96,10 @@
 	for _, v := range s.Limits {
 		t.row(v.Account, v.Home, v.Running, v.FixedSlots, v.LentSlots, v.FixedTokens, v.LentTokens)
 	}
-	t.end()
+	t.flush()
 }
 
-func printHome(w io.Writer, s btprocess.Status) {
+func printKeyHome(w io.Writer, s btprocess.Status) {
 	if s.Home == nil {
 		return
 	}
@@ -127,11 +128,11 @@
 	for _, counter := range s.Counters {
 		t.row(counter.Name, counter.Count)
 	}
-	t.end()
+	t.flush()
 }
 
-// printDecisions writes each decision as one line, not in columns: sentences
-// would pad all lines to the longest.
+// printDecisions writes one line per decision without aligned columns, because long
+// sentences would pad every line to the longest one.
 func printDecisions(w io.Writer, s btprocess.Status) {
 	for _, d := range s.Decisions {
 		fmt.Fprintf(w, "%s  %s  %s: %s; evidence: %s; expected: %s\n",
