--- a/commands/btstagescmd/btstagescmd.go
+++ b/commands/btstagescmd/btstagescmd.go
@@ -1,5 +1,5 @@
-// Package btstagescmd adds the command "stages", which shows from log files where the
-// time of requests went.
+// Package btstagescmd adds the command "stages", which reads entries' log files and
+// prints how much time requests spent in each stage.
 package btstagescmd
 
 import (
@@ -18,8 +18,8 @@
 	"bilberrytide/core/btstage"
 )
 
-// ErrNothing is the error of logs in which no request ends.
-var ErrNothing = errors.New("no line tells of a request's end")
+// ErrNoRequestEnd is the error for logs without a line about the end of a request.
+var ErrNoRequestEnd = errors.New("no line tells of a request's end")
 
 const help = `Show where the time of requests went, from entries' log files or standard input.
 
@@ -34,7 +34,7 @@
 
 Exit codes: 0 shown, 1 no line tells of a request's end, 2 wrong usage.`
 
-// Register adds the command to the application; its result goes to out.
+// Register adds the command to the application. Its output goes to out.
 func Register(app *kingpin.Application, out io.Writer) {
 	c := &stagesCommand{out: out}
 	command := app.Command("stages", help)
@@ -51,8 +51,9 @@
 	service string
 }
 
-// maxLine bounds a line, far above any that the product writes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest log line that is read, far longer than any that the
+// product writes.
+const maxLineBytes = 1 << 20
 
 func (c *stagesCommand) run(stdin io.Reader) error {
 	table := btstage.New(c.span)
@@ -68,7 +69,7 @@
 	}
 	rows := table.Rows()
 	if len(rows) == 0 {
-		return ErrNothing
+		return ErrNoRequestEnd
 	}
 	return c.print(rows)
 }
@@ -82,10 +83,11 @@
 	return c.read(table, name, f)
 }
 
-// read counts the lines of one input. A line that an entry can't have written is named.
+// read adds the request ends of one input to the table. The error for a line that an
+// entry can't have written contains the input's name and the line number.
 func (c *stagesCommand) read(table *btstage.Table, name string, r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for number := 1; scanner.Scan(); number++ {
 		line, err := btstage.DecodeLine(scanner.Text())
 		switch {
@@ -102,13 +104,13 @@
 	return nil
 }
 
-// barWidth is how many characters the longest bar has.
+// barWidth is the length of the longest bar in characters.
 const barWidth = 40
 
 func (c *stagesCommand) print(rows []btstage.Row) error {
-	most := 1
+	largest := 1
 	for _, r := range rows {
-		most = max(most, r.OnTime+r.Late+r.Refused+r.Failed)
+		largest = max(largest, r.OnTime+r.Late+r.Refused+r.Failed)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "time\tin_time\tlate\trefused\tfailed")
@@ -121,13 +123,14 @@
 		for _, took := range r.Median {
 			fmt.Fprintf(w, "\t%d", took.Milliseconds())
 		}
-		fmt.Fprintf(w, "\t%s\n", bar(r, most))
+		fmt.Fprintf(w, "\t%s\n", bar(r, largest))
 	}
 	return w.Flush()
 }
 
-// bar draws a row's requests beside the largest row's.
-func bar(r btstage.Row, most int) string {
-	part := func(count int) int { return count * barWidth / most }
-	return strings.Repeat("#", part(r.OnTime)) + strings.Repeat("+", part(r.Late)) + strings.Repeat(".", part(r.Refused+r.Failed))
+// bar returns a bar of the row's requests, scaled so that the row with the most
+// requests (largest) has barWidth characters.
+func bar(r btstage.Row, largest int) string {
+	width := func(count int) int { return count * barWidth / largest }
+	return strings.Repeat("#", width(r.OnTime)) + strings.Repeat("+", width(r.Late)) + strings.Repeat(".", width(r.Refused+r.Failed))
 }
--- a/commands/btstagescmd/btstagescmd_test.go
+++ b/commands/btstagescmd/btstagescmd_test.go
@@ -32,7 +32,9 @@
 {"time":"2026-01-02T03:04:07.2Z","msg":"request served","service":"pages","sample":9}
 `
 
-func TestStagesShowsWhereTheTimeWent(t *testing.T) {
+// A sampled line counts for as many requests as it stands for, refused requests are
+// counted apart, and lines of other services are left out.
+func TestStagesPrintsCountsAndMedians(t *testing.T) {
 	out, err := run(t, log, "--service", "llm")
 	assert.NilError(t, err)
 	assert.Equal(t, out, "time          in_time  late  refused  failed  group_wait_ms  place_wait_ms  begin_ms  longest_pause_ms  \n"+
@@ -40,10 +42,12 @@
 		"03:04:06.000  0        2     0        0       0              800            300       90                ++++++++++++++++++++\n")
 }
 
-func TestStagesNamesWhatItCannotRead(t *testing.T) {
+// A malformed line must be reported with its file and number, and a log without the
+// end of a request must not look like an idle period.
+func TestStagesRejectsMalformedAndEmptyLogs(t *testing.T) {
 	_, err := run(t, log+`{"time":"2026-01-02T03:04:08Z","msg":"request served","begin_ms":-1}`)
 	assert.ErrorIs(t, err, btstage.ErrMalformed)
 	assert.ErrorContains(t, err, "edge.log: line 6")
 	_, err = run(t, "started\n")
-	assert.ErrorIs(t, err, btstagescmd.ErrNothing)
+	assert.ErrorIs(t, err, btstagescmd.ErrNoRequestEnd)
 }
