--- a/commands/btwhycmd/btwhycmd.go
+++ b/commands/btwhycmd/btwhycmd.go
@@ -1,5 +1,5 @@
-// Package btwhycmd adds the command "why", which shows what the logs tell of one
-// request.
+// Package btwhycmd adds the command "why", which prints the log lines about one
+// request and the lines before them about its target and service.
 package btwhycmd
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// ErrNothing is the error of a request that no line names.
-var ErrNothing = errors.New("no line names the request")
+// ErrNotFound is wrapped by the error for a request that no log line names.
+var ErrNotFound = errors.New("no line names the request")
 
 const help = `Show what happened to a request, from log files or standard input.
 
@@ -31,7 +31,7 @@
 
 Exit codes: 0 found, 1 no line names the request, 2 wrong usage.`
 
-// Register adds the command to the application; its result goes to out.
+// Register adds the command to the application. Its output goes to out.
 func Register(app *kingpin.Application, out io.Writer) {
 	c := &whyCommand{out: out}
 	command := app.Command("why", help)
@@ -48,12 +48,12 @@
 	context int
 }
 
-// line is what is looked at of a log line.
+// line holds the fields of a log line by which lines are selected, and its text.
 type line struct {
 	Message string `json:"msg"`
 	Process string `json:"process"`
 	Request string `json:"request"`
-	// Fingerprint is the same for each try of one request.
+	// Fingerprint is the same for every attempt of one request.
 	Fingerprint string `json:"fingerprint"`
 	Target      string `json:"target"`
 	Service     string `json:"service"`
@@ -76,7 +76,7 @@
 	return c.search(readers)
 }
 
-// search prints what the inputs tell of the request.
+// search prints the lines about the request, each after its context lines.
 func (c *whyCommand) search(inputs []io.Reader) error {
 	found := false
 	for _, r := range inputs {
@@ -89,21 +89,22 @@
 				continue
 			}
 			found = true
-			for _, before := range c.before(lines[:i], l) {
+			for _, before := range c.contextLines(lines[:i], l) {
 				fmt.Fprintln(c.out, "   ", before.text)
 			}
 			fmt.Fprintln(c.out, l.text)
 		}
 	}
 	if !found {
-		return fmt.Errorf("%w: %s", ErrNothing, c.request)
+		return fmt.Errorf("%w: %s", ErrNotFound, c.request)
 	}
 	return nil
 }
 
-// before returns the lines of the same process that tell what it believed of the
-// line's target or service: those about no request.
-func (c *whyCommand) before(lines []line, of line) []line {
+// contextLines returns, in order, the earlier lines of the same process about the
+// line's target or service that belong to no request. It looks back over at most
+// c.context lines of the process, and no further than the request's previous line.
+func (c *whyCommand) contextLines(lines []line, of line) []line {
 	var list []line
 	seen := 0
 	for _, l := range slices.Backward(lines) {
@@ -123,14 +124,15 @@
 	return list
 }
 
-// maxLine bounds a line, far above any that the product writes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest log line that is read, far longer than any that the
+// product writes.
+const maxLineBytes = 1 << 20
 
-// read decodes the lines that are JSON; what stands before the object, such as a
-// collector's own prefix, is passed over.
+// read decodes the JSON lines. Text before the object, such as a log collector's
+// prefix, is skipped, and so are lines without valid JSON.
 func read(r io.Reader) ([]line, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []line
 	for scanner.Scan() {
 		text := scanner.Text()
--- a/commands/btwhycmd/btwhycmd_test.go
+++ b/commands/btwhycmd/btwhycmd_test.go
@@ -30,7 +30,9 @@
 	return out.String(), err
 }
 
-func TestWhyShowsTheChain(t *testing.T) {
+// The context of a request must hold only lines of the same process about the
+// request's target or service, because the clocks of processes differ.
+func TestWhyShowsContextOfRequest(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "edge.log")
 	assert.NilError(t, os.WriteFile(file, []byte(log), 0o600))
 	out, err := run(t, "r-1", file)
@@ -40,13 +42,14 @@
 {"msg":"request failed","process":"edge-1","request":"r-1","target":"i-1","service":"s","cause":"target_lost"}
 `)
 	_, err = run(t, "r-2", file)
-	assert.ErrorIs(t, err, btwhycmd.ErrNothing)
+	assert.ErrorIs(t, err, btwhycmd.ErrNotFound)
 	_, err = run(t, "r-1", file+".none")
 	assert.ErrorContains(t, err, ".none")
 }
 
-// A request that comes again has another identifier and the same fingerprint.
-func TestWhyFindsAllTriesOfARequest(t *testing.T) {
+// A request that is sent again gets a new identifier but keeps its fingerprint, so a
+// search by identifier alone would miss its other attempts.
+func TestWhyFindsAllAttempts(t *testing.T) {
 	const tries = `{"msg":"request retried","process":"edge-1","request":"r-1","fingerprint":"0a"}
 {"msg":"request failed","process":"edge-2","request":"r-2","fingerprint":"0a"}
 {"msg":"request failed","process":"edge-2","request":"r-3","fingerprint":"0b"}
