--- a/commands/btsettingscmd/btsettingscmd.go
+++ b/commands/btsettingscmd/btsettingscmd.go
@@ -1,5 +1,5 @@
-// Package btsettingscmd adds the commands by which operators check settings
-// files and print the reference of their keys.
+// Package btsettingscmd adds the commands "settings check" and "settings reference",
+// with which operators check settings files and print a reference of the keys.
 package btsettingscmd
 
 import (
@@ -14,8 +14,8 @@
 	"bilberrytide/io/btsettings"
 )
 
-// ErrRefused is wrapped by the error of settings that were refused. A process
-// ends with code 1 for it, and with code 2 where the command line is wrong.
+// ErrRefused is wrapped by the error for invalid settings. The program then exits
+// with code 1, and with code 2 if the command line is wrong.
 var ErrRefused = errors.New("refused")
 
 const help = `Check settings files and print their reference.
@@ -31,13 +31,13 @@
 
   bilberrytide settings reference entry > entry.toml`
 
-// Output formats of the --output flag.
+// Values of the --output flag.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// Register adds the "settings" commands to the application; they write to out.
+// Register adds the "settings" commands to the application. Their output goes to out.
 func Register(app *kingpin.Application, out io.Writer) {
 	settings := app.Command("settings", help)
 	registerCheck(settings, out)
@@ -52,7 +52,7 @@
 	format string
 }
 
-// checkResult is what "check --output json" prints.
+// checkResult is the output of "check --output json".
 type checkResult struct {
 	File     string          `json:"file"`
 	Valid    bool            `json:"valid"`
@@ -75,13 +75,13 @@
 
 func (c *checkCommand) run(*kingpin.ParseContext) error {
 	files, err := c.load()
-	var listed *btsettings.Error
-	if err != nil && !errors.As(err, &listed) {
+	var invalid *btsettings.Error
+	if err != nil && !errors.As(err, &invalid) {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	result := checkResult{File: c.path, Valid: err == nil}
-	if listed != nil {
-		result.Problems = listed.Problems
+	if invalid != nil {
+		result.Problems = invalid.Problems
 	}
 	if err := c.print(result); err != nil {
 		return err
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// load reads the settings and returns the files that they name.
+// load checks the settings file and returns its tls table, which names the
+// certificate and key files.
 func (c *checkCommand) load() (btsettings.TLS, error) {
 	if btsettings.Kind(c.kind) == btsettings.EntryKind {
 		s, err := btsettings.LoadEntry(c.path)
--- a/commands/btsettingscmd/btsettingscmd_test.go
+++ b/commands/btsettingscmd/btsettingscmd_test.go
@@ -13,7 +13,7 @@
 	"bilberrytide/commands/btsettingscmd"
 )
 
-func settings(args ...string) (string, error) {
+func runSettings(args ...string) (string, error) {
 	var out bytes.Buffer
 	app := kingpin.New("bilberrytide", "").Terminate(nil)
 	btsettingscmd.Register(app, &out)
@@ -25,10 +25,10 @@
 	for _, name := range []string{"himal-wave", "faellesrum"} {
 		for _, kind := range []string{"entry", "agent"} {
 			path := filepath.Join("../../examples", name, kind+".toml")
-			out, err := settings("check", kind, path)
+			out, err := runSettings("check", kind, path)
 			assert.NilError(t, err)
 			assert.Equal(t, out, path+": valid\n")
-			_, err = settings("check", kind, path, "--files")
+			_, err = runSettings("check", kind, path, "--files")
 			assert.ErrorIs(t, err, btsettingscmd.ErrRefused, "the examples come without certificates")
 			assert.ErrorContains(t, err, filepath.Join("examples", name, "tls"))
 		}
@@ -38,20 +38,20 @@
 func TestCheckListsProblems(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	assert.NilError(t, os.WriteFile(path, []byte("colour = 1\nname = \"e1\"\n"), 0o600))
-	out, err := settings("check", "entry", path)
+	out, err := runSettings("check", "entry", path)
 	assert.ErrorIs(t, err, btsettingscmd.ErrRefused)
 	assert.Assert(t, cmp.Contains(out, path+": line 1: colour: unknown key\n"))
-	out, err = settings("check", "entry", path, "--output", "json")
+	out, err = runSettings("check", "entry", path, "--output", "json")
 	assert.ErrorIs(t, err, btsettingscmd.ErrRefused)
 	assert.Assert(t, cmp.Contains(out, `"key": "colour"`))
-	_, err = settings("check", "entry", "nowhere.toml")
+	_, err = runSettings("check", "entry", "nowhere.toml")
 	assert.ErrorIs(t, err, btsettingscmd.ErrRefused)
 }
 
 func TestReference(t *testing.T) {
-	out, err := settings("reference", "agent")
+	out, err := runSettings("reference", "agent")
 	assert.NilError(t, err)
 	assert.Assert(t, cmp.Contains(out, "# target = "))
-	_, err = settings("reference", "king")
+	_, err = runSettings("reference", "king")
 	assert.ErrorContains(t, err, "must be one of")
 }
