--- a/commands/btkeyscmd/btkeyscmd.go
+++ b/commands/btkeyscmd/btkeyscmd.go
@@ -1,5 +1,5 @@
-// Package btkeyscmd adds the commands by which an operator makes and looks at
-// certificates, at a desk: "keys ca", "keys issue" and "keys show".
+// Package btkeyscmd adds the commands "keys ca", "keys issue" and "keys show", with
+// which an operator creates and inspects certificates on their own computer.
 package btkeyscmd
 
 import (
@@ -15,7 +15,7 @@
 
 const day = 24 * time.Hour
 
-// Register adds the commands to the application; they write to out.
+// Register adds the commands to the application. Their output goes to out.
 func Register(app *kingpin.Application, out io.Writer) {
 	keys := app.Command("keys", "Make and show the certificates of processes.")
 	registerAuthority(keys, out)
@@ -113,7 +113,7 @@
 		}
 		left := time.Until(certificate.NotAfter)
 		_, err = fmt.Fprintf(c.out, "%s: %s %s, signed by %s, valid %s to %s (%d days left)\n",
-			name, what(certificate), certificate.Subject.CommonName, certificate.Issuer.CommonName,
+			name, certificateKind(certificate), certificate.Subject.CommonName, certificate.Issuer.CommonName,
 			certificate.NotBefore.UTC().Format(time.RFC3339), certificate.NotAfter.UTC().Format(time.RFC3339),
 			int(left/day))
 		if err != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func what(c *x509.Certificate) string {
+func certificateKind(c *x509.Certificate) string {
 	if c.IsCA {
 		return "authority"
 	}
--- a/commands/btkeyscmd/btkeyscmd_test.go
+++ b/commands/btkeyscmd/btkeyscmd_test.go
@@ -23,7 +23,9 @@
 	return out.String(), err
 }
 
-func TestAuthorityThenIssueThenShow(t *testing.T) {
+// Guards against private keys that others can read, an authority that is replaced by
+// mistake, and issued files that a process can't load.
+func TestIssueWithNewAuthority(t *testing.T) {
 	folder := t.TempDir()
 	ca, key := filepath.Join(folder, "ca.pem"), filepath.Join(folder, "ca.key")
 	_, err := run("ca", "--out", folder)
