--- a/commands/btbundlecmd/approve.go
+++ b/commands/btbundlecmd/approve.go
@@ -27,7 +27,7 @@
 	key     string
 	inForce string
 	first   bool
-	target  string
+	outPath string
 }
 
 func registerApprove(bundle *kingpin.CmdClause, out io.Writer) {
@@ -37,7 +37,7 @@
 	command.Flag("key", "Your private key, as keygen wrote it.").Required().StringVar(&c.key)
 	command.Flag("in-force", "The bundle that it replaces.").StringVar(&c.inForce)
 	command.Flag("first", "There is no bundle in force yet.").BoolVar(&c.first)
-	command.Flag("out", "File to write, which must not exist.").Required().StringVar(&c.target)
+	command.Flag("out", "File to write, which must not exist.").Required().StringVar(&c.outPath)
 	command.Validate(func(*kingpin.CmdClause) error {
 		if c.first == (c.inForce != "") {
 			return errors.New("give either --in-force with the bundle that this one replaces, or --first")
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.judge(signed.Document, bundle); err != nil {
+	if err := c.checkSuccessor(signed.Document, bundle); err != nil {
 		return err
 	}
 	key, err := readKey(c.key)
@@ -64,16 +64,17 @@
 		return fmt.Errorf("%w: %s is already signed with key %s", ErrRefused, c.path, signature.KeyID)
 	}
 	signed.Signatures = append(signed.Signatures, signature)
-	if err := writeNew(c.target, signed.Bytes(), 0o644); err != nil {
+	if err := createFile(c.outPath, signed.Bytes(), 0o644); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(c.out, "%s: version %d, digest %s, %s; publish it now\n", c.target, bundle.Version,
-		btbundle.DigestOf(signed.Document), count(len(signed.Signatures), "signature"))
+	_, err = fmt.Fprintf(c.out, "%s: version %d, digest %s, %s; publish it now\n", c.outPath, bundle.Version,
+		btbundle.DigestOf(signed.Document), countNoun(len(signed.Signatures), "signature"))
 	return err
 }
 
-// judge refuses a bundle that isn't fit to replace the one in force.
-func (c *approveCommand) judge(document []byte, bundle *btbundle.Bundle) error {
+// checkSuccessor returns an error for a bundle that was made too long ago or that
+// must not replace the bundle in force.
+func (c *approveCommand) checkSuccessor(document []byte, bundle *btbundle.Bundle) error {
 	if age := time.Since(bundle.Created); age > btbundle.ApprovalWindow {
 		return fmt.Errorf("%w: %s was made %s ago, at most %s: make it anew with bundle new",
 			ErrRefused, c.path, age.Round(time.Minute), btbundle.ApprovalWindow)
@@ -86,7 +87,7 @@
 		return err
 	}
 	if problems := btbundle.CheckSuccessor(old, btbundle.DigestOf(signed.Document), bundle); len(problems) > 0 {
-		return refused(c.path, btbundle.Locate(document, problems))
+		return refusedError(c.path, btbundle.Locate(document, problems))
 	}
 	return nil
 }
--- a/commands/btbundlecmd/btbundlecmd.go
+++ b/commands/btbundlecmd/btbundlecmd.go
@@ -1,6 +1,6 @@
-// Package btbundlecmd adds the commands by which operators make, check, compare
-// and approve bundles. They work on files alone: what is approved is published
-// with the platform's own tool.
+// Package btbundlecmd adds the "bundle" commands, with which operators create,
+// check, compare and approve bundles. They only read and write files: an approved
+// bundle is published with the platform's own tool.
 package btbundlecmd
 
 import (
@@ -18,12 +18,11 @@
 	"bilberrytide/core/btbundle"
 )
 
-// ErrRefused is wrapped by the error of a bundle, a key or a file that was
-// looked at and refused. A process ends with code 1 for it, and with code 2
-// where the command line itself is wrong.
+// ErrRefused is wrapped by the error for a bundle, key or file that is invalid or
+// can't be used. The program then exits with code 1, and with code 2 if the command
+// line is wrong.
 var ErrRefused = errors.New("refused")
 
-// help stands above the subcommands.
 const help = `Make, check, compare and approve bundles.
 
 A rollout: edit a copy of the bundle in force, then
@@ -36,13 +35,13 @@
 
 Exit codes: 0 done or valid, 1 refused or invalid, 2 wrong usage.`
 
-// Output formats of the --output flag.
+// Values of the --output flag.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// Register adds the "bundle" commands to the application; they write to out.
+// Register adds the "bundle" commands to the application. Their output goes to out.
 func Register(app *kingpin.Application, out io.Writer) {
 	bundle := app.Command("bundle", help)
 	registerNew(bundle, out)
@@ -60,11 +59,11 @@
 	format string
 }
 
-func (p *printer) flag(command *kingpin.CmdClause) {
+func (p *printer) addOutputFlag(command *kingpin.CmdClause) {
 	command.Flag("output", "Output format: text or json.").Default(outputText).EnumVar(&p.format, outputText, outputJSON)
 }
 
-// print writes value as JSON, or calls text.
+// print writes value as JSON or calls text, depending on the output format.
 func (p *printer) print(value any, text func(w io.Writer) error) error {
 	if p.format != outputJSON {
 		return text(p.out)
@@ -74,7 +73,7 @@
 	return encoder.Encode(value)
 }
 
-// readFile reads a bundle's file, signed or not.
+// readFile reads the file of a bundle, signed or not, without checking the bundle.
 func readFile(path string) (btbundle.Signed, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -87,7 +86,7 @@
 	return signed, nil
 }
 
-// readBundle reads and checks a bundle's file, signed or not.
+// readBundle reads the file of a bundle, signed or not, and checks the bundle.
 func readBundle(path string) (btbundle.Signed, *btbundle.Bundle, error) {
 	signed, err := readFile(path)
 	if err != nil {
@@ -95,13 +94,14 @@
 	}
 	bundle, err := btbundle.Decode(signed.Document)
 	if err != nil {
-		return signed, nil, refused(path, err)
+		return signed, nil, refusedError(path, err)
 	}
 	return signed, bundle, nil
 }
 
-// refused names the file in each problem of the error.
-func refused(path string, err error) error {
+// refusedError wraps the error in ErrRefused and lists its problems, each on a line
+// of its own that begins with the file.
+func refusedError(path string, err error) error {
 	var problems btbundle.Problems
 	if !errors.As(err, &problems) {
 		return fmt.Errorf("%w: %s: %w", ErrRefused, path, err)
@@ -110,18 +110,18 @@
 	for _, p := range problems {
 		text += "\n" + path + ": " + p.String()
 	}
-	return fmt.Errorf("%w: %s has %s%s", ErrRefused, path, count(len(problems), "problem"), text)
+	return fmt.Errorf("%w: %s has %s%s", ErrRefused, path, countNoun(len(problems), "problem"), text)
 }
 
-func count(n int, noun string) string {
+func countNoun(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
 	}
 	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// writeNew writes a file that must not exist yet.
-func writeNew(path string, data []byte, mode os.FileMode) error {
+// createFile writes a new file. It fails if the file exists.
+func createFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
@@ -132,8 +132,8 @@
 	return f.Close()
 }
 
-// keyType is the PEM type of an approver's private key, in PKCS #8.
-const keyType = "PRIVATE KEY"
+// privateKeyPEMType is the PEM type of an approver's private key, in PKCS #8.
+const privateKeyPEMType = "PRIVATE KEY"
 
 // readKey reads an approver's private key.
 func readKey(path string) (ed25519.PrivateKey, error) {
@@ -142,7 +142,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	block, _ := pem.Decode(data)
-	if block == nil || block.Type != keyType {
+	if block == nil || block.Type != privateKeyPEMType {
 		return nil, fmt.Errorf("%w: %s holds no private key in PEM", ErrRefused, path)
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
--- a/commands/btbundlecmd/check.go
+++ b/commands/btbundlecmd/check.go
@@ -20,7 +20,7 @@
 	path string
 }
 
-// checkResult is what "check --output json" prints.
+// checkResult is the output of "check --output json".
 type checkResult struct {
 	File     string            `json:"file"`
 	Valid    bool              `json:"valid"`
@@ -29,14 +29,14 @@
 	Problems btbundle.Problems `json:"problems"`
 	Advice   btbundle.Problems `json:"advice"`
 	Signed   int               `json:"signatures"`
-	bundle   *btbundle.Bundle  // nil where the bundle is invalid
+	bundle   *btbundle.Bundle  // nil if the bundle is invalid
 }
 
 func registerCheck(bundle *kingpin.CmdClause, out io.Writer) {
 	c := &checkCommand{printer: printer{out: out}}
 	command := bundle.Command("check", checkHelp).Action(c.run)
 	command.Arg("file", "The bundle, signed or not.").Required().StringVar(&c.path)
-	c.flag(command)
+	c.addOutputFlag(command)
 }
 
 func (c *checkCommand) run(*kingpin.ParseContext) error {
@@ -47,7 +47,7 @@
 	result := checkResult{File: c.path, Digest: btbundle.DigestOf(signed.Document), Signed: len(signed.Signatures)}
 	bundle, advice, err := btbundle.Inspect(signed.Document)
 	if err != nil && !errors.As(err, &result.Problems) {
-		return refused(c.path, err)
+		return refusedError(c.path, err)
 	}
 	if err == nil {
 		result.Valid = true
@@ -59,7 +59,7 @@
 		return err
 	}
 	if !result.Valid {
-		return fmt.Errorf("%w: %s has %s", ErrRefused, c.path, count(len(result.Problems), "problem"))
+		return fmt.Errorf("%w: %s has %s", ErrRefused, c.path, countNoun(len(result.Problems), "problem"))
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	}
 	b := r.bundle
 	_, err := fmt.Fprintf(w, "%s: valid: version %d, %s, %s, %s, %s\n", r.File, b.Version,
-		count(len(b.Services), "service"), count(len(b.Targets), "target"),
-		count(len(b.Groups), "group"), count(len(b.Accounts), "client account"))
+		countNoun(len(b.Services), "service"), countNoun(len(b.Targets), "target"),
+		countNoun(len(b.Groups), "group"), countNoun(len(b.Accounts), "client account"))
 	return err
 }
--- a/commands/btbundlecmd/diff.go
+++ b/commands/btbundlecmd/diff.go
@@ -19,11 +19,11 @@
 	next string
 }
 
-// diffResult is what "diff --output json" prints.
+// diffResult is the output of "diff --output json".
 type diffResult struct {
 	Changes []btbundle.Change `json:"changes"`
-	// Unfit lists why the new bundle must not follow the old one.
-	Unfit btbundle.Problems `json:"unfit"`
+	// Problems lists why the new bundle must not replace the old one.
+	Problems btbundle.Problems `json:"unfit"`
 }
 
 func registerDiff(bundle *kingpin.CmdClause, out io.Writer) {
@@ -31,7 +31,7 @@
 	command := bundle.Command("diff", diffHelp).Action(c.run)
 	command.Arg("old", "The bundle in force, signed or not.").Required().StringVar(&c.old)
 	command.Arg("new", "The bundle to come, signed or not.").Required().StringVar(&c.next)
-	c.flag(command)
+	c.addOutputFlag(command)
 }
 
 func (c *diffCommand) run(*kingpin.ParseContext) error {
@@ -43,10 +43,10 @@
 	if err != nil {
 		return err
 	}
-	unfit := btbundle.CheckSuccessor(old, btbundle.DigestOf(signed.Document), next)
+	problems := btbundle.CheckSuccessor(old, btbundle.DigestOf(signed.Document), next)
 	result := diffResult{
-		Changes: btbundle.Diff(old, next),
-		Unfit:   btbundle.Locate(changed.Document, unfit),
+		Changes:  btbundle.Diff(old, next),
+		Problems: btbundle.Locate(changed.Document, problems),
 	}
 	return c.print(result, result.write)
 }
@@ -62,7 +62,7 @@
 			return err
 		}
 	}
-	for _, p := range r.Unfit {
+	for _, p := range r.Problems {
 		if _, err := fmt.Fprintf(w, "unfit     %s\n", p); err != nil {
 			return err
 		}
--- a/commands/btbundlecmd/keygen.go
+++ b/commands/btbundlecmd/keygen.go
@@ -22,11 +22,11 @@
 
 type keygenCommand struct {
 	printer
-	name string
-	path string
+	name    string
+	outPath string
 }
 
-// keygenResult is what "keygen --output json" prints.
+// keygenResult is the output of "keygen --output json".
 type keygenResult struct {
 	Name  string             `json:"name"`
 	Key   btbundle.PublicKey `json:"key"`
@@ -38,8 +38,8 @@
 	c := &keygenCommand{printer: printer{out: out}}
 	command := bundle.Command("keygen", keygenHelp).Action(c.run)
 	command.Flag("name", "The approver's name, for settings and logs.").Required().StringVar(&c.name)
-	command.Flag("out", "File for the private key, which must not exist.").Required().StringVar(&c.path)
-	c.flag(command)
+	command.Flag("out", "File for the private key, which must not exist.").Required().StringVar(&c.outPath)
+	c.addOutputFlag(command)
 }
 
 func (c *keygenCommand) run(*kingpin.ParseContext) error {
@@ -51,12 +51,12 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	data := pem.EncodeToMemory(&pem.Block{Type: keyType, Bytes: encoded})
-	if err := writeNew(c.path, data, 0o600); err != nil {
+	data := pem.EncodeToMemory(&pem.Block{Type: privateKeyPEMType, Bytes: encoded})
+	if err := createFile(c.outPath, data, 0o600); err != nil {
 		return err
 	}
 	key := btbundle.PublicKey(public)
-	result := keygenResult{Name: c.name, Key: key, KeyID: key.ID(), File: c.path}
+	result := keygenResult{Name: c.name, Key: key, KeyID: key.ID(), File: c.outPath}
 	return c.print(result, result.write)
 }
 
--- a/commands/btbundlecmd/new.go
+++ b/commands/btbundlecmd/new.go
@@ -24,10 +24,10 @@
   bilberrytide bundle new --draft first.toml --out version1.toml`
 
 type newCommand struct {
-	out   io.Writer
-	from  string
-	draft string
-	path  string
+	out     io.Writer
+	from    string
+	draft   string
+	outPath string
 }
 
 func registerNew(bundle *kingpin.CmdClause, out io.Writer) {
@@ -35,7 +35,7 @@
 	command := bundle.Command("new", newHelp).Action(c.run)
 	command.Flag("from", "The bundle in force, signed or not; none for a first version.").StringVar(&c.from)
 	command.Flag("draft", "The edited text; the bundle in force itself where none is given.").StringVar(&c.draft)
-	command.Flag("out", "File to write, which must not exist.").Required().StringVar(&c.path)
+	command.Flag("out", "File to write, which must not exist.").Required().StringVar(&c.outPath)
 	command.Validate(func(*kingpin.CmdClause) error {
 		if c.from == "" && c.draft == "" {
 			return errors.New("give --from, --draft or both")
@@ -51,28 +51,29 @@
 	}
 	next, err := btdraft.Next(parent, draft, time.Now())
 	if err != nil {
-		return refused(c.source(), err)
+		return refusedError(c.sourcePath(), err)
 	}
-	if err := writeNew(c.path, next, 0o644); err != nil {
+	if err := createFile(c.outPath, next, 0o644); err != nil {
 		return err
 	}
 	b, err := btbundle.Decode(next)
 	if err != nil {
-		return refused(c.path, err)
+		return refusedError(c.outPath, err)
 	}
-	_, err = fmt.Fprintf(c.out, "%s: version %d, digest %s\n", c.path, b.Version, btbundle.DigestOf(next))
+	_, err = fmt.Fprintf(c.out, "%s: version %d, digest %s\n", c.outPath, b.Version, btbundle.DigestOf(next))
 	return err
 }
 
-// source returns the file that the text comes from.
-func (c *newCommand) source() string {
+// sourcePath returns the file from which the text of the new version is read.
+func (c *newCommand) sourcePath() string {
 	if c.draft != "" {
 		return c.draft
 	}
 	return c.from
 }
 
-// read returns the parent's document, or nil, and the draft's text.
+// read returns the documents of the parent and of the draft. The parent is nil for a
+// first version; without a draft the parent's document is the draft.
 func (c *newCommand) read() (parent, draft []byte, err error) {
 	if c.from != "" {
 		signed, _, err := readBundle(c.from)
@@ -90,7 +91,7 @@
 	}
 	signed, err := btbundle.ParseSigned(text)
 	if err != nil {
-		return nil, nil, refused(c.draft, err)
+		return nil, nil, refusedError(c.draft, err)
 	}
 	return parent, signed.Document, nil
 }
--- a/commands/btbundlecmd/show.go
+++ b/commands/btbundlecmd/show.go
@@ -20,7 +20,7 @@
 	path string
 }
 
-// showResult is what "show --output json" prints.
+// showResult is the output of "show --output json".
 type showResult struct {
 	Digest     btbundle.Digest  `json:"digest"`
 	Signatures []btbundle.KeyID `json:"signatures"`
@@ -31,7 +31,7 @@
 	c := &showCommand{printer: printer{out: out}}
 	command := bundle.Command("show", showHelp).Action(c.run)
 	command.Arg("file", "The bundle, signed or not.").Required().StringVar(&c.path)
-	c.flag(command)
+	c.addOutputFlag(command)
 }
 
 func (c *showCommand) run(*kingpin.ParseContext) error {
--- a/commands/btbundlecmd/verify.go
+++ b/commands/btbundlecmd/verify.go
@@ -21,7 +21,7 @@
 	required  int
 }
 
-// verifyResult is what "verify --output json" prints.
+// verifyResult is the output of "verify --output json".
 type verifyResult struct {
 	Version uint64          `json:"version"`
 	Digest  btbundle.Digest `json:"digest"`
@@ -34,29 +34,29 @@
 	command.Arg("file", "The signed bundle.").Required().StringVar(&c.path)
 	command.Flag("approver", "An approver's name and public key, NAME=KEY; repeat it for more.").Required().StringsVar(&c.approvers)
 	command.Flag("required", "How many of them must have signed.").Default("1").IntVar(&c.required)
-	c.flag(command)
+	c.addOutputFlag(command)
 }
 
 func (c *verifyCommand) run(*kingpin.ParseContext) error {
-	anchor := btbundle.Approvers{Required: c.required}
+	trusted := btbundle.Approvers{Required: c.required}
 	for _, text := range c.approvers {
-		name, encoded, pair := strings.Cut(text, "=")
-		if !pair {
+		name, encoded, found := strings.Cut(text, "=")
+		if !found {
 			return fmt.Errorf("%w: --approver %s: want NAME=KEY", ErrRefused, text)
 		}
 		approver := btbundle.Approver{Name: name}
 		if err := approver.Key.UnmarshalText([]byte(encoded)); err != nil {
 			return fmt.Errorf("%w: --approver %s: %w", ErrRefused, name, err)
 		}
-		anchor.Keys = append(anchor.Keys, approver)
+		trusted.Keys = append(trusted.Keys, approver)
 	}
 	signed, err := readFile(c.path)
 	if err != nil {
 		return err
 	}
-	approved, err := anchor.Verify(signed)
+	approved, err := trusted.Verify(signed)
 	if err != nil {
-		return refused(c.path, err)
+		return refusedError(c.path, err)
 	}
 	result := verifyResult{Version: uint64(approved.Bundle.Version), Digest: approved.Digest, Signers: approved.Signers}
 	return c.print(result, func(w io.Writer) error {
