--- a/cmd/bilberrytide/bench_test.go
+++ b/cmd/bilberrytide/bench_test.go
@@ -20,17 +20,18 @@
 )
 
 const (
-	// pathTime is how long each way is measured at each concurrency.
-	pathTime = 2 * time.Second
-	// warmTime is how long each way runs before, unmeasured.
-	warmTime = 300 * time.Millisecond
-	// streamTokens is the length of each streamed answer.
+	// measureDuration is how long each path is measured at each concurrency.
+	measureDuration = 2 * time.Second
+	// warmUpDuration is how long each path runs before the measurement.
+	warmUpDuration = 300 * time.Millisecond
+	// streamTokens is the length of each streamed answer in tokens.
 	streamTokens = 1024
-	// decodeRate is over what any way carries, in tokens a second of a stream.
+	// decodeRate, in tokens per second and stream, is more than any path can carry.
 	decodeRate = 1_000_000
-	// paced makes an engine so much slower, so that each token travels alone.
-	paced = 500
-	// slots lets everything run at once.
+	// pacedSlowdown is the factor by which a paced engine is slower, so that each
+	// token is sent on its own.
+	pacedSlowdown = 500
+	// slots is enough to run all requests at once.
 	slots = 512
 )
 
@@ -40,49 +41,49 @@
 	pacedConcurrency  = []int{8, 64}
 )
 
-// sample is what one way did at one concurrency.
+// sample is the result for one path at one concurrency.
 type sample struct {
-	took  []time.Duration
-	units int64
-	span  time.Duration
-	// entry and agent are the processor times of the product's processes.
+	latencies []time.Duration
+	units     int64
+	elapsed   time.Duration
+	// entry and agent are the CPU times of the product's processes.
 	entry, agent time.Duration
 }
 
-// quantile returns a latency; the share is from 0 to 1.
+// quantile returns a quantile of the latencies; share is from 0 to 1.
 func (s *sample) quantile(share float64) time.Duration {
-	return s.took[int(share*float64(len(s.took)-1))]
+	return s.latencies[int(share*float64(len(s.latencies)-1))]
 }
 
-// rate is units a second: requests or tokens.
-func (s *sample) rate() float64 { return float64(s.units) / s.span.Seconds() }
+// rate returns units (requests or tokens) per second.
+func (s *sample) rate() float64 { return float64(s.units) / s.elapsed.Seconds() }
 
-// per returns seconds of processor time for so many units.
+// per returns the CPU time in seconds for the given number of units.
 func (s *sample) per(used time.Duration, units float64) float64 {
 	return used.Seconds() * units / float64(s.units)
 }
 
-// way sends one request and returns its units.
-type way func(ctx context.Context) (int64, error)
+// sendFunc sends one request and returns its units.
+type sendFunc func(ctx context.Context) (int64, error)
 
-// path is the fleet of one benchmark.
-type path struct {
+// pathBench is the fleet of one benchmark and the agent to measure.
+type pathBench struct {
 	*btfleet.Fleet
 	agent string
 }
 
-// measure runs a way with so many callers for a time.
-func (p *path) measure(b *testing.B, callers int, w way) *sample {
-	p.drive(b, callers, warmTime, w)
-	entry, agent := p.used(b, "entry-1"), p.used(b, p.agent)
-	s := p.drive(b, callers, pathTime, w)
-	s.entry = p.used(b, "entry-1") - entry
-	s.agent = p.used(b, p.agent) - agent
+// measure runs w with the given number of concurrent callers, after a warm-up.
+func (p *pathBench) measure(b *testing.B, callers int, w sendFunc) *sample {
+	p.runLoad(b, callers, warmUpDuration, w)
+	entry, agent := p.cpuTime(b, "entry-1"), p.cpuTime(b, p.agent)
+	s := p.runLoad(b, callers, measureDuration, w)
+	s.entry = p.cpuTime(b, "entry-1") - entry
+	s.agent = p.cpuTime(b, p.agent) - agent
 	return s
 }
 
-func (p *path) drive(b *testing.B, callers int, length time.Duration, w way) *sample {
-	ctx, cancel := context.WithTimeout(b.Context(), scenarioWait)
+func (p *pathBench) runLoad(b *testing.B, callers int, length time.Duration, w sendFunc) *sample {
+	ctx, cancel := context.WithTimeout(b.Context(), scenarioTimeout)
 	defer cancel()
 	s := &sample{}
 	var units atomic.Int64
@@ -91,7 +92,7 @@
 	began := time.Now()
 	for range callers {
 		all.Go(func() {
-			var took []time.Duration
+			var latencies []time.Duration
 			for time.Since(began) < length {
 				sent := time.Now()
 				n, err := w(ctx)
@@ -99,31 +100,32 @@
 					b.Error(err)
 					return
 				}
-				took = append(took, time.Since(sent))
+				latencies = append(latencies, time.Since(sent))
 				units.Add(n)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			s.took = append(s.took, took...)
+			s.latencies = append(s.latencies, latencies...)
 		})
 	}
 	all.Wait()
-	s.span = time.Since(began)
+	s.elapsed = time.Since(began)
 	s.units = units.Load()
-	slices.Sort(s.took)
+	slices.Sort(s.latencies)
 	return s
 }
 
-func (p *path) used(b *testing.B, name string) time.Duration {
+func (p *pathBench) cpuTime(b *testing.B, name string) time.Duration {
 	usage, err := p.Process(name).Usage()
 	assert.NilError(b, err)
 	return usage.CPU
 }
 
-// request makes a way of requests that one function makes anew each time.
-func request(caller *btfleet.Caller, make func(ctx context.Context) (*http.Request, error), units func(body []byte) int64) way {
+// newSendFunc returns a sendFunc that sends the requests made by newRequest and counts
+// the units of each answer.
+func newSendFunc(caller *btfleet.Caller, newRequest func(ctx context.Context) (*http.Request, error), units func(body []byte) int64) sendFunc {
 	return func(ctx context.Context) (int64, error) {
-		r, err := make(ctx)
+		r, err := newRequest(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -138,24 +140,24 @@
 	}
 }
 
-// BenchmarkPath compares a target called directly with the same target behind
-// one entry and its agent: latency and rate of small calls, tokens a second of
-// streams, and the processor time and memory of both processes.
+// BenchmarkPath compares a target called directly with the same target behind one
+// entry and its agent: latency and rate of small calls, tokens per second of streams,
+// and the CPU time and memory of both processes.
 func BenchmarkPath(b *testing.B) {
 	for b.Loop() {
-		ctx, f := start(b, btfleet.Options{Entries: 1, Plains: 1, Models: 1, Slots: slots, Queue: slots, DecodeRate: decodeRate})
+		ctx, f := startFleet(b, btfleet.Options{Entries: 1, Plains: 1, Models: 1, Slots: slots, Queue: slots, DecodeRate: decodeRate})
 		caller := f.NewCaller(callConcurrency[len(callConcurrency)-1])
 		var table strings.Builder
 		benchmarkCalls(b, f, caller, &table)
 		benchmarkStreams(b, f, caller, &table, "fast", streamConcurrency)
-		assert.NilError(b, f.FailTarget(ctx, "model-1", btstandin.TargetFault{Slow: paced}))
+		assert.NilError(b, f.FailTarget(ctx, "model-1", btstandin.TargetFault{Slow: pacedSlowdown}))
 		benchmarkStreams(b, f, caller, &table, "paced", pacedConcurrency)
 		for _, name := range f.ProductProcesses() {
 			usage, err := f.Process(name).Usage()
 			assert.NilError(b, err)
 			fmt.Fprintf(&table, "resident memory of %s: %.1f MB\n", name, float64(usage.Resident)/1e6)
 		}
-		// The log of a benchmark is cut after a few lines.
+		// Printed rather than logged: the log of a benchmark is truncated.
 		fmt.Print("\n", table.String())
 		caller.Close()
 		f.Close()
@@ -163,13 +165,13 @@
 }
 
 func benchmarkCalls(b *testing.B, f *btfleet.Fleet, caller *btfleet.Caller, table *strings.Builder) {
-	p := &path{Fleet: f, agent: btfleet.Agent("plain-1")}
+	p := &pathBench{Fleet: f, agent: btfleet.Agent("plain-1")}
 	body := bytes.Repeat([]byte("x"), 200)
 	one := func([]byte) int64 { return 1 }
-	direct := request(caller, func(ctx context.Context) (*http.Request, error) {
+	direct := newSendFunc(caller, func(ctx context.Context) (*http.Request, error) {
 		return caller.Direct(ctx, "plain-1", "/seats", body)
 	}, one)
-	through := request(caller, func(ctx context.Context) (*http.Request, error) {
+	through := newSendFunc(caller, func(ctx context.Context) (*http.Request, error) {
 		return caller.Request(ctx, "entry-1", bthttp.PathServices+string(btfleet.Plain)+"/seats", body)
 	}, one)
 	fmt.Fprintf(table, "%8s %12s %12s %12s %12s %10s %10s %8s %12s %12s\n", "callers", "p50 direct", "p50 through",
@@ -179,7 +181,7 @@
 		t := p.measure(b, callers, through)
 		ratio := t.rate() / d.rate()
 		fmt.Fprintf(table, "%8d %12s %12s %12s %12s %10.0f %10.0f %8.3f %12.3f %12.3f\n", callers,
-			short(d.quantile(0.5)), short(t.quantile(0.5)), short(d.quantile(0.99)), short(t.quantile(0.99)),
+			formatMicroseconds(d.quantile(0.5)), formatMicroseconds(t.quantile(0.5)), formatMicroseconds(d.quantile(0.99)), formatMicroseconds(t.quantile(0.99)),
 			d.rate(), t.rate(), ratio, t.per(t.entry, 1000), t.per(t.agent, 1000))
 		b.ReportMetric(ratio, fmt.Sprintf("rate-ratio-%d", callers))
 		b.ReportMetric(float64(t.quantile(0.5))/float64(d.quantile(0.5)), fmt.Sprintf("p50-ratio-%d", callers))
@@ -187,14 +189,14 @@
 }
 
 func benchmarkStreams(b *testing.B, f *btfleet.Fleet, caller *btfleet.Caller, table *strings.Builder, speed string, concurrency []int) {
-	p := &path{Fleet: f, agent: btfleet.Agent("model-1")}
+	p := &pathBench{Fleet: f, agent: btfleet.Agent("model-1")}
 	body := fmt.Appendf(nil, `{"model":%q,"max_tokens":%d,"stream":true,"messages":[{"role":"user","content":"A budget note"}]}`, btfleet.Model, streamTokens)
-	// Two events of a stream are no tokens.
+	// Two events of each stream are not tokens.
 	tokens := func(answer []byte) int64 { return int64(bytes.Count(answer, []byte("\n\n"))) - 2 }
-	direct := request(caller, func(ctx context.Context) (*http.Request, error) {
+	direct := newSendFunc(caller, func(ctx context.Context) (*http.Request, error) {
 		return caller.Direct(ctx, "model-1", bthttp.PathCompletions, body)
 	}, tokens)
-	through := request(caller, func(ctx context.Context) (*http.Request, error) {
+	through := newSendFunc(caller, func(ctx context.Context) (*http.Request, error) {
 		return caller.Request(ctx, "entry-1", bthttp.PathCompletions, body)
 	}, tokens)
 	fmt.Fprintf(table, "%8s %14s %14s %8s %16s %16s\n", speed, "tokens/s dir.", "tokens/s thr.", "ratio", "entry s/100,000", "agent s/100,000")
@@ -208,5 +210,5 @@
 	}
 }
 
-// short writes a latency in microseconds.
-func short(d time.Duration) string { return fmt.Sprintf("%d µs", d.Microseconds()) }
+// formatMicroseconds formats a latency in microseconds.
+func formatMicroseconds(d time.Duration) string { return fmt.Sprintf("%d µs", d.Microseconds()) }
--- a/cmd/bilberrytide/bundle_test.go
+++ b/cmd/bilberrytide/bundle_test.go
@@ -15,33 +15,34 @@
 	"bilberrytide/io/btstandin/btfleet"
 )
 
-// version makes a signed bundle. The label sets those of one version apart.
-func (s *stage) version(number btid.BundleVersion, label int) btfleet.File {
+// signedVersion makes a signed bundle. Different labels give different bundles of one
+// version.
+func (s *scenarioRun) signedVersion(number btid.BundleVersion, label int) btfleet.File {
 	s.Helper()
 	file, err := s.Version(number, func(b *btbundle.Bundle) { b.Retry.MaxAttempts += label })
 	assert.NilError(s, err)
 	return file
 }
 
-func (s *stage) publish(f btfleet.File) {
+func (s *scenarioRun) publish(f btfleet.File) {
 	s.Helper()
 	assert.NilError(s, s.Publish(s.ctx, f.Raw))
 }
 
-func (s *stage) everywhere(f btfleet.File) {
+func (s *scenarioRun) waitInForce(f btfleet.File) {
 	s.Helper()
 	assert.NilError(s, s.UntilInForce(s.ctx, f.Revision, s.ProductProcesses()...))
 }
 
-func (s *stage) platform(mode btstandin.PlatformMode, age time.Duration) {
+func (s *scenarioRun) setPlatformFault(mode btstandin.PlatformMode, age time.Duration) {
 	s.Helper()
 	fault := btstandin.PlatformFault{Mode: mode, Age: btbundle.Duration{Duration: age}}
 	assert.NilError(s, s.FailPlatform(s.ctx, fault))
 }
 
-// restart kills a process and starts it with nothing. It returns how many
-// versions its earlier lives put in force.
-func (s *stage) restart(name string) int {
+// killAndRestart kills a process and restarts it without its state. It returns how
+// many versions the process had put in force before.
+func (s *scenarioRun) killAndRestart(name string) int {
 	s.Helper()
 	assert.NilError(s, s.Process(name).Kill())
 	before := len(s.history(name))
@@ -49,29 +50,30 @@
 	return before
 }
 
-func (s *stage) history(name string) []btid.BundleVersion {
+func (s *scenarioRun) history(name string) []btid.BundleVersion {
 	s.Helper()
 	versions, err := s.History(name)
 	assert.NilError(s, err)
 	return versions
 }
 
-// unsoundPlatform rolls out while the service shows an old value or nothing.
-func unsoundPlatform(s *stage) {
+// faultyPlatform rolls out bundles while the configuration service returns an old
+// value or is down.
+func faultyPlatform(s *scenarioRun) {
 	first := time.Now()
-	second := s.version(2, 0)
+	second := s.signedVersion(2, 0)
 	s.publish(second)
-	s.everywhere(second)
-	// A service that shows the first version again takes nobody back, neither
-	// who runs nor who restarts.
-	s.platform(btstandin.PlatformStale, time.Since(first))
+	s.waitInForce(second)
+	// When the service returns the first version again, neither running nor
+	// restarted processes may go back to it.
+	s.setPlatformFault(btstandin.PlatformStale, time.Since(first))
 	for _, name := range []string{btfleet.Agent("plain-1"), "entry-2"} {
-		lived := s.restart(name)
+		lived := s.killAndRestart(name)
 		assert.NilError(s, s.UntilInForce(s.ctx, second.Revision, name))
 		assert.DeepEqual(s, s.history(name)[lived:], []btid.BundleVersion{2})
 	}
-	s.everywhere(second)
-	third := s.version(3, 0)
+	s.waitInForce(second)
+	third := s.signedVersion(3, 0)
 	s.rolloutByPeers(third)
 	s.restartWithoutPlatform(third)
 	for _, name := range s.ProductProcesses() {
@@ -81,78 +83,79 @@
 	}
 }
 
-// rolloutByPeers lets one entry alone read a new bundle. All others sleep until
-// the service is down, so that they can hear of it from peers only.
-func (s *stage) rolloutByPeers(file btfleet.File) {
+// rolloutByPeers lets only one entry read a new bundle from the service. All other
+// processes are frozen until the service is down, so that they can get the bundle
+// from peers only.
+func (s *scenarioRun) rolloutByPeers(file btfleet.File) {
 	s.Helper()
-	s.platform(btstandin.PlatformDown, 0)
+	s.setPlatformFault(btstandin.PlatformDown, 0)
 	others := slices.DeleteFunc(s.ProductProcesses(), func(name string) bool { return name == "entry-1" })
 	for _, name := range others {
 		assert.NilError(s, s.Process(name).Freeze())
 	}
-	s.platform(btstandin.PlatformHealthy, 0)
+	s.setPlatformFault(btstandin.PlatformHealthy, 0)
 	s.publish(file)
 	assert.NilError(s, s.UntilInForce(s.ctx, file.Revision, "entry-1"))
-	s.platform(btstandin.PlatformDown, 0)
+	s.setPlatformFault(btstandin.PlatformDown, 0)
 	for _, name := range others {
 		assert.NilError(s, s.Process(name).Thaw())
 	}
-	s.everywhere(file)
+	s.waitInForce(file)
 }
 
-// restartWithoutPlatform restarts an agent while the service is down: the
-// others serve, and it comes back with nothing older than what was in force.
-func (s *stage) restartWithoutPlatform(file btfleet.File) {
+// restartWithoutPlatform restarts an agent while the service is down. The other
+// targets keep serving, and the agent must not put an older bundle in force.
+func (s *scenarioRun) restartWithoutPlatform(file btfleet.File) {
 	s.Helper()
 	agent := btfleet.Agent("plain-2")
-	lived := s.restart(agent)
+	lived := s.killAndRestart(agent)
 	for i := range workers {
 		call := btfleet.Call{Path: "/status", Body: fmt.Sprintf("without the platform %d", i)}
-		s.until("a call done", func() error { return wantDone(s.call("entry-1", call)) })
+		s.waitUntil("a call done", func() error { return checkDone(s.call("entry-1", call)) })
 	}
-	s.platform(btstandin.PlatformHealthy, 0)
-	s.everywhere(file)
+	s.setPlatformFault(btstandin.PlatformHealthy, 0)
+	s.waitInForce(file)
 	assert.DeepEqual(s, s.history(agent)[lived:], []btid.BundleVersion{file.Revision.Version})
 }
 
-// racingBundles publishes two approved bundles of one version in both orders,
-// then two that nobody approved.
-func racingBundles(s *stage) {
+// conflictingBundles publishes two approved bundles of one version in both orders,
+// then two without a valid approval.
+func conflictingBundles(s *scenarioRun) {
 	for i, order := range [][2]int{{0, 1}, {1, 0}} {
 		number := btid.BundleVersion(2 + i)
-		pair := []btfleet.File{s.version(number, 1), s.version(number, 2)}
+		pair := []btfleet.File{s.signedVersion(number, 1), s.signedVersion(number, 2)}
 		slices.SortFunc(pair, func(a, b btfleet.File) int { return a.Revision.Compare(b.Revision) })
-		before := s.sum("bundle.conflicts")
+		before := s.sumCounter("bundle.conflicts")
 		s.publish(pair[order[0]])
 		assert.NilError(s, s.UntilInForce(s.ctx, pair[order[0]].Revision, "entry-1"))
 		s.publish(pair[order[1]])
-		s.counted("bundle.conflicts", before)
-		s.everywhere(pair[1])
+		s.waitCounter("bundle.conflicts", before)
+		s.waitInForce(pair[1])
 	}
-	inForce := s.version(4, 0)
+	inForce := s.signedVersion(4, 0)
 	s.publish(inForce)
-	s.everywhere(inForce)
+	s.waitInForce(inForce)
 	refused := btmetric.PrefixRefused + string(btbundle.ReasonSignature)
 	forged, err := s.Forged(5)
 	assert.NilError(s, err)
-	tampered := s.version(5, 0)
+	tampered := s.signedVersion(5, 0)
 	tampered.Raw = bytes.Replace(tampered.Raw, []byte("max_attempts = 3"), []byte("max_attempts = 9"), 1)
 	for _, file := range []btfleet.File{forged, tampered} {
-		before := s.sum(refused)
+		before := s.sumCounter(refused)
 		s.publish(file)
-		s.counted(refused, before)
-		s.everywhere(inForce)
+		s.waitCounter(refused, before)
+		s.waitInForce(inForce)
 	}
-	next := s.version(5, 0)
+	next := s.signedVersion(5, 0)
 	s.publish(next)
-	s.everywhere(next)
+	s.waitInForce(next)
 	for _, name := range s.ProductProcesses() {
 		assert.Check(s, slices.IsSorted(s.history(name)), "%s went back: %v", name, s.history(name))
 	}
 }
 
-// sum adds up a counter of all processes.
-func (s *stage) sum(counter string) int64 {
+// sumCounter returns the sum of a counter over all product processes.
+func (s *scenarioRun) sumCounter(counter string) int64 {
 	s.Helper()
 	var sum int64
 	for _, name := range s.ProductProcesses() {
@@ -163,11 +166,11 @@
 	return sum
 }
 
-// counted waits until a counter of any process has gone up.
-func (s *stage) counted(counter string, before int64) {
+// waitCounter waits until the sum of a counter exceeds before.
+func (s *scenarioRun) waitCounter(counter string, before int64) {
 	s.Helper()
-	s.until(counter, func() error {
-		if now := s.sum(counter); now <= before {
+	s.waitUntil(counter, func() error {
+		if now := s.sumCounter(counter); now <= before {
 			return fmt.Errorf("%d as before", now)
 		}
 		return nil
--- a/cmd/bilberrytide/failure_test.go
+++ b/cmd/bilberrytide/failure_test.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// plains is how many plain targets a fleet has, each a key home.
-	plains = 3
-	// workers send calls at the same time.
+	// plainTargets is the number of plain targets in a fleet. Each is a key home.
+	plainTargets = 3
+	// workers is the number of callers that send at the same time.
 	workers = 8
-	// some is how many answers make a load worth looking at.
-	some = 100
-	// seed fixes the keys that are made outside of loads.
-	seed = 1 << 32
+	// answersPerStep is how many answers a load must get between two steps.
+	answersPerStep = 100
+	// keySeed is the seed of keys that are made outside of loads.
+	keySeed = 1 << 32
 )
 
-// stage is a fleet with what callers were told in one scenario.
-type stage struct {
+// scenarioRun is one run of a scenario: a fleet and the answers that callers got.
+type scenarioRun struct {
 	*testing.T
 	*btfleet.Fleet
 	ctx     context.Context
 	answers []btfleet.Answer
-	// loads counts the loads that were started.
+	// loads is the number of loads started so far.
 	loads uint64
 }
 
-// scenario is one failure of real processes.
+// scenario is a failure that is injected into real processes.
 type scenario struct {
 	name string
-	// delay is how long a target works on a request.
+	// delay is how long a target takes for a request.
 	delay time.Duration
-	// keyed tells that the key homes must grant before the failure.
+	// keyed is set if the key homes must grant keys before the failure.
 	keyed bool
-	run   func(s *stage)
+	run   func(s *scenarioRun)
 }
 
 var scenarios = []scenario{
@@ -54,72 +54,72 @@
 	{"key home restarted with nothing", 5 * time.Millisecond, true, restartedHome},
 	{"agent and entry stopped under load", 100 * time.Millisecond, true, plannedStops},
 	{"host leaves by the host list alone", 5 * time.Millisecond, true, leavingHost},
-	{"platform stale or down at a rollout", 0, false, unsoundPlatform},
-	{"two bundles of one version, and forged ones", 0, false, racingBundles},
+	{"platform stale or down at a rollout", 0, false, faultyPlatform},
+	{"two bundles of one version, and forged ones", 0, false, conflictingBundles},
 }
 
-// TestFailures brings failures about in fleets of real processes. After each,
-// no invariant is violated anywhere, each answer is the caller's own, and what
-// was told of each request is true at the targets.
+// TestFailures injects failures into fleets of real processes. After each failure
+// no process may have violated an invariant, each answer must belong to its caller's
+// request, and the reported outcomes must agree with what the targets executed.
 func TestFailures(t *testing.T) {
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			ctx, f := start(t, btfleet.Options{
+			ctx, f := startFleet(t, btfleet.Options{
 				Entries: 2,
-				Plains:  plains,
+				Plains:  plainTargets,
 				Slots:   16,
 				Queue:   32,
 				Delay:   c.delay,
 				Threads: 2,
 			})
-			s := &stage{T: t, Fleet: f, ctx: ctx}
+			s := &scenarioRun{T: t, Fleet: f, ctx: ctx}
 			if c.keyed {
-				s.until("key homes that grant", f.CheckKeyLeases)
+				s.waitUntil("key homes that grant", f.CheckKeyLeases)
 			}
 			c.run(s)
-			s.settled()
+			s.waitAllIdle()
 			assert.NilError(t, f.Check(s.answers))
 			t.Logf("told: %v", btfleet.CountReasons(s.answers))
 		})
 	}
 }
 
-func (s *stage) until(what string, condition func() error) {
+func (s *scenarioRun) waitUntil(what string, condition func() error) {
 	s.Helper()
 	assert.NilError(s, btfleet.WaitUntil(s.ctx, what, condition))
 }
 
-// load starts a load of calls, half of them with keys. Each load of a stage has
-// a seed of its own, so that no two make the same keys.
-func (s *stage) load(entries ...string) *btfleet.Load {
+// startLoad starts a load of calls, half of them with keys. Each load of a run has
+// its own seed, so that no two loads make the same keys.
+func (s *scenarioRun) startLoad(entries ...string) *btfleet.Load {
 	s.loads++
 	return s.Load(s.ctx, btfleet.LoadOptions{Workers: workers, Seed: s.loads, KeyShare: 0.5, Entries: entries, Retries: 2})
 }
 
-// more waits until so many further answers of the load are done.
-func (s *stage) more(l *btfleet.Load, count int) {
+// waitAnswers waits until count more calls of the load are done.
+func (s *scenarioRun) waitAnswers(l *btfleet.Load, count int) {
 	s.Helper()
-	goal := done(l.Answers()) + count
-	s.until(fmt.Sprintf("%d more answers", count), func() error {
-		if got := done(l.Answers()); got < goal {
+	goal := countDone(l.Answers()) + count
+	s.waitUntil(fmt.Sprintf("%d more answers", count), func() error {
+		if got := countDone(l.Answers()); got < goal {
 			return fmt.Errorf("%d of %d", got, goal)
 		}
 		return nil
 	})
 }
 
-// stop ends a load and keeps its answers.
-func (s *stage) stop(l *btfleet.Load) []btfleet.Answer {
+// stopLoad stops a load and records its answers.
+func (s *scenarioRun) stopLoad(l *btfleet.Load) []btfleet.Answer {
 	answers := l.Stop()
 	s.answers = append(s.answers, answers...)
 	return answers
 }
 
-func done(answers []btfleet.Answer) int { return btfleet.CountOutcomes(answers)[btrequest.Done] }
+func countDone(answers []btfleet.Answer) int { return btfleet.CountOutcomes(answers)[btrequest.Done] }
 
-// call makes one call and keeps its answer.
-func (s *stage) call(entry string, call btfleet.Call) btfleet.Answer {
+// call makes one call and records its answer.
+func (s *scenarioRun) call(entry string, call btfleet.Call) btfleet.Answer {
 	caller := s.NewCaller(1)
 	defer caller.Close()
 	answer := caller.Call(s.ctx, entry, call)
@@ -127,11 +127,11 @@
 	return answer
 }
 
-// out waits until no entry that runs gives a target work.
-func (s *stage) out(target string) {
+// waitOutOfRotation waits until no running entry sends requests to the target.
+func (s *scenarioRun) waitOutOfRotation(target string) {
 	s.Helper()
 	for _, entry := range s.Entries() {
-		s.until(target+" out of rotation at "+entry, func() error {
+		s.waitUntil(target+" out of rotation at "+entry, func() error {
 			if s.Eligible(entry, target) == nil {
 				return errors.New("still in rotation")
 			}
@@ -140,31 +140,31 @@
 	}
 }
 
-// back waits until every entry gives a target work again.
-func (s *stage) back(target string) {
+// waitInRotation waits until every entry sends requests to the target again.
+func (s *scenarioRun) waitInRotation(target string) {
 	s.Helper()
 	for _, entry := range s.Entries() {
-		s.until(target+" in rotation at "+entry, func() error { return s.Eligible(entry, target) })
+		s.waitUntil(target+" in rotation at "+entry, func() error { return s.Eligible(entry, target) })
 	}
 }
 
-// settled waits until the targets begin nothing more.
-func (s *stage) settled() {
+// waitAllIdle waits until no target starts another request.
+func (s *scenarioRun) waitAllIdle() {
 	s.Helper()
-	s.quiet(s.Executions)
+	s.waitIdle(s.Executions)
 }
 
-// settledAt waits until one target begins nothing more.
-func (s *stage) settledAt(target string) {
+// waitTargetIdle waits until the target starts no further request.
+func (s *scenarioRun) waitTargetIdle(target string) {
 	s.Helper()
-	s.quiet(func() (btstandin.Executions, error) { return s.ExecutionsAt(target) })
+	s.waitIdle(func() (btstandin.Executions, error) { return s.ExecutionsAt(target) })
 }
 
-func (s *stage) quiet(executions func() (btstandin.Executions, error)) {
+func (s *scenarioRun) waitIdle(executions func() (btstandin.Executions, error)) {
 	s.Helper()
 	const quiet = 300 * time.Millisecond
 	before := -1
-	s.until("targets quiet", func() error {
+	s.waitUntil("targets quiet", func() error {
 		ran, err := executions()
 		if err != nil {
 			return err
@@ -178,8 +178,9 @@
 	})
 }
 
-// repeatableDone checks that every call without a key got its answer.
-func (s *stage) repeatableDone(answers []btfleet.Answer) {
+// checkUnkeyedDone checks that every call without a key was done. Such calls are
+// repeatable.
+func (s *scenarioRun) checkUnkeyedDone(answers []btfleet.Answer) {
 	s.Helper()
 	for i := range answers {
 		a := &answers[i]
@@ -189,61 +190,61 @@
 	}
 }
 
-func killedAgent(s *stage) {
-	l := s.load(s.Entries()...)
-	s.more(l, some)
+func killedAgent(s *scenarioRun) {
+	l := s.startLoad(s.Entries()...)
+	s.waitAnswers(l, answersPerStep)
 	assert.NilError(s, s.Process(btfleet.Agent("plain-1")).Kill())
-	s.out("plain-1")
-	s.more(l, some)
-	s.repeatableDone(s.stop(l))
+	s.waitOutOfRotation("plain-1")
+	s.waitAnswers(l, answersPerStep)
+	s.checkUnkeyedDone(s.stopLoad(l))
 }
 
-func frozenAgent(s *stage) {
-	l := s.load(s.Entries()...)
-	s.more(l, some)
+func frozenAgent(s *scenarioRun) {
+	l := s.startLoad(s.Entries()...)
+	s.waitAnswers(l, answersPerStep)
 	agent := s.Process(btfleet.Agent("plain-1"))
 	assert.NilError(s, agent.Freeze())
-	s.out("plain-1")
+	s.waitOutOfRotation("plain-1")
 	before, err := s.ExecutionsAt("plain-1")
 	assert.NilError(s, err)
-	s.more(l, some)
+	s.waitAnswers(l, answersPerStep)
 	frozen, err := s.ExecutionsAt("plain-1")
 	assert.NilError(s, err)
 	assert.Equal(s, frozen.Total, before.Total, "a frozen agent's target got new work")
 	assert.NilError(s, agent.Thaw())
-	s.back("plain-1")
-	s.more(l, some)
-	s.repeatableDone(s.stop(l))
+	s.waitInRotation("plain-1")
+	s.waitAnswers(l, answersPerStep)
+	s.checkUnkeyedDone(s.stopLoad(l))
 }
 
-func frozenEntry(s *stage) {
-	first, second := s.load("entry-1"), s.load("entry-2")
-	s.more(first, some)
-	s.more(second, some)
+func frozenEntry(s *scenarioRun) {
+	first, second := s.startLoad("entry-1"), s.startLoad("entry-2")
+	s.waitAnswers(first, answersPerStep)
+	s.waitAnswers(second, answersPerStep)
 	entry := s.Process("entry-1")
 	assert.NilError(s, entry.Freeze())
 	began := time.Now()
-	for time.Since(began) < frozenFor {
-		s.more(second, some)
+	for time.Since(began) < freezeDuration {
+		s.waitAnswers(second, answersPerStep)
 	}
 	thawed := time.Now()
 	assert.NilError(s, entry.Thaw())
-	s.more(first, some)
-	s.repeatableDone(s.stop(second))
-	for _, a := range s.stop(first) {
+	s.waitAnswers(first, answersPerStep)
+	s.checkUnkeyedDone(s.stopLoad(second))
+	for _, a := range s.stopLoad(first) {
 		refused := a.Outcome == btrequest.NotRun && a.Reason == btroute.NoLiveTarget
-		fine := a.Call.Key != "" || a.Began.Before(thawed) || refused || wantDone(a) == nil
-		assert.Check(s, fine, "after the entry woke: %s", &a)
+		fine := a.Call.Key != "" || a.Began.Before(thawed) || refused || checkDone(a) == nil
+		assert.Check(s, fine, "after the entry was thawed: %s", &a)
 	}
 }
 
-// frozenFor is longer than every lease.
-const frozenFor = 6 * time.Second
+// freezeDuration is longer than every lease.
+const freezeDuration = 6 * time.Second
 
-// killedEntry kills an entry while targets work for it; callers go on at the
+// killedEntry kills an entry while targets run its requests. The callers retry at the
 // other entry with the same keys.
-func killedEntry(s *stage) {
-	keys := btfleet.NewKeys(seed)
+func killedEntry(s *scenarioRun) {
+	keys := btfleet.NewKeys(keySeed)
 	var calls []btfleet.Call
 	for i := range 2 * workers {
 		calls = append(calls, btfleet.Call{Path: "/receipts", Body: fmt.Sprintf("receipt %d", i), Key: keys.Next()})
@@ -254,7 +255,7 @@
 	for _, call := range calls {
 		go func() { lost <- caller.Call(s.ctx, "entry-1", call) }()
 	}
-	s.until("requests in the middle of their run", func() error {
+	s.waitUntil("requests in the middle of their run", func() error {
 		ran, err := s.Executions()
 		if err == nil && ran.Total < len(calls)/2 {
 			err = fmt.Errorf("%d began", ran.Total)
@@ -266,102 +267,102 @@
 		s.answers = append(s.answers, <-lost)
 	}
 	for _, call := range calls {
-		s.until("done at the other entry: "+call.Body, func() error { return wantDone(s.call("entry-2", call)) })
+		s.waitUntil("done at the other entry: "+call.Body, func() error { return checkDone(s.call("entry-2", call)) })
 	}
 }
 
-func wantDone(a btfleet.Answer) error {
+func checkDone(a btfleet.Answer) error {
 	if a.Outcome != btrequest.Done || a.Err != nil {
 		return errors.New(a.String())
 	}
 	return nil
 }
 
-// restartedHome kills a key home that is an executor too and starts it with
-// nothing remembered.
-func restartedHome(s *stage) {
-	keys := btfleet.NewKeys(seed)
+// restartedHome kills a key home that also executes requests and restarts it without
+// its state. Keys used before must not be reported as not run.
+func restartedHome(s *scenarioRun) {
+	keys := btfleet.NewKeys(keySeed)
 	var early []btfleet.Call
 	for i := range 4 * workers {
 		call := btfleet.Call{Path: "/receipts", Body: fmt.Sprintf("receipt %d", i), Key: keys.Next()}
-		s.until("an early key done", func() error { return wantDone(s.call("entry-1", call)) })
+		s.waitUntil("an early key done", func() error { return checkDone(s.call("entry-1", call)) })
 		early = append(early, call)
 	}
 	agent := btfleet.Agent("plain-1")
 	assert.NilError(s, s.Process(agent).Kill())
 	assert.NilError(s, s.Restart(agent))
-	s.until("restarted agent ready", func() error { return s.Ready(agent) })
+	s.waitUntil("restarted agent ready", func() error { return s.Ready(agent) })
 	for _, call := range early {
 		a := s.call("entry-2", call)
 		assert.Check(s, a.Err == nil && a.Outcome != btrequest.NotRun, "a key that ran before: %s", &a)
 	}
-	s.until("key homes that grant", s.CheckKeyLeases)
-	s.back("plain-1")
+	s.waitUntil("key homes that grant", s.CheckKeyLeases)
+	s.waitInRotation("plain-1")
 	for _, call := range early {
 		a := s.call("entry-1", call)
 		assert.Check(s, a.Err == nil && a.Outcome != btrequest.NotRun, "a key that ran before: %s", &a)
 	}
 	for i := range 4 * workers {
-		s.until("a late key done", func() error {
-			return wantDone(s.call("entry-1", btfleet.Call{Path: "/receipts", Body: fmt.Sprintf("late receipt %d", i), Key: keys.Next()}))
+		s.waitUntil("a late key done", func() error {
+			return checkDone(s.call("entry-1", btfleet.Call{Path: "/receipts", Body: fmt.Sprintf("late receipt %d", i), Key: keys.Next()}))
 		})
 	}
 }
 
-// plannedStops stops an agent, then an entry. The load on the entry ends within
-// the time that a balancer needs to notice.
-func plannedStops(s *stage) {
-	first, second := s.load("entry-1"), s.load("entry-2")
-	s.more(first, some)
-	s.more(second, some)
+// plannedStops stops an agent and then an entry. The load on the entry ends within
+// the time that a balancer in front needs to notice the stop.
+func plannedStops(s *scenarioRun) {
+	first, second := s.startLoad("entry-1"), s.startLoad("entry-2")
+	s.waitAnswers(first, answersPerStep)
+	s.waitAnswers(second, answersPerStep)
 	agentAsked := time.Now()
-	s.terminate(btfleet.Agent("plain-1"))
-	s.more(first, some)
-	s.more(second, some)
+	s.terminateTwice(btfleet.Agent("plain-1"))
+	s.waitAnswers(first, answersPerStep)
+	s.waitAnswers(second, answersPerStep)
 	entry := s.Process("entry-2")
 	assert.NilError(s, entry.Terminate())
 	assert.NilError(s, entry.Terminate())
-	answers := s.stop(second)
-	s.ended("entry-2")
-	s.more(first, some)
-	answers = append(answers, s.stop(first)...)
-	s.repeatableDone(answers)
+	answers := s.stopLoad(second)
+	s.waitCleanExit("entry-2")
+	s.waitAnswers(first, answersPerStep)
+	answers = append(answers, s.stopLoad(first)...)
+	s.checkUnkeyedDone(answers)
 	for _, a := range answers {
 		if a.Began.Before(agentAsked) {
-			assert.Check(s, wantDone(a) == nil, "in flight when the agent was asked to stop: %s", &a)
+			assert.Check(s, checkDone(a) == nil, "in flight when the agent was asked to stop: %s", &a)
 		}
 	}
 }
 
-// terminate stops a process, asking twice, and checks that it ends well.
-func (s *stage) terminate(name string) {
+// terminateTwice sends SIGTERM twice and checks that the process exits with code 0.
+func (s *scenarioRun) terminateTwice(name string) {
 	s.Helper()
 	assert.NilError(s, s.Process(name).Terminate())
 	assert.NilError(s, s.Process(name).Terminate())
-	s.ended(name)
+	s.waitCleanExit(name)
 }
 
-func (s *stage) ended(name string) {
+func (s *scenarioRun) waitCleanExit(name string) {
 	s.Helper()
 	code, err := s.Process(name).Wait(s.ctx)
 	assert.NilError(s, err)
 	assert.Equal(s, code, 0, "%s", name)
 }
 
-// leavingHost lets only the platform's host list tell that a host leaves.
-func leavingHost(s *stage) {
-	l := s.load(s.Entries()...)
-	s.more(l, some)
+// leavingHost marks a host as leaving in the platform's host list only.
+func leavingHost(s *scenarioRun) {
+	l := s.startLoad(s.Entries()...)
+	s.waitAnswers(l, answersPerStep)
 	assert.NilError(s, s.MarkHostLeaving(s.ctx, btfleet.HostOf("plain-1")))
-	s.out("plain-1")
-	s.settledAt("plain-1")
+	s.waitOutOfRotation("plain-1")
+	s.waitTargetIdle("plain-1")
 	before, err := s.ExecutionsAt("plain-1")
 	assert.NilError(s, err)
-	s.more(l, some)
+	s.waitAnswers(l, answersPerStep)
 	after, err := s.ExecutionsAt("plain-1")
 	assert.NilError(s, err)
 	assert.Equal(s, after.Total, before.Total, "a leaving host's target got new work")
-	for _, a := range s.stop(l) {
+	for _, a := range s.stopLoad(l) {
 		assert.Check(s, a.Outcome == btrequest.Done && a.Err == nil, "%s", &a)
 	}
 }
--- a/cmd/bilberrytide/main.go
+++ b/cmd/bilberrytide/main.go
@@ -1,5 +1,5 @@
-// Command bilberrytide runs the processes of the load balancer and the tools of
-// its operators; "bilberrytide --help" lists them.
+// Command bilberrytide runs the processes of the load balancer and its operator
+// tools. "bilberrytide --help" lists the commands.
 package main
 
 import (
@@ -41,21 +41,21 @@
 	btstagescmd.Register(app, os.Stdout)
 	btwhycmd.Register(app, os.Stdout)
 	app.Command("version", "Print the version that this program was built from.").Action(printVersion)
-	// The application's own action runs once the command line is understood, so
-	// that an error before it is one of usage.
-	understood := false
+	// The application's action runs after the command line was parsed. An error
+	// before that is a usage error.
+	parsed := false
 	app.Action(func(*kingpin.ParseContext) error {
-		understood = true
+		parsed = true
 		return nil
 	})
 	if _, err := app.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "bilberrytide: %v\n", err)
-		os.Exit(exitCode(understood))
+		os.Exit(exitCode(parsed))
 	}
 }
 
-func exitCode(understood bool) int {
-	if understood {
+func exitCode(parsed bool) int {
+	if parsed {
 		return exitFailed
 	}
 	return exitUsage
--- a/cmd/bilberrytide/main_test.go
+++ b/cmd/bilberrytide/main_test.go
@@ -15,11 +15,11 @@
 	"bilberrytide/io/btstandin/btfleet"
 )
 
-// programs are those that TestMain built.
+// programs are the programs that TestMain built.
 var programs btfleet.Programs
 
-// fleets is how many fleets run at a time.
-const fleets = "3"
+// maxParallelFleets is how many fleets run at a time.
+const maxParallelFleets = "3"
 
 // TestMain builds the programs once, without the race detector.
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 }
 
 func run(m *testing.M) int {
-	_ = flag.Set("test.parallel", fleets)
+	_ = flag.Set("test.parallel", maxParallelFleets)
 	folder, err := os.MkdirTemp("", "bilberrytide")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -48,15 +48,15 @@
 	return m.Run()
 }
 
-// scenarioWait bounds a whole scenario, most of which wait for leases of a few
-// seconds to end.
-const scenarioWait = 2 * time.Minute
+// scenarioTimeout limits a whole scenario. Most scenarios wait until leases of a few
+// seconds expire.
+const scenarioTimeout = 2 * time.Minute
 
-// start starts a fleet that ends with the test. The ends of its logs are shown
-// where the test failed.
-func start(t testing.TB, o btfleet.Options) (context.Context, *btfleet.Fleet) {
+// startFleet starts a fleet that is closed at the end of the test. If the test
+// failed, the last lines of the fleet's logs are printed.
+func startFleet(t testing.TB, o btfleet.Options) (context.Context, *btfleet.Fleet) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), scenarioWait)
+	ctx, cancel := context.WithTimeout(t.Context(), scenarioTimeout)
 	t.Cleanup(cancel)
 	o.Programs = programs
 	o.Folder = t.TempDir()
